--- a/packages/claims/src/bench/BenchStore.ts
+++ b/packages/claims/src/bench/BenchStore.ts
@@ -1,4 +1,4 @@
-import type { PlatformStore, PutOutcome, StoreChange, StoredObject } from '@apricotrill/store';
+import type { PlatformStore, PutResult, StoreChange, StoredObject } from '@apricotrill/store';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
 /** What the store was asked for. */
@@ -36,13 +36,13 @@
     return this.answer(() => [...this.objects.values()].filter(isIn));
   }
 
-  put(key: string, value: string, expectedVersion: number): Promise<PutOutcome> {
+  put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     this.cost.writes += 1;
     this.cost.writtenBytes += Buffer.byteLength(value);
     return this.answer(() => this.write(key, value, expectedVersion));
   }
 
-  delete(key: string, expectedVersion: number): Promise<PutOutcome> {
+  delete(key: string, expectedVersion: number): Promise<PutResult> {
     this.cost.deletes += 1;
     return this.answer(() => this.write(key, undefined, expectedVersion));
   }
@@ -52,7 +52,7 @@
     return Promise.resolve([]);
   }
 
-  private write(key: string, value: string | undefined, expectedVersion: number): PutOutcome {
+  private write(key: string, value: string | undefined, expectedVersion: number): PutResult {
     const current = this.objects.get(key);
     if ((current?.version ?? 0) !== expectedVersion) {
       return { kind: 'conflict', current };
--- a/packages/claims/src/bench/runOwnedShards.ts
+++ b/packages/claims/src/bench/runOwnedShards.ts
@@ -65,7 +65,7 @@
     const { body } = this.settings;
     const whole = { kind: 'whole' as const, status: 200, headers: {}, body };
     this.clock.setTimer(this.settings.load.runTime, () => {
-      daemon.settle(answer.handle, { kind: 'answered', answer: whole });
+      daemon.recordOutcome(answer.handle, { kind: 'answered', answer: whole });
     });
     return true;
   }
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,33 +1,33 @@
 export type { ClaimCounters } from './lib/ClaimCounters.js';
-export { AnswerSource, LossCause, TakeoverProof } from './lib/ClaimDecision.js';
-export type { ClaimDecision } from './lib/ClaimDecision.js';
+export { AnswerSource, LossCause, TakeoverProof } from './lib/ClaimEvent.js';
+export type { ClaimEvent } from './lib/ClaimEvent.js';
 export { ClaimManager } from './lib/ClaimManager/ClaimManager.js';
 export type {
   ClaimSettings,
   ClaimTransport,
   HandOverResult,
 } from './lib/ClaimManager/ClaimSettings.js';
-export { createClaimOptions, DEFAULT_CLAIM_OPTIONS } from './lib/ClaimOptions.js';
+export { createClaimOptions, defaultClaimOptions } from './lib/ClaimOptions.js';
 export type { ClaimOptions } from './lib/ClaimOptions.js';
 export { MemberStanding, RefusalReason, UnknownCause } from './lib/claimTypes.js';
 export type {
-  ClaimAnswer,
+  ClaimResult,
   ClaimHandle,
   ClaimHolder,
   ClaimMember,
   ClaimOutcome,
   ClaimQuery,
   ClaimRequest,
-  StoredAnswer,
-  WholeAnswer,
+  StoredResponse,
+  CompleteResponse,
 } from './lib/claimTypes.js';
 export { EntryState, SealRole } from './lib/messages.js';
 export type {
   ClaimEntry,
   ClaimMessage,
   ClaimMutation,
-  ClaimReply,
-  OwnerAnswer,
+  ClaimResponse,
+  OwnerResponse,
 } from './lib/messages.js';
 export {
   getClaimName,
--- a/packages/claims/src/lib/ClaimDecision.ts
+++ b/packages/claims/src/lib/ClaimEvent.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { ClaimAnswer, RefusalReason } from './claimTypes.js';
-import type { ClaimReply, OwnerAnswer } from './messages.js';
+import type { ClaimResult, RefusalReason } from './claimTypes.js';
+import type { ClaimResponse, OwnerResponse } from './messages.js';
 
 /** What made a claim's answer final. */
 export enum AnswerSource {
@@ -47,7 +47,7 @@
 export interface ClaimTry {
   peer: string;
   /** `none`: no answer in time. */
-  reply: ClaimReply['kind'] | 'none';
+  reply: ClaimResponse['kind'] | 'none';
   /** When it was asked, by the entry daemon's clock. */
   at: Milliseconds;
   spent: Milliseconds;
@@ -58,13 +58,13 @@
  *
  * @public
  */
-export type ClaimDecision =
+export type ClaimEvent =
   /** An entry daemon's claim ended. */
   | {
       kind: 'claim-ended';
       shard: number;
       requestId: string;
-      answer: ClaimAnswer['kind'];
+      answer: ClaimResult['kind'];
       reason?: RefusalReason;
       calls: number;
       spent: Milliseconds;
@@ -78,7 +78,7 @@
       epoch: number;
       requestId: string;
       holder: string;
-      answer: OwnerAnswer['kind'];
+      answer: OwnerResponse['kind'];
       source: AnswerSource;
     }
   | { kind: 'claim-refused'; shard: number; requestId: string; reason: RefusalReason }
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
@@ -9,7 +9,7 @@
     const handle = getHandle(await cluster.ask(other, 'hold'));
     expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
     expect((await cluster.ask(owner, 'hold', 'another body')).kind).toBe('mismatch');
-    await cluster.complete(other.claims.settle(handle, RAN));
+    await cluster.complete(other.claims.recordOutcome(handle, RAN));
     const { requestId } = handle.request;
     const expected = { kind: 'settled', requestId, answer: Object(RAN).answer };
     expect(await cluster.ask(witness, 'hold')).toEqual(expected);
@@ -20,16 +20,16 @@
   it('frees the key when the request proved not to have run, for its own claim only', async () => {
     const { cluster, other, next } = await start();
     const first = getHandle(await cluster.ask(other, 'hold'));
-    await cluster.complete(other.claims.settle(first, { kind: 'not-run' }));
+    await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
     getHandle(await cluster.ask(next, 'hold'));
-    await cluster.complete(other.claims.settle(first, { kind: 'not-run' }));
+    await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
     expect((await cluster.ask(other, 'hold')).kind).toBe('in-progress');
   });
 
   it('moves with the shard on a graceful shutdown, and leaves no quarantine', async () => {
     const { cluster, owner, next, other } = await start();
     const handle = getHandle(await cluster.ask(other, 'hold'));
-    other.claims.settle(handle, RAN);
+    other.claims.recordOutcome(handle, RAN);
     const result = await cluster.complete(owner.claims.handOver(2000));
     expect(result).toEqual({ ownedShards: 0, unreportedOutcomes: 0 });
     owner.crash();
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -2,12 +2,12 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import { createClaimCounters } from '../ClaimCounters.js';
 import type { ClaimCounters } from '../ClaimCounters.js';
-import type { ClaimDecision } from '../ClaimDecision.js';
+import type { ClaimEvent } from '../ClaimEvent.js';
 import { createClaimOptions } from '../ClaimOptions.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import { RefusalReason } from '../claimTypes.js';
 import type {
-  ClaimAnswer,
+  ClaimResult,
   ClaimHandle,
   ClaimMember,
   ClaimOutcome,
@@ -15,7 +15,7 @@
 } from '../claimTypes.js';
 import { ClaimWitness } from '../ClaimWitness/ClaimWitness.js';
 import { getKeptOutcome } from '../getKeptOutcome.js';
-import type { ClaimMessage, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import { isSameProcess } from '../placement.js';
 import { ClaimSeeker } from './ClaimSeeker.js';
@@ -58,7 +58,7 @@
 
   private readonly seeker: ClaimSeeker;
 
-  private readonly onDecision: (decision: ClaimDecision) => void;
+  private readonly onDecision: (decision: ClaimEvent) => void;
 
   private moveTimer: Timer | undefined;
 
@@ -70,7 +70,7 @@
     const { self, clock } = settings;
     const options = createClaimOptions(settings.options);
     this.options = options;
-    this.onDecision = settings.onDecision ?? (() => {});
+    this.onDecision = settings.onEvent ?? (() => {});
     const store = new StoreGateway(settings.store, clock, options, this.counters);
     this.layout = new LayoutGuard(store, options.shards, (found) => this.onMismatch(found));
     this.witness = new ClaimWitness(self.incarnation, options);
@@ -93,7 +93,7 @@
       { length: options.shards },
       (_, shard) => new ShardRunner(shard, runnerAround, members),
     );
-    this.onMembersChanged();
+    this.handleMembersChange();
     this.startUpkeep();
   }
 
@@ -116,7 +116,7 @@
    * const answer = await claims.claim({ workspace, key, fingerprint, requestId });
    * ```
    */
-  async claim(query: ClaimQuery): Promise<ClaimAnswer> {
+  async claim(query: ClaimQuery): Promise<ClaimResult> {
     if (this.isDisposed || this.layout.isMismatch) {
       const reason = this.isDisposed ? RefusalReason.Leaving : RefusalReason.LayoutMismatch;
       const retryAfter = this.options.retryDelayLimit;
@@ -134,7 +134,7 @@
    * claims.settle(handle, { kind: 'answered', answer });
    * ```
    */
-  settle(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
+  recordOutcome(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
     return this.reporter.report(handle, getKeptOutcome(outcome, this.options.answerLimit));
   }
 
@@ -148,7 +148,7 @@
    * mesh.handle('claims', (from, message: ClaimMessage) => claims.handle(from, message));
    * ```
    */
-  async handle(from: string, message: ClaimMessage): Promise<ClaimReply> {
+  async handle(from: string, message: ClaimMessage): Promise<ClaimResponse> {
     const runner = this.runners[message.shard];
     if (this.isDisposed || runner === undefined) {
       throw new StepError('no such shard here', { step: 'claims', peer: from });
@@ -170,7 +170,7 @@
   }
 
   /** Call it whenever `getMembers` would answer something new. */
-  onMembersChanged(): void {
+  handleMembersChange(): void {
     const members = this.getMembers();
     this.runners.forEach((runner) => runner.tell({ kind: 'members', members }));
     // Shards move only after a rest, and not again with each further change: a flapping member
@@ -232,7 +232,7 @@
     });
   }
 
-  private onSeal(from: string, message: SealMessage, runner: ShardRunner): Promise<ClaimReply> {
+  private onSeal(from: string, message: SealMessage, runner: ShardRunner): Promise<ClaimResponse> {
     const { shard, epoch, role, incarnation } = message;
     if (role === SealRole.Owner) {
       const isUs = incarnation === this.settings.self.incarnation;
@@ -250,7 +250,7 @@
     peer: ClaimMember,
     message: ClaimMessage,
     timeout: Milliseconds,
-  ): Promise<ClaimReply | undefined> {
+  ): Promise<ClaimResponse | undefined> {
     const { self, clock, transport } = this.settings;
     if (this.isDisposed) {
       return undefined;
--- a/packages/claims/src/lib/ClaimManager/ClaimSeeker.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimSeeker.ts
@@ -1,8 +1,8 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import type { ClaimDecision, ClaimTry } from '../ClaimDecision.js';
+import type { ClaimEvent, ClaimTry } from '../ClaimEvent.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import { RefusalReason } from '../claimTypes.js';
-import type { ClaimAnswer, ClaimHandle, ClaimMember, ClaimQuery } from '../claimTypes.js';
+import type { ClaimResult, ClaimHandle, ClaimMember, ClaimQuery } from '../claimTypes.js';
 import { getClaimName, getClaimShard } from '../placement.js';
 import type { OutcomeReporter } from './OutcomeReporter.js';
 import type { OwnerRoute } from './OwnerRoute.js';
@@ -19,14 +19,14 @@
   route: OwnerRoute;
   reporter: OutcomeReporter;
   createId: () => number;
-  onDecision: (decision: ClaimDecision) => void;
+  onDecision: (decision: ClaimEvent) => void;
 }
 
 /** The entry daemon's side of a claim: asks the owner, and gives up cleanly. */
 export class ClaimSeeker {
   constructor(private readonly around: SeekerSurroundings) {}
 
-  async seek(query: ClaimQuery): Promise<ClaimAnswer> {
+  async seek(query: ClaimQuery): Promise<ClaimResult> {
     const { clock, options, route } = this.around;
     const startedAt = clock.now();
     const handle = this.createHandle(query, startedAt);
@@ -56,7 +56,7 @@
     search: OwnerSearch,
     handle: ClaimHandle,
     startedAt: Milliseconds,
-  ): ClaimAnswer {
+  ): ClaimResult {
     const { clock, options, reporter } = this.around;
     // A frozen process reads a grant long after it was sent, when the key may have expired and been
     // granted again. So a grant counts only within the time that owners and witnesses allow for.
@@ -81,7 +81,7 @@
     reply: OwnerReply | undefined,
     isUncertain: boolean,
     isProvedNotRun: boolean,
-  ): ClaimAnswer {
+  ): ClaimResult {
     if (reply?.kind === 'refused') {
       const { reason, retryAfter } = reply;
       return { kind: 'unavailable', retryAfter, reason, isProvedNotRun };
@@ -93,7 +93,7 @@
   }
 
   private report(
-    answer: ClaimAnswer,
+    answer: ClaimResult,
     { shard, request }: ClaimHandle,
     tries: readonly ClaimTry[],
     startedAt: Milliseconds,
--- a/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
@@ -1,9 +1,9 @@
 import type { PlatformStore } from '@apricotrill/store';
 import type { Clock } from '@apricotrill/utils';
-import type { ClaimDecision } from '../ClaimDecision.js';
+import type { ClaimEvent } from '../ClaimEvent.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimMessage, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimResponse } from '../messages.js';
 
 /**
  * How daemons reach one another.
@@ -15,7 +15,7 @@
    * Delivers a message to a peer's {@link ClaimManager.handle} and brings back its reply. Rejects,
    * or never ends, when there is none: whether the message arrived is then unknown.
    */
-  call(peer: ClaimMember, message: ClaimMessage): Promise<ClaimReply>;
+  call(peer: ClaimMember, message: ClaimMessage): Promise<ClaimResponse>;
 }
 
 /**
@@ -33,7 +33,7 @@
   /** The members that have not ended, by this daemon's view, with what it may expect of each. */
   getMembers: () => readonly ClaimMember[];
   /** Called with every decision, for the log. */
-  onDecision?: (decision: ClaimDecision) => void;
+  onEvent?: (decision: ClaimEvent) => void;
 }
 
 /**
--- a/packages/claims/src/lib/ClaimManager/OwnerRoute.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerRoute.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimMessage, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { getOwnerOrder } from '../placement.js';
 import { OwnerSearch } from './OwnerSearch.js';
 
@@ -9,7 +9,7 @@
   peer: ClaimMember,
   message: ClaimMessage,
   timeout: Milliseconds,
-) => Promise<ClaimReply | undefined>;
+) => Promise<ClaimResponse | undefined>;
 
 /** Where this daemon found each shard's owner last. */
 export class OwnerRoute {
--- a/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
@@ -1,11 +1,11 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimTry } from '../ClaimDecision.js';
-import type { ClaimReply } from '../messages.js';
+import type { ClaimTry } from '../ClaimEvent.js';
+import type { ClaimResponse } from '../messages.js';
 import { delay } from './timing.js';
 
 /** A reply of a shard's owner. */
-export type OwnerReply = Exclude<ClaimReply, { kind: 'not-owner' }>;
+export type OwnerReply = Exclude<ClaimResponse, { kind: 'not-owner' }>;
 
 /** How a search looks at the daemons. */
 export interface SearchSurroundings {
@@ -19,7 +19,7 @@
   /** Whom to ask, the likeliest owner first. */
   getTargets: () => ClaimMember[];
   /** @returns undefined when the daemon gave no answer in time */
-  call: (peer: ClaimMember, timeout: Milliseconds) => Promise<ClaimReply | undefined>;
+  call: (peer: ClaimMember, timeout: Milliseconds) => Promise<ClaimResponse | undefined>;
   /** The peer turned out not to be the owner, or not to answer. */
   onMiss: (peer: ClaimMember) => void;
   onFound: (peer: ClaimMember) => void;
--- a/packages/claims/src/lib/ClaimManager/ShardRunner.ts
+++ b/packages/claims/src/lib/ClaimManager/ShardRunner.ts
@@ -1,13 +1,13 @@
 import { exhaustiveSwitchError, StepError } from '@apricotrill/utils';
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { ClaimCounters } from '../ClaimCounters.js';
-import type { ClaimDecision } from '../ClaimDecision.js';
+import type { ClaimEvent } from '../ClaimEvent.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimMember } from '../claimTypes.js';
 import { ClaimShard } from '../ClaimShard/ClaimShard.js';
 import { NO_ANSWER } from '../ClaimShard/shardMessages.js';
 import type { ShardEffect, ShardInput } from '../ClaimShard/shardMessages.js';
-import type { ClaimMessage, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { getHeadKey, getSegmentPrefix } from '../ShardHead.js';
 import type { LayoutGuard } from './LayoutGuard.js';
 import type { StoreGateway } from './StoreGateway.js';
@@ -21,9 +21,9 @@
   layout: LayoutGuard;
   counters: ClaimCounters;
   createId: () => number;
-  onDecision: (decision: ClaimDecision) => void;
+  onDecision: (decision: ClaimEvent) => void;
   /** @returns undefined when the peer gave no answer in time */
-  callPeer: (peer: ClaimMember, message: ClaimMessage) => Promise<ClaimReply | undefined>;
+  callPeer: (peer: ClaimMember, message: ClaimMessage) => Promise<ClaimResponse | undefined>;
 }
 
 type WithoutCall<Input> = Input extends { call: number } ? Omit<Input, 'call'> : never;
@@ -32,7 +32,7 @@
 type Question = WithoutCall<ShardInput>;
 
 interface PendingCall {
-  resolve: (reply: ClaimReply) => void;
+  resolve: (reply: ClaimResponse) => void;
   reject: (error: Error) => void;
 }
 
@@ -68,7 +68,7 @@
   }
 
   /** Hands a claim, an outcome or a challenge to the shard and waits for its reply. */
-  ask(input: Question): Promise<ClaimReply> {
+  ask(input: Question): Promise<ClaimResponse> {
     return new Promise((resolve, reject) => {
       const call = this.around.createId();
       this.calls.set(call, { resolve, reject });
--- a/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
@@ -64,7 +64,7 @@
     cluster.store.fault('up');
     [next, other].forEach((daemon) => daemon.look([next.member, other.member]));
     expect(await cluster.ask(next, 'hold')).toEqual({ kind: 'unknown', cause: 'quarantine' });
-    await cluster.complete(other.claims.settle(ended, RAN));
+    await cluster.complete(other.claims.recordOutcome(ended, RAN));
     expect((await cluster.ask(next, 'ended')).kind).toBe('settled');
     await cluster.complete(next.claims.handOver(1000));
     other.look([other.member]);
@@ -184,7 +184,7 @@
     const { cluster, owner, witness, next, other } = await start();
     const handle = getHandle(await cluster.ask(other, 'hold'));
     cluster.store.fault('down');
-    other.claims.settle(handle, RAN);
+    other.claims.recordOutcome(handle, RAN);
     await cluster.run(TEST_OPTIONS.claimTimeout! + 100);
     owner.crash();
     witness.crash();
@@ -223,11 +223,11 @@
     const first = getHandle(await cluster.ask(other, 'hold'));
     cluster.store.fault('up');
     await cluster.run(1000);
-    await cluster.complete(other.claims.settle(first, { kind: 'not-run' }));
+    await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
     const second = getHandle(await cluster.ask(other, 'hold'));
     owner.crash();
     cluster.lookAll();
-    await cluster.complete(other.claims.settle(second, RAN));
+    await cluster.complete(other.claims.recordOutcome(second, RAN));
     expect((await cluster.ask(next, 'hold')).kind).toBe('settled');
   });
 
--- a/packages/claims/src/lib/ClaimOptions.ts
+++ b/packages/claims/src/lib/ClaimOptions.ts
@@ -73,7 +73,7 @@
  *
  * @public
  */
-export const DEFAULT_CLAIM_OPTIONS: ClaimOptions = {
+export const defaultClaimOptions: ClaimOptions = {
   shards: 16,
   retention: 15 * MINUTE,
   commitInterval: 100,
@@ -110,7 +110,7 @@
  * @public
  */
 export function createClaimOptions(overrides: Partial<ClaimOptions> = {}): ClaimOptions {
-  const options = { ...DEFAULT_CLAIM_OPTIONS, ...overrides };
+  const options = { ...defaultClaimOptions, ...overrides };
   if (!Number.isInteger(options.shards) || options.shards < 1) {
     throw new RangeError(`shards must be a whole number of at least 1, not ${options.shards}`);
   }
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { AnswerSource } from '../ClaimDecision.js';
+import { AnswerSource } from '../ClaimEvent.js';
 import type { ClaimOutcome } from '../claimTypes.js';
 import { RefusalReason, UnknownCause } from '../claimTypes.js';
-import type { ClaimEntry, OwnerAnswer } from '../messages.js';
+import type { ClaimEntry, OwnerResponse } from '../messages.js';
 import { getKeptOutcome } from '../getKeptOutcome.js';
 import { EntryState } from '../messages.js';
 import { applyOutcome, createEntry, getAnswerForRepeat } from './entries.js';
@@ -136,7 +136,7 @@
     return (this.abandoned.get(claim) ?? now) > now;
   }
 
-  private answer(input: ClaimCall, answer: OwnerAnswer): void {
+  private answer(input: ClaimCall, answer: OwnerResponse): void {
     const { shard, emit } = this.context;
     emit({ kind: 'reply', call: input.call, reply: { kind: 'answer', answer } });
     const { requestId, holder } = input.request;
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -1,9 +1,9 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
-import type { TakeoverProof } from '../ClaimDecision.js';
-import { LossCause } from '../ClaimDecision.js';
+import type { TakeoverProof } from '../ClaimEvent.js';
+import { LossCause } from '../ClaimEvent.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimReply } from '../messages.js';
+import type { ClaimResponse } from '../messages.js';
 import { getOwnerOrder } from '../placement.js';
 import { OwnerOutlook } from './OwnerOutlook.js';
 import type { OwnershipEnd, OwnershipStart } from './Ownership.js';
@@ -276,7 +276,7 @@
     this.reply(input.call, { kind: 'not-owner', owner });
   }
 
-  private reply(call: number, reply: ClaimReply): void {
+  private reply(call: number, reply: ClaimResponse): void {
     this.context.emit({ kind: 'reply', call, reply });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/OwnerOutlook.ts
+++ b/packages/claims/src/lib/ClaimShard/OwnerOutlook.ts
@@ -1,6 +1,6 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
-import { LossCause } from '../ClaimDecision.js';
+import { LossCause } from '../ClaimEvent.js';
 import type { ClaimMember } from '../claimTypes.js';
 import { Backoff } from './Backoff.js';
 import { OwnerHint } from './OwnerHint.js';
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { LossCause } from '../ClaimDecision.js';
+import { LossCause } from '../ClaimEvent.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimEntry, ClaimMutation, ClaimReply } from '../messages.js';
+import type { ClaimEntry, ClaimMutation, ClaimResponse } from '../messages.js';
 import { EntryState } from '../messages.js';
 import { createHead } from '../ShardHead.js';
 import type { Doubt, ShardHead } from '../ShardHead.js';
@@ -167,7 +167,7 @@
     }
   }
 
-  private onPeerReply(id: number, reply: ClaimReply | undefined, now: Milliseconds): void {
+  private onPeerReply(id: number, reply: ClaimResponse | undefined, now: Milliseconds): void {
     if (this.link.onReply(id, reply, this.commits.isTrusted(now), now)) {
       if (this.link.isRefused) {
         this.choice.exclude(reply?.kind === 'gone' ? this.link.witness : undefined);
--- a/packages/claims/src/lib/ClaimShard/Quarantine.ts
+++ b/packages/claims/src/lib/ClaimShard/Quarantine.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimMutation, ClaimReply } from '../messages.js';
+import type { ClaimMutation, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import type { Doubt } from '../ShardHead.js';
 import type { ShardContext } from './shardMessages.js';
@@ -77,7 +77,7 @@
    */
   onReply(
     id: number,
-    reply: ClaimReply | undefined,
+    reply: ClaimResponse | undefined,
     now: Milliseconds,
   ): { clearance: Clearance | undefined } | undefined {
     const doubt = this.questions.get(id);
--- a/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
@@ -12,7 +12,7 @@
     const answer = await cluster.ask(daemon, `key-${index}`);
     if (answer.kind === 'granted') {
       const whole = { kind: 'whole' as const, status: 200, headers: {}, body: `${index}${BODY}` };
-      daemon.claims.settle(answer.handle, { kind: 'answered', answer: whole });
+      daemon.claims.recordOutcome(answer.handle, { kind: 'answered', answer: whole });
     }
   }
 }
--- a/packages/claims/src/lib/ClaimShard/Takeover.ts
+++ b/packages/claims/src/lib/ClaimShard/Takeover.ts
@@ -1,8 +1,8 @@
 import type { StoredObject } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
-import { TakeoverProof } from '../ClaimDecision.js';
+import { TakeoverProof } from '../ClaimEvent.js';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimMutation, ClaimReply } from '../messages.js';
+import type { ClaimMutation, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import { getPreferredWitness, isDoubted, isSameProcess } from '../placement.js';
 import { createHead, getHeadKey, parseHead } from '../ShardHead.js';
@@ -112,7 +112,7 @@
     }
   }
 
-  private onPeerReply(id: number, reply: ClaimReply | undefined, now: Milliseconds): void {
+  private onPeerReply(id: number, reply: ClaimResponse | undefined, now: Milliseconds): void {
     const { step } = this;
     if (step.kind !== 'seal' || step.id !== id) {
       return;
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { AnswerSource } from '../ClaimDecision.js';
+import { AnswerSource } from '../ClaimEvent.js';
 import { RefusalReason } from '../claimTypes.js';
 import type { ShardCall, ShardContext } from './shardMessages.js';
 
--- a/packages/claims/src/lib/ClaimShard/WitnessLink.ts
+++ b/packages/claims/src/lib/ClaimShard/WitnessLink.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimMutation, ClaimReply } from '../messages.js';
+import type { ClaimMutation, ClaimResponse } from '../messages.js';
 import { Backoff } from './Backoff.js';
 import type { ShardContext } from './shardMessages.js';
 
@@ -97,7 +97,7 @@
    */
   onReply(
     id: number,
-    reply: ClaimReply | undefined,
+    reply: ClaimResponse | undefined,
     isTrusted: boolean,
     now: Milliseconds,
   ): boolean {
--- a/packages/claims/src/lib/ClaimShard/entries.ts
+++ b/packages/claims/src/lib/ClaimShard/entries.ts
@@ -2,7 +2,7 @@
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimOutcome, ClaimRequest } from '../claimTypes.js';
 import { UnknownCause } from '../claimTypes.js';
-import type { ClaimEntry, ClaimMutation, OwnerAnswer } from '../messages.js';
+import type { ClaimEntry, ClaimMutation, OwnerResponse } from '../messages.js';
 import { EntryState } from '../messages.js';
 import { isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
@@ -50,7 +50,7 @@
   request: ClaimRequest,
   context: ShardContext,
   now: Milliseconds,
-): OwnerAnswer {
+): OwnerResponse {
   const { requestId } = entry;
   if (entry.fingerprint !== request.fingerprint) {
     return { kind: 'mismatch', requestId };
--- a/packages/claims/src/lib/ClaimShard/shardMessages.ts
+++ b/packages/claims/src/lib/ClaimShard/shardMessages.ts
@@ -1,8 +1,8 @@
-import type { PutOutcome, StoredObject } from '@apricotrill/store';
+import type { PutResult, StoredObject } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
-import type { ClaimDecision } from '../ClaimDecision.js';
+import type { ClaimEvent } from '../ClaimEvent.js';
 import type { ClaimMember, ClaimOutcome, ClaimRequest } from '../claimTypes.js';
-import type { ClaimMessage, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 
 /** What a store call that gave no answer ended in: it may or may not have taken effect. */
@@ -15,7 +15,7 @@
 export type SegmentsRead = StoredObject[] | typeof NO_ANSWER;
 
 /** What a conditional write ended in. */
-export type WriteResult = PutOutcome | typeof NO_ANSWER;
+export type WriteResult = PutResult | typeof NO_ANSWER;
 
 /**
  * A claim or an outcome that waits for its reply.
@@ -46,7 +46,7 @@
   | { kind: 'segments-read'; id: number; result: SegmentsRead }
   | { kind: 'written'; id: number; result: WriteResult }
   /** `reply` is absent when the peer gave none. */
-  | { kind: 'peer-replied'; id: number; reply: ClaimReply | undefined }
+  | { kind: 'peer-replied'; id: number; reply: ClaimResponse | undefined }
   | { kind: 'wake' };
 
 /**
@@ -55,7 +55,7 @@
  * @internal
  */
 export type ShardEffect =
-  | { kind: 'reply'; call: number; reply: ClaimReply }
+  | { kind: 'reply'; call: number; reply: ClaimResponse }
   | { kind: 'read-head'; id: number }
   | { kind: 'read-segments'; id: number }
   | { kind: 'write'; id: number; key: string; value: string; expectedVersion: number }
@@ -64,7 +64,7 @@
   | { kind: 'wake'; at: Milliseconds }
   /** A head commit took effect that made `claims` grants durable. */
   | { kind: 'committed'; claims: number }
-  | { kind: 'decision'; decision: ClaimDecision };
+  | { kind: 'decision'; decision: ClaimEvent };
 
 /**
  * What the parts of a shard share.
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
@@ -1,7 +1,7 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
-import type { ClaimMessage, ClaimMutation, ClaimReply } from '../messages.js';
+import type { ClaimMessage, ClaimMutation, ClaimResponse } from '../messages.js';
 
 /**
  * What a witness is asked.
@@ -47,7 +47,7 @@
     return [...this.memory.values()].reduce((sum, { size }) => sum + size, 0);
   }
 
-  handle(message: WitnessMessage, now: Milliseconds): ClaimReply {
+  handle(message: WitnessMessage, now: Milliseconds): ClaimResponse {
     if (message.incarnation !== this.incarnation) {
       return { kind: 'gone' };
     }
@@ -79,7 +79,7 @@
   private remember(
     message: Extract<WitnessMessage, { kind: 'remember' }>,
     now: Milliseconds,
-  ): ClaimReply {
+  ): ClaimResponse {
     const { shard, epoch, committed, mutations } = message;
     if (epoch <= (this.sealed.get(shard) ?? 0)) {
       return { kind: 'epoch-sealed' };
@@ -99,7 +99,7 @@
     return { kind: 'remembered' };
   }
 
-  private seal({ shard, epoch }: Extract<WitnessMessage, { kind: 'seal' }>): ClaimReply {
+  private seal({ shard, epoch }: Extract<WitnessMessage, { kind: 'seal' }>): ClaimResponse {
     this.sealed.set(shard, Math.max(epoch, this.sealed.get(shard) ?? 0));
     const names = this.memory.get(`${shard}/${epoch}`)?.values() ?? [];
     const mutations = [...names].map(({ mutation }) => mutation);
--- a/packages/claims/src/lib/claimTypes.ts
+++ b/packages/claims/src/lib/claimTypes.ts
@@ -85,7 +85,7 @@
  *
  * @public
  */
-export interface WholeAnswer {
+export interface CompleteResponse {
   kind: 'whole';
   status: number;
   headers: Record<string, string>;
@@ -97,7 +97,7 @@
  *
  * @public
  */
-export type StoredAnswer = WholeAnswer | { kind: 'status-only'; status: number };
+export type StoredResponse = CompleteResponse | { kind: 'status-only'; status: number };
 
 /**
  * How a granted request ended. `not-run` needs proof (no byte left the daemon, or a documented
@@ -106,7 +106,7 @@
  * @public
  */
 export type ClaimOutcome =
-  { kind: 'answered'; answer: StoredAnswer } | { kind: 'not-run' } | { kind: 'unknown' };
+  { kind: 'answered'; answer: StoredResponse } | { kind: 'not-run' } | { kind: 'unknown' };
 
 /** Why nobody can tell whether a key's request ran. */
 export enum UnknownCause {
@@ -146,10 +146,10 @@
  *
  * @public
  */
-export type ClaimAnswer =
+export type ClaimResult =
   | { kind: 'granted'; handle: ClaimHandle }
   | { kind: 'in-progress'; requestId: string }
-  | { kind: 'settled'; requestId: string; answer: StoredAnswer }
+  | { kind: 'settled'; requestId: string; answer: StoredResponse }
   | { kind: 'mismatch'; requestId: string }
   | { kind: 'unknown'; cause: UnknownCause }
   | {
--- a/packages/claims/src/lib/messages.ts
+++ b/packages/claims/src/lib/messages.ts
@@ -4,7 +4,7 @@
   ClaimOutcome,
   ClaimRequest,
   RefusalReason,
-  StoredAnswer,
+  StoredResponse,
   UnknownCause,
 } from './claimTypes.js';
 
@@ -25,7 +25,7 @@
  */
 export interface ClaimEntry extends ClaimRequest {
   state: EntryState;
-  answer?: StoredAnswer;
+  answer?: StoredResponse;
   expires: Milliseconds;
   /** The mutation that last changed it. */
   sequence: number;
@@ -76,10 +76,10 @@
  *
  * @public
  */
-export type OwnerAnswer =
+export type OwnerResponse =
   | { kind: 'granted' }
   | { kind: 'in-progress'; requestId: string }
-  | { kind: 'settled'; requestId: string; answer: StoredAnswer }
+  | { kind: 'settled'; requestId: string; answer: StoredResponse }
   | { kind: 'mismatch'; requestId: string }
   | { kind: 'unknown'; cause: UnknownCause };
 
@@ -88,8 +88,8 @@
  *
  * @public
  */
-export type ClaimReply =
-  | { kind: 'answer'; answer: OwnerAnswer }
+export type ClaimResponse =
+  | { kind: 'answer'; answer: OwnerResponse }
   /** `held`: the claim may be remembered although it was not granted; release it when giving up. */
   | { kind: 'refused'; reason: RefusalReason; retryAfter: Milliseconds; held: boolean }
   | { kind: 'not-owner'; owner?: ClaimMember }
--- a/packages/claims/src/test/ClaimHistory.ts
+++ b/packages/claims/src/test/ClaimHistory.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { ClaimAnswer, ClaimHandle, ClaimOutcome } from '../lib/claimTypes.js';
+import type { ClaimResult, ClaimHandle, ClaimOutcome } from '../lib/claimTypes.js';
 import type { TestDaemon } from './TestDaemon.js';
 
 /** A claim a caller made, and what it was told. */
 interface Invocation {
   key: string;
   fingerprint: string;
-  answer?: ClaimAnswer;
+  answer?: ClaimResult;
 }
 
 /** A grant: the request runs from here on, as far as anyone can tell. */
@@ -34,7 +34,7 @@
   }
 
   /** Checks an answer, and notes a grant. @throws Error naming the promise that is broken */
-  answer(invocation: Invocation, answer: ClaimAnswer, daemon: TestDaemon, now: Milliseconds): void {
+  answer(invocation: Invocation, answer: ClaimResult, daemon: TestDaemon, now: Milliseconds): void {
     Object.assign(invocation, { answer });
     switch (answer.kind) {
       case 'granted':
@@ -70,7 +70,7 @@
 
   private checkSettled(
     { key, fingerprint }: Invocation,
-    { requestId, answer }: Extract<ClaimAnswer, { kind: 'settled' }>,
+    { requestId, answer }: Extract<ClaimResult, { kind: 'settled' }>,
   ): void {
     const grant = this.grants.find(({ handle }) => handle.request.requestId === requestId);
     const { outcome } = grant ?? {};
--- a/packages/claims/src/test/ClaimWorld.ts
+++ b/packages/claims/src/test/ClaimWorld.ts
@@ -74,7 +74,7 @@
     const answer = { kind: 'whole' as const, status: 200, headers: {}, body };
     const outcome: ClaimOutcome = kind === 'answered' ? { kind, answer } : { kind };
     grant.outcome = outcome;
-    grant.daemon.claims.settle(grant.handle, outcome);
+    grant.daemon.claims.recordOutcome(grant.handle, outcome);
   }
 
   /** Delivers some of the messages under way, as the scheduler picks them. */
--- a/packages/claims/src/test/TestCluster.ts
+++ b/packages/claims/src/test/TestCluster.ts
@@ -1,9 +1,9 @@
 import { ManualClock } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
-import type { ClaimDecision } from '../lib/ClaimDecision.js';
+import type { ClaimEvent } from '../lib/ClaimEvent.js';
 import type { ClaimOptions } from '../lib/ClaimOptions.js';
-import type { ClaimAnswer, ClaimMember } from '../lib/claimTypes.js';
-import type { ClaimMessage, ClaimReply } from '../lib/messages.js';
+import type { ClaimResult, ClaimMember } from '../lib/claimTypes.js';
+import type { ClaimMessage, ClaimResponse } from '../lib/messages.js';
 import { getOwnerOrder } from '../lib/placement.js';
 import { TestDaemon } from './TestDaemon.js';
 import { TestStore } from './TestStore.js';
@@ -99,14 +99,14 @@
     return this.daemons[index];
   }
 
-  claim(daemon: TestDaemon, key: string, fingerprint = 'print'): Promise<ClaimAnswer> {
+  claim(daemon: TestDaemon, key: string, fingerprint = 'print'): Promise<ClaimResult> {
     this.requests += 1;
     const requestId = `${daemon.member.id}-r${this.requests}`;
     return daemon.claims.claim({ workspace: 'painotuote', key, fingerprint, requestId });
   }
 
   /** Claims and moves time until the answer is there. */
-  async ask(daemon: TestDaemon, key: string, fingerprint?: string): Promise<ClaimAnswer> {
+  async ask(daemon: TestDaemon, key: string, fingerprint?: string): Promise<ClaimResult> {
     return this.complete(this.claim(daemon, key, fingerprint));
   }
 
@@ -138,11 +138,9 @@
     await drain();
   }
 
-  getDecisions<Kind extends ClaimDecision['kind']>(
-    kind: Kind,
-  ): Extract<ClaimDecision, { kind: Kind }>[] {
-    type Wanted = Extract<ClaimDecision, { kind: Kind }>;
-    const isWanted = (decision: ClaimDecision): decision is Wanted => decision.kind === kind;
+  getDecisions<Kind extends ClaimEvent['kind']>(kind: Kind): Extract<ClaimEvent, { kind: Kind }>[] {
+    type Wanted = Extract<ClaimEvent, { kind: Kind }>;
+    const isWanted = (decision: ClaimEvent): decision is Wanted => decision.kind === kind;
     return this.daemons.flatMap(({ decisions }) => decisions.filter(isWanted));
   }
 
@@ -167,7 +165,7 @@
     from: TestDaemon,
     peer: ClaimMember,
     message: ClaimMessage,
-  ): Promise<ClaimReply> {
+  ): Promise<ClaimResponse> {
     const { id } = from.member;
     this.sent.push(message);
     await this.deliver(`${id} to ${peer.id}: ${message.kind}`);
--- a/packages/claims/src/test/TestDaemon.ts
+++ b/packages/claims/src/test/TestDaemon.ts
@@ -1,7 +1,7 @@
 import type { Clock, ManualClock, Milliseconds, Timer } from '@apricotrill/utils';
 import { ClaimManager } from '../lib/ClaimManager/ClaimManager.js';
 import type { ClaimTransport } from '../lib/ClaimManager/ClaimSettings.js';
-import type { ClaimDecision } from '../lib/ClaimDecision.js';
+import type { ClaimEvent } from '../lib/ClaimEvent.js';
 import type { ClaimOptions } from '../lib/ClaimOptions.js';
 import type { ClaimMember } from '../lib/claimTypes.js';
 import type { TestStore } from './TestStore.js';
@@ -21,7 +21,7 @@
 
 /** One process: it can be paused, which holds its messages and timers, and it can crash. */
 export class TestDaemon implements Clock {
-  readonly decisions: ClaimDecision[] = [];
+  readonly decisions: ClaimEvent[] = [];
 
   readonly claims: ClaimManager;
 
@@ -49,7 +49,7 @@
       store: store.connect(member.id, () => this.pass()),
       transport: transport(this),
       getMembers: () => this.members,
-      onDecision: (decision) => this.decisions.push(decision),
+      onEvent: (decision) => this.decisions.push(decision),
     });
   }
 
@@ -104,7 +104,7 @@
 
   look(members: readonly ClaimMember[]): void {
     this.members = members;
-    this.claims.onMembersChanged();
+    this.claims.handleMembersChange();
   }
 
   private hold(held: (() => void)[]): Promise<void> {
--- a/packages/claims/src/test/TestStore.ts
+++ b/packages/claims/src/test/TestStore.ts
@@ -1,4 +1,4 @@
-import type { PlatformStore, PutOutcome, StoreChange, StoredObject } from '@apricotrill/store';
+import type { PlatformStore, PutResult, StoreChange, StoredObject } from '@apricotrill/store';
 import { StoreUnavailableError } from '@apricotrill/store';
 
 /** Decides when a message arrives; a fuzz run puts its scheduler here. */
@@ -74,7 +74,7 @@
     return value as Value;
   }
 
-  private put(key: string, value: string, expectedVersion: number): PutOutcome {
+  private put(key: string, value: string, expectedVersion: number): PutResult {
     const current = this.objects.get(key);
     if ((current?.version ?? 0) !== expectedVersion) {
       return { kind: 'conflict', current };
@@ -84,7 +84,7 @@
     return { kind: 'accepted', version: this.version };
   }
 
-  private delete(key: string, expectedVersion: number): PutOutcome {
+  private delete(key: string, expectedVersion: number): PutResult {
     const current = this.objects.get(key);
     if (current?.version !== expectedVersion) {
       return { kind: 'conflict', current };
--- a/packages/claims/src/test/claimScenario.ts
+++ b/packages/claims/src/test/claimScenario.ts
@@ -1,4 +1,4 @@
-import type { ClaimAnswer, ClaimHandle, ClaimOutcome } from '../lib/claimTypes.js';
+import type { ClaimResult, ClaimHandle, ClaimOutcome } from '../lib/claimTypes.js';
 import { TEST_OPTIONS, TestCluster } from './TestCluster.js';
 import type { TestDaemon } from './TestDaemon.js';
 import type { Deliver } from './TestStore.js';
@@ -28,7 +28,7 @@
 }
 
 /** The handle of a claim that must have been granted. */
-export function getHandle(answer: ClaimAnswer): ClaimHandle {
+export function getHandle(answer: ClaimResult): ClaimHandle {
   expect(answer.kind).toBe('granted');
-  return (answer as Extract<ClaimAnswer, { kind: 'granted' }>).handle;
+  return (answer as Extract<ClaimResult, { kind: 'granted' }>).handle;
 }
--- a/packages/cli/src/lib/commands/ApplyCommand.ts
+++ b/packages/cli/src/lib/commands/ApplyCommand.ts
@@ -1,5 +1,5 @@
 import type {
-  ApplyOutcome,
+  ApplyResult,
   ConfigurationChange,
   ConfigurationStore,
 } from '@apricotrill/configuration';
@@ -29,7 +29,7 @@
 const GENERATIONS_PER_COLLECTION = 50;
 
 /** The generation that holds the files' content now, if any does. */
-function getAcceptedGeneration(outcome: ApplyOutcome): number | undefined {
+function getAcceptedGeneration(outcome: ApplyResult): number | undefined {
   if (outcome.kind === 'accepted') {
     return outcome.change.generation;
   }
@@ -124,7 +124,7 @@
   private async applyInTime(
     store: ConfigurationStore,
     change: ConfigurationChange,
-  ): Promise<ApplyOutcome> {
+  ): Promise<ApplyResult> {
     const { clock } = this.context;
     const end = clock.now() + Number(this.timeout);
     let mayBeAccepted = false;
@@ -147,7 +147,7 @@
   }
 
   /** Tidies up now and then; the change is accepted whether this succeeds or not. */
-  private async collectGarbage(store: ConfigurationStore, outcome: ApplyOutcome): Promise<void> {
+  private async collectGarbage(store: ConfigurationStore, outcome: ApplyResult): Promise<void> {
     const isDue =
       outcome.kind === 'accepted' && outcome.change.generation % GENERATIONS_PER_COLLECTION === 0;
     try {
--- a/packages/cli/src/lib/commands/ExplainCommand.ts
+++ b/packages/cli/src/lib/commands/ExplainCommand.ts
@@ -1,5 +1,11 @@
 import { ClassMatcher } from '@apricotrill/model';
-import type { ClassRule, RequestFacts, RuleTrial, Rules, ServiceClass } from '@apricotrill/model';
+import type {
+  ClassRule,
+  RequestAttributes,
+  RuleEvaluation,
+  Rules,
+  ServiceClass,
+} from '@apricotrill/model';
 import { Command, Option } from 'clipanion';
 import { createRegisterOption, createRulesOption } from '../sharedOptions.js';
 import { ExitCode } from '../ExitCode.js';
@@ -9,7 +15,7 @@
 import type { Report } from '../Report.js';
 import { isCount } from '../StoreCommand.js';
 
-function getTrialLine({ index, rule, failed }: RuleTrial): string {
+function getTrialLine({ index, rule, failed }: RuleEvaluation): string {
   if (failed === undefined) {
     return `classRules[${index}] matches: class ${rule.class}`;
   }
@@ -29,7 +35,7 @@
 }
 
 /** Rules of other services say nothing about the request. */
-function getOwnTrials(rules: Rules, facts: RequestFacts): RuleTrial[] {
+function getOwnTrials(rules: Rules, facts: RequestAttributes): RuleEvaluation[] {
   return new ClassMatcher(rules).explain(facts).filter(({ failed }) => failed !== 'service');
 }
 
@@ -89,7 +95,7 @@
     };
   }
 
-  private getFacts(): RequestFacts {
+  private getFacts(): RequestAttributes {
     const { service, workspace, method, calledPath, maxTokens, wish } = this;
     return {
       service: getRequired(service, '--service', 'name the service called'),
--- a/packages/cli/src/lib/commands/getApplyReport.ts
+++ b/packages/cli/src/lib/commands/getApplyReport.ts
@@ -1,4 +1,4 @@
-import type { ApplyOutcome, ConfigurationDifference } from '@apricotrill/configuration';
+import type { ApplyResult, ConfigurationDifference } from '@apricotrill/configuration';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import { ExitCode } from '../ExitCode.js';
 import type { Report } from '../Report.js';
@@ -20,7 +20,7 @@
   return mine.map(getName).filter((name) => touched.has(name));
 }
 
-function getConflictLines(outcome: Extract<ApplyOutcome, { kind: 'conflict' }>): string[] {
+function getConflictLines(outcome: Extract<ApplyResult, { kind: 'conflict' }>): string[] {
   const { accepted, theirs, mine } = outcome;
   const heading = `conflict: ${formatChange(accepted)} was accepted on the same base`;
   const advice = `nothing was applied; take their side into the files, then apply --base ${accepted.generation}`;
@@ -41,7 +41,7 @@
 }
 
 /** What an apply ended in, with what to do next. */
-export function getApplyReport(outcome: ApplyOutcome, changeId: string): Report {
+export function getApplyReport(outcome: ApplyResult, changeId: string): Report {
   switch (outcome.kind) {
     case 'accepted':
       return {
--- a/packages/cluster/src/bench/CoreHost.ts
+++ b/packages/cluster/src/bench/CoreHost.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import { ClusterCore } from '../lib/ClusterCore/ClusterCore.js';
-import type { ClusterDecision } from '../lib/ClusterDecision.js';
+import type { ClusterEvent } from '../lib/ClusterEvent.js';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
 import type { CoreEffect } from '../lib/coreMessages.js';
 import type { DaemonIdentity } from '../lib/Member.js';
@@ -24,7 +24,7 @@
 
 /** What a core told about besides its calls. */
 export interface HostEvents {
-  onDecision?: (decision: ClusterDecision) => void;
+  onDecision?: (decision: ClusterEvent) => void;
   onGeneration?: (generation: number) => void;
   onReplicaLeaving?: (replica: string) => void;
 }
--- a/packages/cluster/src/bench/Fleet.ts
+++ b/packages/cluster/src/bench/Fleet.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
-import { clusterOptions } from '../lib/clusterOptions.js';
+import { defaultClusterOptions } from '../lib/clusterOptions.js';
 import { Carrier } from './Carrier.js';
 import { CoreHost } from './CoreHost.js';
 import { createManifest } from './createManifest.js';
@@ -51,7 +51,7 @@
 
   private readonly links: StoreLink[] = [];
 
-  private readonly options: ClusterOptions = { ...clusterOptions };
+  private readonly options: ClusterOptions = { ...defaultClusterOptions };
 
   private readonly regions = new Map<string, string>();
 
--- a/packages/cluster/src/bench/measureEdit.ts
+++ b/packages/cluster/src/bench/measureEdit.ts
@@ -1,8 +1,8 @@
 import { createHash } from 'node:crypto';
 import type { Configuration, Replica, Workspace } from '@apricotrill/model';
-import { encodeAnswer as encodeBody } from '@apricotrill/mesh';
+import { encodeResponse as encodeBody } from '@apricotrill/mesh';
 import { getManifestAnswer } from '../lib/ConfigurationSpread/getFetchAnswers.js';
-import { clusterOptions } from '../lib/clusterOptions.js';
+import { defaultClusterOptions } from '../lib/clusterOptions.js';
 import { encodeAnswer } from '../lib/codec/messageCodec.js';
 import { ManifestHistory } from '../lib/ManifestHistory/ManifestHistory.js';
 import { createManifestOf } from './createManifest.js';
@@ -52,7 +52,12 @@
   const inForce = { manifest, parts: texts, configuration: createConfiguration(2) };
   const getBytes = (held: number) => {
     const getTransfer = () => history.getTransfer(manifest, held);
-    const answer = getManifestAnswer(inForce, held, getTransfer, clusterOptions.partPageBytes);
+    const answer = getManifestAnswer(
+      inForce,
+      held,
+      getTransfer,
+      defaultClusterOptions.partPageBytes,
+    );
     return encodeBody(encodeAnswer(answer)).length;
   };
   const all = encodeBody(encodeAnswer({ kind: 'parts', generation: 2, parts: texts })).length;
--- a/packages/cluster/src/index.ts
+++ b/packages/cluster/src/index.ts
@@ -1,8 +1,8 @@
-export { clusterOptions } from './lib/clusterOptions.js';
+export { defaultClusterOptions } from './lib/clusterOptions.js';
 export { ClusterManager } from './lib/ClusterManager/ClusterManager.js';
 export type { ClusterSettings } from './lib/ClusterManager/ClusterManager.js';
-export type { ClusterDecision } from './lib/ClusterDecision.js';
-export { ConfigurationSource, DeathCause } from './lib/ClusterDecision.js';
+export type { ClusterEvent } from './lib/ClusterEvent.js';
+export { ConfigurationSource, DeathCause } from './lib/ClusterEvent.js';
 export type { ClusterCounters } from './lib/ClusterCounters.js';
 export type { ClusterOptions } from './lib/clusterOptions.js';
 export type { ZoneLoad } from './lib/LoadDigests/LoadDigests.js';
--- a/packages/cluster/src/lib/ClusterDecision.ts
+++ b/packages/cluster/src/lib/ClusterEvent.ts
@@ -23,7 +23,7 @@
  *
  * @public
  */
-export type ClusterDecision =
+export type ClusterEvent =
   | { kind: 'member-joined'; member: string; incarnation: number }
   /** Neither we nor the peers we asked could reach it. */
   | { kind: 'member-suspected'; member: string; incarnation: number }
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.test.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.test.ts
@@ -56,7 +56,7 @@
 
 function waitForMembers({ cluster }: Daemon, isThere: () => boolean): Promise<void> {
   return new Promise((resolve) => {
-    cluster.onMembers(() => isThere() && resolve());
+    cluster.onMembersChange(() => isThere() && resolve());
     if (isThere()) {
       resolve();
     }
@@ -72,7 +72,7 @@
     const inForce = daemons.map(
       ({ cluster }) =>
         new Promise<number>((resolve) => {
-          cluster.onConfiguration(({ manifest }) => resolve(manifest.generation));
+          cluster.onConfigurationChange(({ manifest }) => resolve(manifest.generation));
         }),
     );
     daemons.forEach(({ cluster }) => cluster.start());
@@ -95,17 +95,17 @@
     });
     daemons.forEach(({ cluster }) => cluster.start());
     leaving!.cluster.announceLeaving();
-    leaving!.cluster.tellReplicaLeaving('engine-1');
+    leaving!.cluster.announceReplicaLeaving('engine-1');
     await seen;
     expect(await replica).toBe('engine-1');
-    expect(leaving!.cluster.getSelf().isEligible).toBe(false);
+    expect(leaving!.cluster.getLocalMember().isEligible).toBe(false);
   });
 
   it('refuses what is no request, and goes on', async () => {
     const { daemons } = await createDaemons(2);
     const [first, second] = daemons;
     daemons.forEach(({ cluster }) => cluster.start());
-    const { address } = second!.cluster.getSelf();
+    const { address } = second!.cluster.getLocalMember();
     await expect(first!.mesh.call(address, 'membership', ['ping'])).rejects.toThrow(
       'cluster-request',
     );
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
@@ -1,12 +1,12 @@
-import type { ConfigurationInForce } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot } from '@apricotrill/configuration';
 import type { Mesh } from '@apricotrill/mesh';
 import type { InstanceList, PlatformStore } from '@apricotrill/store';
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import { ClusterCore } from '../ClusterCore/ClusterCore.js';
 import type { ClusterCounters } from '../ClusterCounters.js';
-import type { ClusterDecision } from '../ClusterDecision.js';
-import { clusterOptions } from '../clusterOptions.js';
+import type { ClusterEvent } from '../ClusterEvent.js';
+import { defaultClusterOptions } from '../clusterOptions.js';
 import type { ClusterOptions } from '../clusterOptions.js';
 import { decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from '../codec/messageCodec.js';
 import type { CoreEffect, CoreMessage } from '../coreMessages.js';
@@ -44,7 +44,7 @@
   /** Values that differ from the defaults. */
   options?: Partial<ClusterOptions>;
   /** Called with every decision, for the log. */
-  onDecision?: (decision: ClusterDecision) => void;
+  onEvent?: (decision: ClusterEvent) => void;
 }
 
 type Call = Extract<CoreEffect, { kind: 'call' }>;
@@ -70,7 +70,7 @@
 
   private readonly memberListeners: ((members: Member[]) => void)[] = [];
 
-  private readonly configurationListeners: ((inForce: ConfigurationInForce) => void)[] = [];
+  private readonly configurationListeners: ((inForce: ConfigurationSnapshot) => void)[] = [];
 
   private readonly leavingListeners: ((replica: string, span: Milliseconds) => void)[] = [];
 
@@ -84,7 +84,7 @@
       self,
       clock,
       random,
-      options: { ...clusterOptions, ...options },
+      options: { ...defaultClusterOptions, ...options },
       seeds: seeds.map(({ host, port }) => getAddress(host, port)),
       emit: (effect) => this.carryOut(effect),
     });
@@ -112,7 +112,7 @@
   }
 
   /** This daemon as the others see it. */
-  getSelf(): Member {
+  getLocalMember(): Member {
     return this.core.getMembers()[0]!;
   }
 
@@ -131,12 +131,12 @@
   }
 
   /** Calls back after each change of the members. */
-  onMembers(listener: (members: Member[]) => void): void {
+  onMembersChange(listener: (members: Member[]) => void): void {
     this.memberListeners.push(listener);
   }
 
   /** Calls back with each configuration that comes into force here. */
-  onConfiguration(listener: (inForce: ConfigurationInForce) => void): void {
+  onConfigurationChange(listener: (inForce: ConfigurationSnapshot) => void): void {
     this.configurationListeners.push(listener);
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Tells the others that a backend server said it is leaving. */
-  tellReplicaLeaving(replica: string): void {
+  announceReplicaLeaving(replica: string): void {
     this.deliver({ kind: 'tell-replica-leaving', replica });
   }
 
@@ -196,7 +196,7 @@
         this.leavingListeners.forEach((listener) => listener(effect.replica, effect.remaining));
         break;
       case 'decision':
-        this.settings.onDecision?.(effect.decision);
+        this.settings.onEvent?.(effect.decision);
         break;
       case 'start-watch':
       case 'end-watch':
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.fuzz.test.ts
+++ b/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.fuzz.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { createManifest } from '../../bench/createManifest.js';
 import { createClusterCounters } from '../ClusterCounters.js';
-import { clusterOptions } from '../clusterOptions.js';
+import { defaultClusterOptions } from '../clusterOptions.js';
 import type { CoreEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
@@ -63,7 +63,7 @@
     const context = {
       clock: this.clock,
       random: createRandom(index + 1),
-      options: { ...clusterOptions, partPageBytes: 9000 },
+      options: { ...defaultClusterOptions, partPageBytes: 9000 },
       counters: createClusterCounters(),
       emit,
     };
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.peers.test.ts
+++ b/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.peers.test.ts
@@ -1,7 +1,7 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import { createManifest } from '../../bench/createManifest.js';
 import { createClusterCounters } from '../ClusterCounters.js';
-import { clusterOptions } from '../clusterOptions.js';
+import { defaultClusterOptions } from '../clusterOptions.js';
 import type { CoreEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
@@ -18,7 +18,7 @@
   const clock = new ManualClock();
   const random = createRandom(1);
   const counters = createClusterCounters();
-  const context = { clock, random, options: clusterOptions, counters, emit };
+  const context = { clock, random, options: defaultClusterOptions, counters, emit };
   const calls = new PeerCalls(emit);
   const spread = new ConfigurationSpread({ context, calls, pushNews: () => {} });
   const take = <Kind extends CoreEffect['kind']>(kind: Kind) => {
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.ts
+++ b/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.ts
@@ -1,7 +1,7 @@
-import type { ConfigurationInForce, Manifest } from '@apricotrill/configuration';
-import { assembleConfiguration, InForceConfiguration } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot, Manifest } from '@apricotrill/configuration';
+import { assembleConfiguration, ActiveConfiguration } from '@apricotrill/configuration';
 import type { Milliseconds } from '@apricotrill/utils';
-import { ConfigurationSource } from '../ClusterDecision.js';
+import { ConfigurationSource } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
 import { decide, pickSome } from '../CoreContext.js';
 import { ManifestHistory } from '../ManifestHistory/ManifestHistory.js';
@@ -58,10 +58,10 @@
 /**
  * Brings generations of the configuration into force: hears of them from peers and from the store,
  * fetches the manifest and the parts that are missing, and hands them on. What comes in force is
- * decided by {@link InForceConfiguration} alone, which takes higher generations only.
+ * decided by {@link ActiveConfiguration} alone, which takes higher generations only.
  */
 export class ConfigurationSpread {
-  readonly inForce = new InForceConfiguration();
+  readonly inForce = new ActiveConfiguration();
 
   private readonly history = new ManifestHistory();
 
@@ -252,7 +252,7 @@
 
   private offer(assembly: Assembly): void {
     const { manifest, texts } = assembly;
-    const outcome = this.inForce.offer(manifest, texts);
+    const outcome = this.inForce.activate(manifest, texts);
     switch (outcome.kind) {
       case 'in-force':
         this.assembly = undefined;
@@ -281,7 +281,7 @@
       }
     });
     decide(context, { kind: 'configuration-in-force', generation, source, peer });
-    context.emit({ kind: 'configuration', inForce: this.inForce.get() as ConfigurationInForce });
+    context.emit({ kind: 'configuration', inForce: this.inForce.get() as ConfigurationSnapshot });
     pushNews();
     this.ask();
   }
--- a/packages/cluster/src/lib/ConfigurationSpread/getFetchAnswers.ts
+++ b/packages/cluster/src/lib/ConfigurationSpread/getFetchAnswers.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationInForce, Manifest } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot, Manifest } from '@apricotrill/configuration';
 import type { ManifestTransfer, PeerAnswer } from '../messages.js';
 
 /** Texts of parts by hash, as many as fit, the first one in any case. */
@@ -31,7 +31,7 @@
  * have, if the difference is known, so that an edit needs one round trip.
  */
 export function getManifestAnswer(
-  inForce: ConfigurationInForce | undefined,
+  inForce: ConfigurationSnapshot | undefined,
   heldGeneration: number,
   getTransfer: (manifest: Manifest) => ManifestTransfer,
   bytes: number,
@@ -47,7 +47,7 @@
 
 /** What a daemon answers to a peer that asks for parts. */
 export function getPartsAnswer(
-  inForce: ConfigurationInForce | undefined,
+  inForce: ConfigurationSnapshot | undefined,
   hashes: readonly string[],
   bytes: number,
 ): PeerAnswer {
--- a/packages/cluster/src/lib/CoreContext.ts
+++ b/packages/cluster/src/lib/CoreContext.ts
@@ -1,6 +1,6 @@
 import type { Clock, Random } from '@apricotrill/utils';
 import type { ClusterCounters } from './ClusterCounters.js';
-import type { ClusterDecision } from './ClusterDecision.js';
+import type { ClusterEvent } from './ClusterEvent.js';
 import type { ClusterOptions } from './clusterOptions.js';
 import type { EmitEffect } from './coreMessages.js';
 
@@ -14,7 +14,7 @@
 }
 
 /** Emits a decision record. */
-export function decide({ emit }: CoreContext, decision: ClusterDecision): void {
+export function decide({ emit }: CoreContext, decision: ClusterEvent): void {
   emit({ kind: 'decision', decision });
 }
 
--- a/packages/cluster/src/lib/ListJudge/ListJudge.ts
+++ b/packages/cluster/src/lib/ListJudge/ListJudge.ts
@@ -1,7 +1,7 @@
 import type { Instance } from '@apricotrill/store';
 import { InstanceRole, InstanceState } from '@apricotrill/store';
 import type { Milliseconds, Timer } from '@apricotrill/utils';
-import { DeathCause } from '../ClusterDecision.js';
+import { DeathCause } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
 import { decide, jitter } from '../CoreContext.js';
 import { getAddress, isRunning, MemberState } from '../Member.js';
--- a/packages/cluster/src/lib/Membership/Membership.ts
+++ b/packages/cluster/src/lib/Membership/Membership.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { DeathCause } from '../ClusterDecision.js';
+import { DeathCause } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
 import { decide } from '../CoreContext.js';
 import { Experience } from '../Experience/Experience.js';
--- a/packages/cluster/src/lib/ProbeTargets/ProbeTargets.test.ts
+++ b/packages/cluster/src/lib/ProbeTargets/ProbeTargets.test.ts
@@ -1,4 +1,4 @@
-import { clusterOptions } from '../clusterOptions.js';
+import { defaultClusterOptions } from '../clusterOptions.js';
 import type { MemberRecord } from '../Member.js';
 import { MemberState } from '../Member.js';
 import { MemberTable } from '../MemberTable/MemberTable.js';
@@ -20,14 +20,14 @@
 function createTargets(self: MemberRecord) {
   const table = new MemberTable();
   records.filter((record) => record !== self).forEach((record) => table.merge(record, 0));
-  return { table, targets: new ProbeTargets(self, table, clusterOptions) };
+  return { table, targets: new ProbeTargets(self, table, defaultClusterOptions) };
 }
 
 describe('ProbeTargets', () => {
   it('has every daemon probed by another, by as many as there are rings on average', () => {
     const probed = records.flatMap((self) => createTargets(self).targets.getNeighbours());
     expect(new Set(probed).size).toBe(records.length);
-    expect(probed).toHaveLength(records.length * clusterOptions.probeRings);
+    expect(probed).toHaveLength(records.length * defaultClusterOptions.probeRings);
   });
 
   it('looks behind neighbours that are suspected, without losing sight of them', () => {
@@ -42,6 +42,6 @@
     const after = targets.getNeighbours();
     expect(after).toEqual(expect.arrayContaining(before));
     const running = after.filter((id) => table.get(id)!.record.state === MemberState.Alive);
-    expect(running).toHaveLength(clusterOptions.probeRings);
+    expect(running).toHaveLength(defaultClusterOptions.probeRings);
   });
 });
--- a/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
+++ b/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
@@ -2,7 +2,7 @@
 import { MANIFEST_KEY, parseManifest } from '@apricotrill/configuration';
 import type { StoreChange } from '@apricotrill/store';
 import type { Milliseconds, Timer } from '@apricotrill/utils';
-import { ConfigurationSource } from '../ClusterDecision.js';
+import { ConfigurationSource } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
 import { decide, jitter } from '../CoreContext.js';
 
--- a/packages/cluster/src/lib/clusterOptions.ts
+++ b/packages/cluster/src/lib/clusterOptions.ts
@@ -81,7 +81,7 @@
  *
  * @public
  */
-export const clusterOptions: ClusterOptions = {
+export const defaultClusterOptions: ClusterOptions = {
   probeInterval: 1000,
   probeTimeout: 500,
   indirectTimeout: 800,
--- a/packages/cluster/src/lib/coreMessages.ts
+++ b/packages/cluster/src/lib/coreMessages.ts
@@ -1,7 +1,7 @@
-import type { ConfigurationInForce } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot } from '@apricotrill/configuration';
 import type { Instance, StoreChange } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
-import type { ClusterDecision } from './ClusterDecision.js';
+import type { ClusterEvent } from './ClusterEvent.js';
 import type { PeerAnswer, PeerRequest, ServiceLoad } from './messages.js';
 
 /** What happens around the core. */
@@ -39,9 +39,9 @@
   | { kind: 'read-instances' }
   /** The view of the members changed. */
   | { kind: 'members' }
-  | { kind: 'configuration'; inForce: ConfigurationInForce }
+  | { kind: 'configuration'; inForce: ConfigurationSnapshot }
   | { kind: 'replica-leaving'; replica: string; remaining: Milliseconds }
-  | { kind: 'decision'; decision: ClusterDecision };
+  | { kind: 'decision'; decision: ClusterEvent };
 
 /** Takes what the core wants done. */
 export type EmitEffect = (effect: CoreEffect) => void;
--- a/packages/cluster/src/test/TestCluster.ts
+++ b/packages/cluster/src/test/TestCluster.ts
@@ -8,9 +8,9 @@
 import { CoreHost } from '../bench/CoreHost.js';
 import type { PlatformState } from '../bench/StoreLink.js';
 import { StoreLink } from '../bench/StoreLink.js';
-import type { ClusterDecision } from '../lib/ClusterDecision.js';
+import type { ClusterEvent } from '../lib/ClusterEvent.js';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
-import { clusterOptions } from '../lib/clusterOptions.js';
+import { defaultClusterOptions } from '../lib/clusterOptions.js';
 import type { Member } from '../lib/Member.js';
 import { createManifest } from '../bench/createManifest.js';
 import { FreezableClock } from './FreezableClock.js';
@@ -22,7 +22,7 @@
   clock: FreezableClock;
   platform: PlatformState;
   store: StoreLink;
-  decisions: ClusterDecision[];
+  decisions: ClusterEvent[];
   /** Generations in the order in which they came in force. */
   generations: number[];
   leavingReplicas: string[];
@@ -53,7 +53,7 @@
 }
 
 /** The members that a daemon has decided something about. */
-export function getDecided({ decisions }: TestDaemon, kind: ClusterDecision['kind']): string[] {
+export function getDecided({ decisions }: TestDaemon, kind: ClusterEvent['kind']): string[] {
   return decisions
     .filter((decision) => decision.kind === kind)
     .map((decision) => ('member' in decision ? decision.member : ''));
@@ -91,7 +91,7 @@
 
   constructor({ zones, seed = 1, options, listLag = 2000 }: TestSettings) {
     this.random = createRandom(seed);
-    this.options = { ...clusterOptions, ...options };
+    this.options = { ...defaultClusterOptions, ...options };
     this.directory = new InstanceDirectory(this.clock, listLag);
     this.carrier = new Carrier({
       clock: this.clock,
--- a/packages/configuration/src/lib/InForceConfiguration/InForceConfiguration.ts
+++ b/packages/configuration/src/lib/ActiveConfiguration/ActiveConfiguration.ts
@@ -8,7 +8,7 @@
  *
  * @public
  */
-export interface ConfigurationInForce {
+export interface ConfigurationSnapshot {
   manifest: Manifest;
   /** Part texts by hash. */
   parts: ReadonlyMap<string, string>;
@@ -20,7 +20,7 @@
  *
  * @public
  */
-export type OfferOutcome =
+export type ActivationResult =
   | { kind: 'in-force' }
   /** It is not above the one in force: a late message, or one already known. */
   | { kind: 'not-newer'; generation: number }
@@ -31,9 +31,9 @@
   | { kind: 'broken-part'; name: string; reason: string };
 
 /** Told of each generation right after it came in force. */
-type Listener = (inForce: ConfigurationInForce) => void;
+type Listener = (inForce: ConfigurationSnapshot) => void;
 
-function getRefusal(current: Manifest, offered: Manifest): OfferOutcome {
+function getRefusal(current: Manifest, offered: Manifest): ActivationResult {
   const { generation } = current;
   const isOther = offered.generation === generation && offered.contentHash !== current.contentHash;
   return { kind: isOther ? 'divergent' : 'not-newer', generation };
@@ -51,15 +51,15 @@
  * ```
  * @public
  */
-export class InForceConfiguration {
-  private current: ConfigurationInForce | undefined;
+export class ActiveConfiguration {
+  private current: ConfigurationSnapshot | undefined;
 
   private known: ReadParts = new Map();
 
   private readonly listeners = new Set<Listener>();
 
   /** What is in force, or undefined before the first generation came. */
-  get(): ConfigurationInForce | undefined {
+  get(): ConfigurationSnapshot | undefined {
     return this.current;
   }
 
@@ -78,7 +78,7 @@
    *
    * @param texts - part texts by hash; those already in force need not be there
    */
-  offer(manifest: Manifest, texts: ReadonlyMap<string, string>): OfferOutcome {
+  activate(manifest: Manifest, texts: ReadonlyMap<string, string>): ActivationResult {
     const { current } = this;
     if (current !== undefined && manifest.generation <= current.manifest.generation) {
       return getRefusal(current.manifest, manifest);
@@ -128,7 +128,7 @@
    * brought a higher generation, the others have been told of that one and must not be told of this
    * one after it.
    */
-  private notify(inForce: ConfigurationInForce): void {
+  private notify(inForce: ConfigurationSnapshot): void {
     const errors: unknown[] = [];
     this.listeners.forEach((listener) => {
       try {
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
@@ -1,7 +1,7 @@
 import type { PlatformStore } from '@apricotrill/store';
 import PQueue from 'p-queue';
 import { ConfigurationError } from '../ConfigurationError.js';
-import type { ConfigurationInForce } from '../InForceConfiguration/InForceConfiguration.js';
+import type { ConfigurationSnapshot } from '../ActiveConfiguration/ActiveConfiguration.js';
 import { ARCHIVE_PREFIX, MANIFEST_KEY, PART_PREFIX, parseManifest } from '../Manifest.js';
 import type { Manifest } from '../Manifest.js';
 import type { ConfigurationOptions } from '../options.js';
@@ -49,7 +49,7 @@
    */
   async read(
     known: ReadonlyMap<string, string> = new Map(),
-  ): Promise<ConfigurationInForce | undefined> {
+  ): Promise<ConfigurationSnapshot | undefined> {
     let fault = '';
     for (let attempt = 0; attempt < this.options.readAttempts; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- each attempt starts from a newer manifest
@@ -65,7 +65,7 @@
   }
 
   /** An earlier configuration, or undefined when it or one of its parts is no longer kept. */
-  async readArchived(generation: number): Promise<ConfigurationInForce | undefined> {
+  async readArchived(generation: number): Promise<ConfigurationSnapshot | undefined> {
     const stored = await this.readArchivedManifest(generation);
     const whole = stored === undefined ? undefined : await this.assemble(stored, new Map());
     return typeof whole === 'string' ? undefined : whole;
@@ -97,7 +97,7 @@
   private async assemble(
     { manifest }: StoredManifest,
     known: ReadonlyMap<string, string>,
-  ): Promise<ConfigurationInForce | string> {
+  ): Promise<ConfigurationSnapshot | string> {
     const read = await this.readParts(getMissingHashes(manifest, known));
     const texts = new Map([...known, ...read]);
     const assembled = assembleConfiguration(manifest, texts);
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
@@ -9,11 +9,11 @@
 import type { CallFate } from '../../test/ScheduledStore.js';
 import {
   ConfigurationStore,
-  InForceConfiguration,
+  ActiveConfiguration,
   getConfigurationParts,
   getPartsHash,
 } from '../../index.js';
-import type { ApplyOutcome, ConfigurationChange } from '../../index.js';
+import type { ApplyResult, ConfigurationChange } from '../../index.js';
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 150);
 const SEED = Number(process.env.FUZZ_SEED ?? 1);
@@ -33,7 +33,7 @@
 interface Attempt {
   change: ConfigurationChange;
   edit: Edit;
-  outcome: ApplyOutcome;
+  outcome: ApplyResult;
 }
 
 interface Scenario {
@@ -139,7 +139,7 @@
   }
 
   /** Asks again with the same identity while there is no answer. */
-  private async apply(change: ConfigurationChange, { patience }: Edit): Promise<ApplyOutcome> {
+  private async apply(change: ConfigurationChange, { patience }: Edit): Promise<ApplyResult> {
     let outcome = await this.store.apply(change);
     let mayBeAccepted = false;
     for (let again = 0; again < patience && outcome.kind === 'unavailable'; again += 1) {
@@ -160,7 +160,7 @@
   /** A daemon that restarts once and takes generations from the store, its peers and late messages. */
   private async runDaemon(): Promise<void> {
     for (const start of [0, 1]) {
-      const inForce = new InForceConfiguration();
+      const inForce = new ActiveConfiguration();
       const life: { generation: number; contentHash: string }[] = [];
       this.lives.push(life);
       inForce.subscribe(({ manifest }) => life.push(manifest));
@@ -170,7 +170,7 @@
           // eslint-disable-next-line no-void -- a late message; nobody waits for it
           void this.scheduler
             .schedule(Promise.resolve(), 'message from a peer')
-            .then(() => inForce.offer(read.manifest, read.parts));
+            .then(() => inForce.activate(read.manifest, read.parts));
         }
       }
     }
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
@@ -3,7 +3,7 @@
 import type { PlatformStore } from '@apricotrill/store';
 import type { Clock } from '@apricotrill/utils';
 import type { ConfigurationDifference } from '../diff/getConfigurationDiff.js';
-import type { ConfigurationInForce } from '../InForceConfiguration/InForceConfiguration.js';
+import type { ConfigurationSnapshot } from '../ActiveConfiguration/ActiveConfiguration.js';
 import type { AcceptedChange, Manifest } from '../Manifest.js';
 import { ARCHIVE_PREFIX, MANIFEST_KEY, getAcceptedChange } from '../Manifest.js';
 import { DEFAULT_CONFIGURATION_OPTIONS, RECENT_CHANGES } from '../options.js';
@@ -14,7 +14,7 @@
 import { ConfigurationReader } from './ConfigurationReader.js';
 import type { StoredManifest } from './ConfigurationReader.js';
 import { GarbageCollector } from './GarbageCollector.js';
-import type { GarbageOutcome } from './GarbageCollector.js';
+import type { GarbageCollectionResult } from './GarbageCollector.js';
 import { getConflict } from './getConflict.js';
 import { getFate } from './getFate.js';
 import { PartWriter } from './PartWriter.js';
@@ -38,7 +38,7 @@
  *
  * @public
  */
-export type ApplyOutcome =
+export type ApplyResult =
   | { kind: 'accepted'; change: AcceptedChange }
   /** The base has this very content: there is nothing to accept. */
   | { kind: 'unchanged'; accepted: AcceptedChange }
@@ -109,7 +109,7 @@
    * @param known - part texts by hash that need not be read again
    * @throws StoreUnavailableError, ConfigurationError
    */
-  read(known?: ReadonlyMap<string, string>): Promise<ConfigurationInForce | undefined> {
+  read(known?: ReadonlyMap<string, string>): Promise<ConfigurationSnapshot | undefined> {
     return this.reader.read(known);
   }
 
@@ -136,7 +136,7 @@
    *
    * @throws StoreUnavailableError, ConfigurationError
    */
-  readArchived(generation: number): Promise<ConfigurationInForce | undefined> {
+  readArchived(generation: number): Promise<ConfigurationSnapshot | undefined> {
     return this.reader.readArchived(generation);
   }
 
@@ -148,7 +148,7 @@
    *   something else than a configuration
    * @throws ValueTooLargeError when the configuration does not fit the store
    */
-  async apply(change: ConfigurationChange): Promise<ApplyOutcome> {
+  async apply(change: ConfigurationChange): Promise<ApplyResult> {
     const parts = getConfigurationParts(change.configuration);
     checkSizes(parts);
     const contentHash = getPartsHash(parts);
@@ -175,12 +175,12 @@
    *
    * @throws StoreUnavailableError
    */
-  collectGarbage(): Promise<GarbageOutcome> {
+  collectGarbage(): Promise<GarbageCollectionResult> {
     return this.collector.collect();
   }
 
   /** One attempt; undefined when it has to start over. */
-  private async attempt(attempts: Attempts): Promise<ApplyOutcome | undefined> {
+  private async attempt(attempts: Attempts): Promise<ApplyResult | undefined> {
     try {
       const stored = await this.reader.readManifest();
       const settled = await this.getSettled(attempts, stored);
@@ -199,7 +199,7 @@
   private async getSettled(
     { change, contentHash }: Attempts,
     stored: StoredManifest | undefined,
-  ): Promise<ApplyOutcome | undefined> {
+  ): Promise<ApplyResult | undefined> {
     const fate = await getFate(this.reader, { ...change, contentHash }, stored?.manifest);
     if (fate.kind === 'accepted') {
       return { kind: 'accepted', change: fate.change };
@@ -220,7 +220,7 @@
   private async write(
     attempts: Attempts,
     stored: StoredManifest | undefined,
-  ): Promise<ApplyOutcome | undefined> {
+  ): Promise<ApplyResult | undefined> {
     await this.writer.write(attempts.parts, stored);
     if (stored !== undefined) {
       await this.store.put(ARCHIVE_PREFIX + stored.manifest.generation, stored.text, 0);
--- a/packages/configuration/src/lib/ConfigurationStore/GarbageCollector.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/GarbageCollector.ts
@@ -10,7 +10,7 @@
  *
  * @public
  */
-export type GarbageOutcome =
+export type GarbageCollectionResult =
   | { kind: 'collected'; parts: number; manifests: number }
   /** A change was accepted meanwhile; nothing was deleted. */
   | { kind: 'raced' };
@@ -39,7 +39,7 @@
    *
    * @throws StoreUnavailableError
    */
-  async collect(): Promise<GarbageOutcome> {
+  async collect(): Promise<GarbageCollectionResult> {
     const stored = await this.reader.readManifest();
     if (stored === undefined) {
       return { kind: 'collected', parts: 0, manifests: 0 };
--- a/packages/configuration/src/lib/ConfigurationStore/getConflict.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/getConflict.ts
@@ -2,7 +2,7 @@
 import { EMPTY_CONFIGURATION, getConfigurationDiff } from '../diff/getConfigurationDiff.js';
 import type { AcceptedChange } from '../Manifest.js';
 import type { ConfigurationReader } from './ConfigurationReader.js';
-import type { ApplyOutcome, ConfigurationChange } from './ConfigurationStore.js';
+import type { ApplyResult, ConfigurationChange } from './ConfigurationStore.js';
 
 async function readBase(
   reader: ConfigurationReader,
@@ -21,7 +21,7 @@
   reader: ConfigurationReader,
   change: ConfigurationChange,
   accepted: AcceptedChange,
-): Promise<ApplyOutcome> {
+): Promise<ApplyResult> {
   const current = (await reader.read())?.configuration ?? EMPTY_CONFIGURATION;
   const base = await readBase(reader, change.baseGeneration);
   return {
--- a/packages/configuration/src/lib/parts/assembleConfiguration.ts
+++ b/packages/configuration/src/lib/parts/assembleConfiguration.ts
@@ -13,7 +13,7 @@
  *
  * @public
  */
-export type AssemblyFault =
+export type AssemblyError =
   | { kind: 'missing-parts'; hashes: string[] }
   | { kind: 'broken-part'; name: string; reason: string };
 
@@ -72,7 +72,7 @@
   manifest: Manifest,
   texts: ReadonlyMap<string, string>,
   known: ReadParts = new Map(),
-): Result<Configuration, AssemblyFault> {
+): Result<Configuration, AssemblyError> {
   const missing = getMissingHashes(manifest, texts).filter((hash) => !known.has(hash));
   if (missing.length > 0) {
     return failure({ kind: 'missing-parts', hashes: missing });
--- a/packages/configuration/src/test/ScheduledStore.ts
+++ b/packages/configuration/src/test/ScheduledStore.ts
@@ -2,7 +2,7 @@
 import type {
   ObjectStore,
   PlatformStore,
-  PutOutcome,
+  PutResult,
   StoreChange,
   StoredObject,
 } from '@apricotrill/store';
@@ -45,13 +45,13 @@
     return this.call(`list ${prefix}`, () => this.objects.list(prefix));
   }
 
-  put(key: string, value: string, expectedVersion: number): Promise<PutOutcome> {
+  put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     return this.call(`put ${key} at ${expectedVersion}`, () =>
       this.objects.put(key, value, expectedVersion),
     );
   }
 
-  delete(key: string, expectedVersion: number): Promise<PutOutcome> {
+  delete(key: string, expectedVersion: number): Promise<PutResult> {
     return this.call(`delete ${key} at ${expectedVersion}`, () =>
       this.objects.delete(key, expectedVersion),
     );
--- a/packages/duties/src/test/DutyFleet.ts
+++ b/packages/duties/src/test/DutyFleet.ts
@@ -1,5 +1,5 @@
 import type { LeaseStore } from '@apricotrill/lease';
-import { PausableClock, advance } from '@apricotrill/standins';
+import { PausableClock, advanceClock } from '@apricotrill/standins';
 import { ObjectStore } from '@apricotrill/store';
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import type { Milliseconds, Random } from '@apricotrill/utils';
@@ -94,7 +94,7 @@
         this.daemons.filter(({ isRunning }) => isRunning).forEach((daemon) => this.serve(daemon));
       }
       // eslint-disable-next-line no-await-in-loop
-      await advance(this.clock, TELL_PERIOD);
+      await advanceClock(this.clock, TELL_PERIOD);
     }
   }
 
--- a/packages/e2e/src/lib/callerInput.test.ts
+++ b/packages/e2e/src/lib/callerInput.test.ts
@@ -180,7 +180,7 @@
 
   it('cuts an upload off that never ends', async () => {
     const caller = call(getHead('POST', CHAT, KEY, 'transfer-encoding: chunked'));
-    caller.sendForever(Buffer.from(getChunk(30_000)));
+    caller.sendUntilClosed(Buffer.from(getChunk(30_000)));
     expect(await caller.getStatus()).toBe(413);
     await caller.closed;
   });
--- a/packages/e2e/src/lib/wholePath.test.ts
+++ b/packages/e2e/src/lib/wholePath.test.ts
@@ -1,4 +1,4 @@
-import { getExpectedAnswer } from '@apricotrill/standins';
+import { getExpectedTokens } from '@apricotrill/standins';
 import { request } from 'undici';
 import { askChat, getMessages } from '../test/chat.js';
 import { API_KEY, Deployment, MODEL } from '../test/Deployment.js';
@@ -24,7 +24,7 @@
     const answer = await askChat(order);
     expect(answer.status).toBe(200);
     expect(answer.whole).toBe(true);
-    expect(answer.tokens).toEqual(getExpectedAnswer(MODEL, getMessages(prompt), 40));
+    expect(answer.tokens).toEqual(getExpectedTokens(MODEL, getMessages(prompt), 40));
   });
 
   it('gives the same answer unstreamed', async () => {
@@ -35,7 +35,7 @@
       body: JSON.stringify({ model: MODEL, messages, max_tokens: 20 }),
     });
     const body = (await response.body.json()) as { choices: { message: { content: string } }[] };
-    const expected = getExpectedAnswer(MODEL, messages, 20).join('');
+    const expected = getExpectedTokens(MODEL, messages, 20).join('');
     expect(body.choices[0]?.message.content).toBe(expected);
   });
 
--- a/packages/e2e/src/test/Backend.ts
+++ b/packages/e2e/src/test/Backend.ts
@@ -1,4 +1,4 @@
-import type { TcpRelay } from '@apricotrill/standins';
+import type { TcpProxy } from '@apricotrill/standins';
 import { request } from 'undici';
 import type { Subprocess } from './Subprocess.js';
 
@@ -25,7 +25,7 @@
 
   readonly process: Subprocess;
 
-  readonly relay: TcpRelay | undefined;
+  readonly relay: TcpProxy | undefined;
 
   private readonly origin: string;
 
@@ -35,7 +35,7 @@
     service: string,
     process: Subprocess,
     ownPort: number,
-    front?: { port: number; relay: TcpRelay },
+    front?: { port: number; relay: TcpProxy },
   ) {
     this.id = id;
     this.service = service;
--- a/packages/e2e/src/test/Deployment.ts
+++ b/packages/e2e/src/test/Deployment.ts
@@ -1,4 +1,4 @@
-import { TcpRelay } from '@apricotrill/standins';
+import { TcpProxy } from '@apricotrill/standins';
 import type { CallerLimits } from '@apricotrill/model';
 import { createHash } from 'node:crypto';
 import { mkdtemp, rm, writeFile } from 'node:fs/promises';
@@ -90,7 +90,7 @@
 
   private readonly processes: Subprocess[] = [];
 
-  private readonly relays: TcpRelay[] = [];
+  private readonly relays: TcpProxy[] = [];
 
   /** Backend servers that a test runs itself. */
   private readonly ownBackends: Address[] = [];
@@ -115,9 +115,9 @@
   async startRelayedBackend(
     service: 'engines' | 'portal',
     args: string[] = [],
-  ): Promise<Backend & { relay: TcpRelay }> {
+  ): Promise<Backend & { relay: TcpProxy }> {
     const { id, process, port } = await this.startStandin(service, args);
-    const relay = new TcpRelay(port);
+    const relay = new TcpProxy(port);
     this.relays.push(relay);
     const front = { port: await relay.listen(), relay };
     const backend = new Backend(id, service, process, port, front);
--- a/packages/e2e/src/test/FakeEngine.ts
+++ b/packages/e2e/src/test/FakeEngine.ts
@@ -49,7 +49,7 @@
 
   /** Waits until that many requests have come. */
   waitForCount(count: number): Promise<void> {
-    return this.called.until(() => this.count >= count);
+    return this.called.waitUntil(() => this.count >= count);
   }
 
   dispose(): void {
--- a/packages/e2e/src/test/Fleet.ts
+++ b/packages/e2e/src/test/Fleet.ts
@@ -1,4 +1,4 @@
-import { getQuietPorts } from '@apricotrill/standins';
+import { reservePorts } from '@apricotrill/standins';
 import type { Instance } from '@apricotrill/store';
 import { InstanceRole, InstanceState } from '@apricotrill/store';
 import { mkdir, mkdtemp, rm, writeFile } from 'node:fs/promises';
@@ -83,7 +83,7 @@
   /** Applies the first configuration and starts daemons; resolves when all know each other. */
   async start(count: number): Promise<void> {
     await this.apply(0);
-    const meshPorts = await getQuietPorts(count);
+    const meshPorts = await reservePorts(count);
     for (const meshPort of meshPorts) {
       const seeds = meshPorts.filter((port) => port !== meshPort);
       // One after the other, so that they are numbered in the order of the list.
@@ -100,7 +100,7 @@
     const id = `daemon-${this.lastDaemon}`;
     const zone = ZONES[(this.lastDaemon - 1) % ZONES.length]!;
     const seeds = options.seeds ?? this.daemons.map((daemon) => daemon.meshPort);
-    const meshPort = options.meshPort ?? (await getQuietPorts(1))[0]!;
+    const meshPort = options.meshPort ?? (await reservePorts(1))[0]!;
     const settings = await this.write(id, {
       id,
       region: REGION,
--- a/packages/e2e/src/test/calls.ts
+++ b/packages/e2e/src/test/calls.ts
@@ -1,4 +1,4 @@
-import { getExpectedAnswer } from '@apricotrill/standins';
+import { getExpectedTokens } from '@apricotrill/standins';
 import { request } from 'undici';
 import type { Dispatcher } from 'undici';
 import { getMessages } from './chat.js';
@@ -23,7 +23,7 @@
 ) {
   for (let turn = 0; ; turn += 1) {
     const prompt = `Quote ${turn} ${topic}.`;
-    const expected = getExpectedAnswer(MODEL, getMessages(prompt), maxTokens);
+    const expected = getExpectedTokens(MODEL, getMessages(prompt), maxTokens);
     if (expected.length >= atLeast) {
       return { order: { port, apiKey: API_KEY, model: MODEL, prompt, maxTokens }, expected };
     }
--- a/packages/e2e/src/test/shards.ts
+++ b/packages/e2e/src/test/shards.ts
@@ -1,4 +1,4 @@
-import { DEFAULT_CLAIM_OPTIONS, getClaimName, getClaimShard } from '@apricotrill/claims';
+import { defaultClaimOptions, getClaimName, getClaimShard } from '@apricotrill/claims';
 import type { FleetDaemon } from './FleetDaemon.js';
 import type { Entry, FleetCaller } from './FleetCaller.js';
 import { pollUntil } from './pollUntil.js';
@@ -6,7 +6,7 @@
 /** The only workspace of the tests. */
 const WORKSPACE = 'painotalo';
 
-export const SHARDS = DEFAULT_CLAIM_OPTIONS.shards;
+export const SHARDS = defaultClaimOptions.shards;
 
 /** A shard of claims as its owner's log tells. */
 export interface OwnedShard {
--- a/packages/experiment/src/lib/capacity/measureFullSize.ts
+++ b/packages/experiment/src/lib/capacity/measureFullSize.ts
@@ -1,5 +1,5 @@
 import { ClaimManager } from '@apricotrill/claims';
-import { InForceConfiguration } from '@apricotrill/configuration';
+import { ActiveConfiguration } from '@apricotrill/configuration';
 import type { Manifest } from '@apricotrill/configuration';
 import { MemoryPlatformStore } from '@apricotrill/store';
 import { Scheduler } from '@apricotrill/policy';
@@ -55,14 +55,14 @@
 /** The parts of a daemon that hold control state, joined as the daemon joins them. */
 interface ControlState {
   clock: ManualClock;
-  inForce: InForceConfiguration;
+  inForce: ActiveConfiguration;
   scheduler: Scheduler;
   claims: ClaimManager;
 }
 
 function createControlState(): ControlState {
   const clock = new ManualClock(1_000_000);
-  const inForce = new InForceConfiguration();
+  const inForce = new ActiveConfiguration();
   const scheduler = new Scheduler({ clock, random: createRandom(1), emit: () => {} });
   const members = createMembers(twoYearSize.daemons);
   const daemons = members.map(({ id }) => id);
@@ -91,7 +91,7 @@
 }
 
 function putInForce({ inForce }: ControlState, { manifest, texts }: Generation): void {
-  const { kind } = inForce.offer(manifest, texts);
+  const { kind } = inForce.activate(manifest, texts);
   assert(kind === 'in-force', `generation ${manifest.generation} comes in force, not ${kind}`);
 }
 
@@ -101,7 +101,7 @@
   const [self] = ids;
   const daemons = ids.filter((id, index) => index === 0 || index !== gone);
   scheduler.handle({ kind: 'daemons', self: self!, daemons });
-  claims.onMembersChanged();
+  claims.handleMembersChange();
 }
 
 /** One minute: reports every second, edits and comings and goings at their average rate. */
--- a/packages/experiment/src/lib/capacity/probes/ClaimsFleet.ts
+++ b/packages/experiment/src/lib/capacity/probes/ClaimsFleet.ts
@@ -1,4 +1,4 @@
-import { ClaimManager, DEFAULT_CLAIM_OPTIONS } from '@apricotrill/claims';
+import { ClaimManager, defaultClaimOptions } from '@apricotrill/claims';
 import type { ClaimCounters, ClaimMember, ClaimMessage } from '@apricotrill/claims';
 import { MemoryPlatformStore, ObjectStore } from '@apricotrill/store';
 import { createRandom, ManualClock } from '@apricotrill/utils';
@@ -22,7 +22,7 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /** Shards of the default layout. */
-export const SHARDS = DEFAULT_CLAIM_OPTIONS.shards;
+export const SHARDS = defaultClaimOptions.shards;
 
 const ANSWER = { kind: 'whole' as const, status: 200, headers: {}, body: '{"held":true}' };
 
@@ -102,7 +102,7 @@
     manager.dispose();
     await advanceClock(clock, noticed);
     this.members = this.members.filter((member) => member.id !== id);
-    this.managers.forEach((other) => other.onMembersChanged());
+    this.managers.forEach((other) => other.handleMembersChange());
     const getOwned = () =>
       [...this.managers.values()].reduce((sum, other) => sum + other.getOwnedShards().length, 0);
     while (getOwned() < SHARDS && clock.now() < start + TAKEOVER_LIMIT) {
@@ -140,7 +140,7 @@
     }
     this.granted += 1;
     this.clock.setTimer(RUN_SPAN, () => {
-      manager.settle(answer.handle, { kind: 'answered', answer: ANSWER });
+      manager.recordOutcome(answer.handle, { kind: 'answered', answer: ANSWER });
     });
   }
 }
--- a/packages/experiment/src/lib/capacity/probes/ClaimsProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/ClaimsProbe.ts
@@ -1,4 +1,4 @@
-import { ClaimManager, DEFAULT_CLAIM_OPTIONS } from '@apricotrill/claims';
+import { ClaimManager, defaultClaimOptions } from '@apricotrill/claims';
 import { MemoryPlatformStore } from '@apricotrill/store';
 import { ManualClock } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
@@ -76,8 +76,8 @@
   const changes = 5;
   const span = await measureProcessorTime(() => {
     for (let change = 0; change < changes; change += 1) {
-      manager.onMembersChanged();
-      clock.advance(DEFAULT_CLAIM_OPTIONS.moveDelay);
+      manager.handleMembersChange();
+      clock.advance(defaultClaimOptions.moveDelay);
     }
   });
   manager.dispose();
--- a/packages/experiment/src/lib/capacity/probes/ConfigurationProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/ConfigurationProbe.ts
@@ -1,5 +1,5 @@
-import { InForceConfiguration } from '@apricotrill/configuration';
-import { clusterOptions } from '@apricotrill/cluster';
+import { ActiveConfiguration } from '@apricotrill/configuration';
+import { defaultClusterOptions } from '@apricotrill/cluster';
 import { fitLine } from '../../measure/fitLine.js';
 import type { Line } from '../../measure/fitLine.js';
 import { measureHeap, measureLine, measureProcessorTime } from '../../measure/measureCost.js';
@@ -25,22 +25,22 @@
 /** Milliseconds to put one edit in force. */
 async function measureEdit(replicas: number): Promise<number> {
   const first = createSizedConfiguration(replicas);
-  const inForce = new InForceConfiguration();
+  const inForce = new ActiveConfiguration();
   const start = createGeneration(first, 1);
-  inForce.offer(start.manifest, start.texts);
+  inForce.activate(start.manifest, start.texts);
   const edits = Array.from({ length: EDITS }, (_, edit) =>
     createGeneration(createEdited(first, edit), edit + 2),
   );
   const span = await measureProcessorTime(() => {
-    edits.forEach(({ manifest, texts }) => inForce.offer(manifest, texts));
+    edits.forEach(({ manifest, texts }) => inForce.activate(manifest, texts));
   });
   return span / EDITS;
 }
 
-function createInForce(replicas: number): InForceConfiguration {
-  const inForce = new InForceConfiguration();
+function createInForce(replicas: number): ActiveConfiguration {
+  const inForce = new ActiveConfiguration();
   const { manifest, texts } = createGeneration(createSizedConfiguration(replicas), 1);
-  inForce.offer(manifest, texts);
+  inForce.activate(manifest, texts);
   return inForce;
 }
 
@@ -144,14 +144,14 @@
         readsPerSecond: getWorkedOut(spread.reads) * zoneRatio * CHANGES_PER_SECOND,
         // The changed part, the manifest, and its copy in the archive.
         writesPerSecond: WRITES_PER_CHANGE * CHANGES_PER_SECOND,
-        waitingWatches: clusterOptions.watchersPerZone * twoYearSize.availabilityZones,
+        waitingWatches: defaultClusterOptions.watchersPerZone * twoYearSize.availabilityZones,
       },
       slopes: [...Object.values(own), ...Object.values(spread)],
       assumptions: [
         `an edit touches one replica; edits come evenly over the day`,
         `messages and bytes count both ways; HTTP/2, TCP and IP add ${FRAME_BYTES} bytes to a message`,
         `fleets beyond ${FLEETS.at(-1)} daemons are extrapolated; their register holds ${SIZES[0]} replicas`,
-        `store reads grow with the availability zones, ${clusterOptions.watchersPerZone} watchers in each (cluster options)`,
+        `store reads grow with the availability zones, ${defaultClusterOptions.watchersPerZone} watchers in each (cluster options)`,
       ],
     };
   },
--- a/packages/experiment/src/lib/capacity/probes/LeaseProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/LeaseProbe.ts
@@ -1,6 +1,6 @@
 import { LeaseManager } from '@apricotrill/lease';
 import { defaultPlacementOptions, PlacementManager } from '@apricotrill/placement';
-import type { EngineOrders, EngineState } from '@apricotrill/placement';
+import type { EngineClient, EngineState } from '@apricotrill/placement';
 import { EngineRole } from '@apricotrill/model';
 import type { Replica } from '@apricotrill/model';
 import { MemoryPlatformStore, ObjectStore } from '@apricotrill/store';
@@ -64,7 +64,7 @@
 }
 
 /** Engines that are as they should be, and count how often they are looked at. */
-class ConvergedEngines implements EngineOrders {
+class ConvergedEngines implements EngineClient {
   looks = 0;
 
   observe({ placement }: Replica): Promise<EngineState> {
@@ -95,7 +95,7 @@
     store: new MemoryPlatformStore({ clock }),
     engines,
     getConfiguration: () => configuration,
-    onDecision: () => {},
+    onEvent: () => {},
   });
   return { clock, engines, placement };
 }
--- a/packages/experiment/src/lib/capacity/probes/SchedulerLoad.ts
+++ b/packages/experiment/src/lib/capacity/probes/SchedulerLoad.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, Scheduler } from '@apricotrill/policy';
+import { AttemptStatus, Scheduler } from '@apricotrill/policy';
 import type { ScheduledRequest, SchedulerEffect } from '@apricotrill/policy';
 import type { Configuration } from '@apricotrill/model';
 import { createRandom, ManualClock } from '@apricotrill/utils';
@@ -52,7 +52,7 @@
         kind: 'attempt-ended',
         id,
         attempt,
-        end: AttemptEnd.Completed,
+        end: AttemptStatus.Completed,
       });
     });
     await drainMicrotasks();
@@ -77,7 +77,7 @@
       serviceClass: rules.classes[this.sent % rules.classes.length]!,
       prefixHash: this.random.integer(1_000_000),
       resumable: true,
-      arrived: this.clock.now(),
+      arrivedAt: this.clock.now(),
     };
   }
 
--- a/packages/experiment/src/lib/policies/policies.ts
+++ b/packages/experiment/src/lib/policies/policies.ts
@@ -1,7 +1,7 @@
 import {
-  createFirstInFirstOut,
-  createLeastOutstanding,
-  createStrictPriority,
+  createFifoBaseline,
+  createLeastOutstandingBaseline,
+  createStrictPriorityBaseline,
   Scheduler,
 } from '@apricotrill/policy';
 import type { PolicyFactory } from './Policy.js';
@@ -16,7 +16,7 @@
  */
 export const policies: Record<string, PolicyFactory> = {
   [POLICY]: (context) => new Scheduler(context),
-  'fifo-round-robin': createFirstInFirstOut,
-  'least-outstanding': createLeastOutstanding,
-  'strict-priority': createStrictPriority,
+  'fifo-round-robin': createFifoBaseline,
+  'least-outstanding': createLeastOutstandingBaseline,
+  'strict-priority': createStrictPriorityBaseline,
 };
--- a/packages/experiment/src/lib/sharedBench/SharedFleet.ts
+++ b/packages/experiment/src/lib/sharedBench/SharedFleet.ts
@@ -6,7 +6,7 @@
 import type { AcceptedChange } from '@apricotrill/configuration';
 import { ServiceKind } from '@apricotrill/model';
 import type { Configuration } from '@apricotrill/model';
-import { getQuietPorts } from '@apricotrill/standins';
+import { reservePorts } from '@apricotrill/standins';
 import { HttpPlatformStore, InstanceRole, InstanceState } from '@apricotrill/store';
 import type { CallCounters } from '@apricotrill/store';
 import { StepError, SystemClock } from '@apricotrill/utils';
@@ -196,7 +196,7 @@
   }
 
   private async createDaemon(id: string, zone: string, args: string[]): Promise<DaemonProcess> {
-    const [meshPort] = (await getQuietPorts(1)) as [number];
+    const [meshPort] = (await reservePorts(1)) as [number];
     const seeds = this.daemons.slice(0, SEEDS).map(({ address }) => address.meshPort);
     const address = { id, availabilityZone: zone, host: HOST, meshPort };
     const settings = await this.write(`${id}.jsonc`, {
--- a/packages/experiment/src/lib/sharedBench/handOver/askChat.ts
+++ b/packages/experiment/src/lib/sharedBench/handOver/askChat.ts
@@ -1,7 +1,7 @@
 import { createParser } from 'eventsource-parser';
 import { request } from 'undici';
 import type { Agent } from 'undici';
-import { getExpectedAnswer } from '@apricotrill/standins';
+import { getExpectedTokens } from '@apricotrill/standins';
 import type { ChatMessage } from '@apricotrill/standins';
 import { getRefusal } from './askPlain.js';
 import type { Answer } from './askPlain.js';
@@ -79,7 +79,7 @@
     for await (const chunk of response.body) {
       reader.feed(chunk as Uint8Array);
     }
-    const expected = getExpectedAnswer(model, messages, maxTokens).join('');
+    const expected = getExpectedTokens(model, messages, maxTokens).join('');
     return { requestId, end: getEnd(reader, expected) };
   } catch (error) {
     return { requestId, end: { kind: hasBegun ? 'cut' : 'lost', error: String(error) } };
--- a/packages/experiment/src/lib/simulation/Callers.ts
+++ b/packages/experiment/src/lib/simulation/Callers.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { SchedulerEffect } from '@apricotrill/policy';
 import type { ServiceClass } from '@apricotrill/model';
 import { assert } from '@apricotrill/utils';
@@ -130,11 +130,11 @@
       return;
     }
     record.refusals += 1;
-    if (effect.outcome === Outcome.NotRun) {
+    if (effect.outcome === ExecutionOutcome.NotRun) {
       this.notRun.add(effect.id);
       this.violations.falseNotRun += this.started.has(effect.id) ? 1 : 0;
     }
-    const mayRepeat = record.serviceClass.repeatable || effect.outcome === Outcome.NotRun;
+    const mayRepeat = record.serviceClass.repeatable || effect.outcome === ExecutionOutcome.NotRun;
     const delay = Math.max(MIN_RETRY_DELAY, effect.retryAfter) * (1 + this.context.random.next());
     const inTime =
       this.context.clock.now() + delay - record.call.arrived < this.getPatience(record);
@@ -201,7 +201,7 @@
         serviceClass,
         prefixHash: call.work.kind === 'chat' ? call.work.prefixHash : undefined,
         resumable: call.work.kind === 'chat',
-        arrived: clock.now(),
+        arrivedAt: clock.now(),
       },
       call.work,
     );
--- a/packages/experiment/src/lib/simulation/DaemonModel.ts
+++ b/packages/experiment/src/lib/simulation/DaemonModel.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, CancelReason } from '@apricotrill/policy';
+import { AttemptStatus, CancelReason } from '@apricotrill/policy';
 import type { ScheduledRequest, SchedulerEffect } from '@apricotrill/policy';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
@@ -114,7 +114,7 @@
 
   onBroken(key: string): void {
     if (this.attempts.get(key)?.silent === false) {
-      this.endAttempt(key, AttemptEnd.Broken);
+      this.endAttempt(key, AttemptStatus.Broken);
     }
   }
 
@@ -128,7 +128,7 @@
       this.progress(attempt, output);
     }
     if (output.finished) {
-      this.endAttempt(output.key, AttemptEnd.Completed);
+      this.endAttempt(output.key, AttemptStatus.Completed);
     }
   }
 
@@ -210,7 +210,7 @@
     if (!silent) {
       this.context.fleet.cancel(replica, key);
     }
-    this.endAttempt(key, AttemptEnd.Broken);
+    this.endAttempt(key, AttemptStatus.Broken);
     this.policy.handle({ kind: 'path-silent', replica });
   }
 
@@ -231,7 +231,7 @@
     if (admission === Admission.Accepted) {
       return;
     }
-    const end = admission === Admission.Refused ? AttemptEnd.Refused : AttemptEnd.NotSent;
+    const end = admission === Admission.Refused ? AttemptStatus.Refused : AttemptStatus.NotSent;
     this.context.clock.setTimer(this.context.networkDelay, () => this.endAttempt(key, end));
   }
 
@@ -248,19 +248,19 @@
       return;
     }
     // Not within the scheduler's own turn, as a socket's events would not come either.
-    const end = AttemptEnd.Cancelled;
+    const end = AttemptStatus.Cancelled;
     clock.setTimer(0, () =>
       this.policy.handle({ kind: 'attempt-ended', id, attempt: number, end }),
     );
   }
 
-  private endAttempt(key: string, end: AttemptEnd): void {
+  private endAttempt(key: string, end: AttemptStatus): void {
     const attempt = this.attempts.get(key);
     if (attempt === undefined) {
       return;
     }
     this.attempts.delete(key);
-    const retryAfter = end === AttemptEnd.Refused ? REFUSAL_RETRY_AFTER : undefined;
+    const retryAfter = end === AttemptStatus.Refused ? REFUSAL_RETRY_AFTER : undefined;
     const { id, number } = attempt;
     this.policy.handle({ kind: 'attempt-ended', id, attempt: number, end, retryAfter });
   }
--- a/packages/experiment/src/test/RoundRobinDouble.ts
+++ b/packages/experiment/src/test/RoundRobinDouble.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, CancelReason, GiveUpReason, Outcome } from '@apricotrill/policy';
+import { AttemptStatus, CancelReason, GiveUpReason, ExecutionOutcome } from '@apricotrill/policy';
 import type { ScheduledRequest, SchedulerMessage } from '@apricotrill/policy';
 import type { Replica } from '@apricotrill/model';
 import type { Policy, PolicyContext } from '../lib/policies/Policy.js';
@@ -63,13 +63,14 @@
     }
   }
 
-  private end(id: string, end: AttemptEnd): void {
+  private end(id: string, end: AttemptStatus): void {
     this.entries.delete(id);
-    if (end === AttemptEnd.Completed) {
+    if (end === AttemptStatus.Completed) {
       this.context.emit({ kind: 'done', id });
       return;
     }
-    const outcome = end === AttemptEnd.Broken ? Outcome.Unknown : Outcome.NotRun;
+    const outcome =
+      end === AttemptStatus.Broken ? ExecutionOutcome.Unknown : ExecutionOutcome.NotRun;
     const reason = GiveUpReason.ReplicaFailed;
     this.context.emit({ kind: 'give-up', id, outcome, reason, retryAfter: 100 });
   }
--- a/packages/keys/src/lib/KeyFiles/KeyFiles.test.ts
+++ b/packages/keys/src/lib/KeyFiles/KeyFiles.test.ts
@@ -5,16 +5,16 @@
 import { join } from 'node:path';
 import type { KeyMaterial } from '../KeyMaterial.js';
 import { KeyFiles } from './KeyFiles.js';
-import type { KeyDecision, KeyFileNames } from './KeyFiles.js';
+import type { KeyEvent, KeyFileNames } from './KeyFiles.js';
 
 describe('KeyFiles', () => {
   let directory: string;
   let files: KeyFileNames;
   let authority: CertificateAuthority;
   let keyFiles: KeyFiles;
-  const decisions: KeyDecision[] = [];
+  const decisions: KeyEvent[] = [];
 
-  async function write({ certificate, privateKey, authority: ca }: KeyMaterial): Promise<void> {
+  async function write({ certificate, privateKey, caCertificate: ca }: KeyMaterial): Promise<void> {
     await writeFile(files.certFile, certificate);
     await writeFile(files.keyFile, privateKey);
     await writeFile(files.caFile, ca);
@@ -32,7 +32,7 @@
     keyFiles = new KeyFiles({
       files,
       clock: new SystemClock(),
-      onDecision: (decision) => decisions.push(decision),
+      onEvent: (decision) => decisions.push(decision),
     });
   });
 
--- a/packages/keys/src/lib/KeyFiles/KeyFiles.ts
+++ b/packages/keys/src/lib/KeyFiles/KeyFiles.ts
@@ -20,7 +20,7 @@
  *
  * @public
  */
-export type KeyDecision =
+export type KeyEvent =
   { kind: 'keys-replaced' } | { kind: 'keys-refused'; reason: string; peer: string };
 
 /**
@@ -33,7 +33,7 @@
   clock: Clock;
   /** How often the files are read; default 10 s. */
   interval?: Milliseconds;
-  onDecision?: (decision: KeyDecision) => void;
+  onEvent?: (decision: KeyEvent) => void;
 }
 
 const DEFAULT_INTERVAL: Milliseconds = 10_000;
@@ -42,7 +42,7 @@
   return (
     left.certificate.equals(right.certificate) &&
     left.privateKey.equals(right.privateKey) &&
-    left.authority.equals(right.authority)
+    left.caCertificate.equals(right.caCertificate)
   );
 }
 
@@ -60,7 +60,7 @@
     readKeyFile(files.keyFile),
     readKeyFile(files.caFile),
   ]);
-  return { certificate, privateKey, authority };
+  return { certificate, privateKey, caCertificate: authority };
 }
 
 /**
@@ -125,7 +125,7 @@
       this.replace(keys);
     } catch (error) {
       const { message, peer } = error as KeyError;
-      this.settings.onDecision?.({ kind: 'keys-refused', reason: message, peer });
+      this.settings.onEvent?.({ kind: 'keys-refused', reason: message, peer });
     }
   }
 
@@ -138,7 +138,7 @@
   private replace(keys: KeyMaterial): void {
     this.current = keys;
     this.listeners.forEach((listener) => listener(keys));
-    this.settings.onDecision?.({ kind: 'keys-replaced' });
+    this.settings.onEvent?.({ kind: 'keys-replaced' });
   }
 
   private schedule(): void {
--- a/packages/keys/src/lib/KeyMaterial.ts
+++ b/packages/keys/src/lib/KeyMaterial.ts
@@ -7,7 +7,7 @@
   certificate: Buffer;
   privateKey: Buffer;
   /** The authority that signs the certificates of all daemons. */
-  authority: Buffer;
+  caCertificate: Buffer;
 }
 
 /**
--- a/packages/keys/src/lib/checkKeyMaterial.ts
+++ b/packages/keys/src/lib/checkKeyMaterial.ts
@@ -29,7 +29,7 @@
 export function checkKeyMaterial(keys: KeyMaterial, now: Milliseconds): void {
   const certificate = parse('certificate', () => new X509Certificate(keys.certificate));
   const privateKey = parse('private key', () => createPrivateKey(keys.privateKey));
-  parse('authority', () => new X509Certificate(keys.authority));
+  parse('authority', () => new X509Certificate(keys.caCertificate));
   if (!certificate.checkPrivateKey(privateKey)) {
     throw new KeyError('it does not belong to the private key', {
       step: STEP,
--- a/packages/lease/src/lib/Lease/Lease.ts
+++ b/packages/lease/src/lib/Lease/Lease.ts
@@ -1,5 +1,5 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
-import type { PutOutcome, StoredObject } from '@apricotrill/store';
+import type { PutResult, StoredObject } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
 import { LeaseCalls, NEVER } from './LeaseCalls.js';
 import { getGrantedFencingNumber, parseLeaseRecord } from './LeaseRecord.js';
@@ -148,7 +148,7 @@
     }
   }
 
-  private takeOutcome(outcome: PutOutcome, call: LeaseCall, now: Milliseconds): void {
+  private takeOutcome(outcome: PutResult, call: LeaseCall, now: Milliseconds): void {
     if (outcome.kind === 'accepted') {
       this.see({ key: '', value: call.value ?? '', version: outcome.version }, now);
       return;
--- a/packages/lease/src/lib/Lease/leaseMessages.ts
+++ b/packages/lease/src/lib/Lease/leaseMessages.ts
@@ -1,4 +1,4 @@
-import type { PutOutcome, StoredObject } from '@apricotrill/store';
+import type { PutResult, StoredObject } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
 
 /** What the lease is told. `attempt` names the call an answer belongs to. */
@@ -6,7 +6,7 @@
   /** Time passed, or this daemon's rank among the lease's candidates (0 is preferred) changed. */
   | { kind: 'tick'; rank: number }
   | { kind: 'read-answered'; attempt: number; object: StoredObject | undefined }
-  | { kind: 'write-answered'; attempt: number; outcome: PutOutcome }
+  | { kind: 'write-answered'; attempt: number; outcome: PutResult }
   /** No answer came; a write may or may not have taken effect. */
   | { kind: 'call-failed'; attempt: number }
   /** An engine has seen a fencing number above ours. */
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
@@ -1,4 +1,4 @@
-import { advance } from '@apricotrill/standins';
+import { advanceClock } from '@apricotrill/standins';
 import { ManualClock } from '@apricotrill/utils';
 import type { PlatformStore, StoredObject } from '@apricotrill/store';
 import { LeaseManager } from './LeaseManager.js';
@@ -32,7 +32,7 @@
     const lease = new LeaseManager({ self: 'daemon-1', clock, store, name: 'x' });
     const numbers: (number | undefined)[] = [];
     lease.onChange((fencingNumber) => numbers.push(fencingNumber));
-    await advance(clock, 10_000);
+    await advanceClock(clock, 10_000);
     expect(numbers).toEqual([8]);
     lease.dispose();
     expect(lease.isHeld()).toBe(false);
--- a/packages/lease/src/test/Contender.ts
+++ b/packages/lease/src/test/Contender.ts
@@ -1,4 +1,4 @@
-import { Link, PausableClock } from '@apricotrill/standins';
+import { SimulatedLink, PausableClock } from '@apricotrill/standins';
 import type { ManualClock, Milliseconds } from '@apricotrill/utils';
 import { LeaseManager } from '../lib/LeaseManager/LeaseManager.js';
 import type { LeaseStore } from '../lib/LeaseManager/LeaseManager.js';
@@ -37,7 +37,7 @@
   /** How long its machine stood still in all. */
   stoodStill: Milliseconds = 0;
 
-  private readonly link: Link;
+  private readonly link: SimulatedLink;
 
   private lease: LeaseManager;
 
@@ -46,7 +46,7 @@
     private readonly world: Surroundings,
   ) {
     this.clock = new PausableClock(world.clock);
-    this.link = new Link(world.clock, this.clock, () => world.getDelay());
+    this.link = new SimulatedLink(world.clock, this.clock, () => world.getDelay());
     this.lease = this.createLease();
   }
 
--- a/packages/lease/src/test/LeaseWorld.ts
+++ b/packages/lease/src/test/LeaseWorld.ts
@@ -1,4 +1,4 @@
-import { advance } from '@apricotrill/standins';
+import { advanceClock } from '@apricotrill/standins';
 import { ObjectStore } from '@apricotrill/store';
 import { ManualClock } from '@apricotrill/utils';
 import type { Milliseconds, Random } from '@apricotrill/utils';
@@ -59,7 +59,7 @@
     const end = this.clock.now() + span;
     while (this.clock.now() < end) {
       // eslint-disable-next-line no-await-in-loop
-      await advance(this.clock, Math.min(ACT_PERIOD, end - this.clock.now()));
+      await advanceClock(this.clock, Math.min(ACT_PERIOD, end - this.clock.now()));
       this.contenders.forEach((contender) => contender.clock.run(() => contender.act()));
     }
   }
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -1,10 +1,10 @@
-export { decodeAnswer, decodeEnvelope, encodeAnswer, encodeEnvelope } from './lib/codec.js';
+export { decodeResponse, decodeEnvelope, encodeResponse, encodeEnvelope } from './lib/codec.js';
 export type { Envelope } from './lib/codec.js';
 export { Mesh } from './lib/Mesh/Mesh.js';
 export type { MeshSettings } from './lib/Mesh/Mesh.js';
 export type { MeshContext, MeshHandler } from './lib/MeshServer/MeshServer.js';
 export { MeshError, MeshFailure } from './lib/MeshError.js';
-export { meshOptions } from './lib/meshOptions.js';
+export { defaultMeshOptions } from './lib/meshOptions.js';
 export type { MeshOptions } from './lib/meshOptions.js';
 export { TrafficCounters } from './lib/TrafficCounters/TrafficCounters.js';
 export type { TopicTraffic } from './lib/TrafficCounters/TrafficCounters.js';
--- a/packages/mesh/src/lib/KeyProvider/KeyProvider.ts
+++ b/packages/mesh/src/lib/KeyProvider/KeyProvider.ts
@@ -26,7 +26,7 @@
   addCaCertificateListener(listener: AuthorityListener): void {
     this.authorityListeners.add(listener);
     KeyProvider.tellLater(this.authorityListeners, listener, () => ({
-      caCertificate: this.source.getCurrent().authority,
+      caCertificate: this.source.getCurrent().caCertificate,
     }));
   }
 
@@ -64,7 +64,7 @@
   }
 
   private tellAll(keys: KeyMaterial): void {
-    this.authorityListeners.forEach((listener) => listener({ caCertificate: keys.authority }));
+    this.authorityListeners.forEach((listener) => listener({ caCertificate: keys.caCertificate }));
     this.identityListeners.forEach((listener) => listener(keys));
   }
 }
--- a/packages/mesh/src/lib/Mesh/Mesh.ts
+++ b/packages/mesh/src/lib/Mesh/Mesh.ts
@@ -1,10 +1,10 @@
 import type { KeySource } from '@apricotrill/keys';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { KeyProvider } from '../KeyProvider/KeyProvider.js';
-import { decodeAnswer, encodeEnvelope } from '../codec.js';
+import { decodeResponse, encodeEnvelope } from '../codec.js';
 import { MeshClient } from '../MeshClient/MeshClient.js';
 import type { MeshOptions } from '../meshOptions.js';
-import { meshOptions } from '../meshOptions.js';
+import { defaultMeshOptions } from '../meshOptions.js';
 import type { MeshHandler } from '../MeshServer/MeshServer.js';
 import { MeshServer } from '../MeshServer/MeshServer.js';
 import { TrafficCounters } from '../TrafficCounters/TrafficCounters.js';
@@ -56,7 +56,7 @@
 
   constructor({ self, host, port, clock, keys, options }: MeshSettings) {
     this.self = self;
-    this.options = { ...meshOptions, ...options };
+    this.options = { ...defaultMeshOptions, ...options };
     this.provider = keys && new KeyProvider(keys);
     this.client = new MeshClient(clock, this.options, this.provider);
     this.server = new MeshServer({
@@ -113,7 +113,7 @@
     this.traffic.countOut(topic, bytes.length);
     const answer = await this.client.send(address, topic, bytes, timeout);
     this.traffic.countIn(topic, answer.length);
-    return decodeAnswer(answer);
+    return decodeResponse(answer);
   }
 
   /** Stops listening, closes every channel and fails the calls in flight. */
--- a/packages/mesh/src/lib/MeshServer/MeshServer.ts
+++ b/packages/mesh/src/lib/MeshServer/MeshServer.ts
@@ -1,7 +1,7 @@
 import type { sendUnaryData, ServerUnaryCall } from '@grpc/grpc-js';
 import { Server, status } from '@grpc/grpc-js';
 import type { Envelope } from '../codec.js';
-import { decodeEnvelope, encodeAnswer } from '../codec.js';
+import { decodeEnvelope, encodeResponse } from '../codec.js';
 import { getServerCredentials } from '../KeyProvider/KeyProvider.js';
 import type { KeyProvider } from '../KeyProvider/KeyProvider.js';
 import { MeshError, MeshFailure } from '../MeshError.js';
@@ -101,7 +101,7 @@
     }
     this.settings.traffic.countIn(topic, bytes.length);
     try {
-      const answer = encodeAnswer(await handler(body, { from }));
+      const answer = encodeResponse(await handler(body, { from }));
       this.settings.traffic.countOut(topic, answer.length);
       done(null, answer);
     } catch (error) {
--- a/packages/mesh/src/lib/codec.ts
+++ b/packages/mesh/src/lib/codec.ts
@@ -37,11 +37,11 @@
 }
 
 /** Encodes an answer. */
-export function encodeAnswer(answer: unknown): Buffer {
+export function encodeResponse(answer: unknown): Buffer {
   return encoder.encode(answer);
 }
 
 /** Decodes an answer. @throws Error when the bytes are not CBOR */
-export function decodeAnswer(bytes: Buffer): unknown {
+export function decodeResponse(bytes: Buffer): unknown {
   return encoder.decode(bytes);
 }
--- a/packages/mesh/src/lib/meshOptions.ts
+++ b/packages/mesh/src/lib/meshOptions.ts
@@ -26,7 +26,7 @@
  *
  * @public
  */
-export const meshOptions: MeshOptions = {
+export const defaultMeshOptions: MeshOptions = {
   callTimeout: 2000,
   keepaliveInterval: 2000,
   keepaliveTimeout: 1500,
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -1,6 +1,10 @@
 export { ClassMatcher, getClass } from './lib/ClassMatcher/ClassMatcher.js';
-export type { ClassCondition, RequestFacts, RuleTrial } from './lib/ClassMatcher/ClassMatcher.js';
-export { getNormalPath } from './lib/ClassMatcher/getNormalPath.js';
+export type {
+  ClassCondition,
+  RequestAttributes,
+  RuleEvaluation,
+} from './lib/ClassMatcher/ClassMatcher.js';
+export { normalizePath } from './lib/ClassMatcher/normalizePath.js';
 export { formatDiagnostic } from './lib/Diagnostic.js';
 export type { Diagnostic } from './lib/Diagnostic.js';
 export { parseConfiguration, parseRegister, parseRules } from './lib/parseConfiguration.js';
--- a/packages/model/src/lib/ClassMatcher/ClassMatcher.test.ts
+++ b/packages/model/src/lib/ClassMatcher/ClassMatcher.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
-import { ClassMatcher, getClass, getNormalPath } from '../../index.js';
-import type { ClassRule, RequestFacts, Rules, ServiceClass } from '../../index.js';
+import { ClassMatcher, getClass, normalizePath } from '../../index.js';
+import type { ClassRule, RequestAttributes, Rules, ServiceClass } from '../../index.js';
 
 const NAMES = ['hold', 'check', 'draft'];
 
@@ -29,7 +29,7 @@
   maxTokensAtMost: optional(10, 100),
   wishedClass: optional(...NAMES),
 });
-const facts: fc.Arbitrary<RequestFacts> = fc.record({
+const facts: fc.Arbitrary<RequestAttributes> = fc.record({
   service: fc.constantFrom('app', 'model', 'other'),
   workspace: fc.constantFrom('w1', 'w2', 'w3'),
   method: optional('GET', 'POST'),
@@ -75,7 +75,7 @@
   });
 
   it('leaves a normal path as it is, and a path with a broken escape readable', () => {
-    expect(getNormalPath('/a/b')).toBe('/a/b');
-    expect(getNormalPath('/%zz/../a%')).toBe('/a%');
+    expect(normalizePath('/a/b')).toBe('/a/b');
+    expect(normalizePath('/%zz/../a%')).toBe('/a%');
   });
 });
--- a/packages/model/src/lib/ClassMatcher/ClassMatcher.ts
+++ b/packages/model/src/lib/ClassMatcher/ClassMatcher.ts
@@ -1,12 +1,12 @@
 import type { ClassRule, Rules, ServiceClass } from '../Register.js';
-import { getNormalPath, isPathUnder } from './getNormalPath.js';
+import { normalizePath, isPathUnder } from './normalizePath.js';
 
 /**
  * What a request shows of itself before it is given a class.
  *
  * @public
  */
-export interface RequestFacts {
+export interface RequestAttributes {
   service: string;
   workspace: string;
   /** Upper case, as HTTP has it; absent for chat requests. */
@@ -28,7 +28,7 @@
  *
  * @public
  */
-export interface RuleTrial {
+export interface RuleEvaluation {
   /** Its place in `classRules`. */
   index: number;
   rule: ClassRule;
@@ -51,7 +51,7 @@
 /** The first condition that the request does not meet; `path` is normal. */
 function getFailedCondition(
   rule: ClassRule,
-  facts: RequestFacts,
+  facts: RequestAttributes,
   path: string | undefined,
 ): ClassCondition | undefined {
   if (rule.service !== facts.service) {
@@ -80,8 +80,8 @@
     : undefined;
 }
 
-function getPath(facts: RequestFacts): string | undefined {
-  return facts.path === undefined ? undefined : getNormalPath(facts.path);
+function getPath(facts: RequestAttributes): string | undefined {
+  return facts.path === undefined ? undefined : normalizePath(facts.path);
 }
 
 /**
@@ -110,7 +110,7 @@
   }
 
   /** The class of the first rule that matches, or undefined when none does. */
-  getClass(facts: RequestFacts): ServiceClass | undefined {
+  getClass(facts: RequestAttributes): ServiceClass | undefined {
     const rules = this.services.get(facts.service);
     if (rules === undefined) {
       return undefined;
@@ -126,7 +126,7 @@
   }
 
   /** Every rule up to the one that decides, with the condition that ruled it out. */
-  explain(facts: RequestFacts): RuleTrial[] {
+  explain(facts: RequestAttributes): RuleEvaluation[] {
     const path = getPath(facts);
     const trials = this.rules.classRules.map((rule, index) => ({
       index,
@@ -163,6 +163,6 @@
  * ```
  * @public
  */
-export function getClass(rules: Rules, facts: RequestFacts): ServiceClass | undefined {
+export function getClass(rules: Rules, facts: RequestAttributes): ServiceClass | undefined {
   return new ClassMatcher(rules).getClass(facts);
 }
--- a/packages/model/src/lib/ClassMatcher/getNormalPath.ts
+++ b/packages/model/src/lib/ClassMatcher/normalizePath.ts
@@ -23,7 +23,7 @@
  * ```
  * @public
  */
-export function getNormalPath(path: string): string {
+export function normalizePath(path: string): string {
   if (!NEEDS_WORK.test(path)) {
     return path;
   }
--- a/packages/model/src/lib/checks/checkRules.ts
+++ b/packages/model/src/lib/checks/checkRules.ts
@@ -1,7 +1,7 @@
 import type { Fault } from '../Diagnostic.js';
 import { getChoice } from '../getSuggestion.js';
 import type { ClassRule, Rules, ServiceClass } from '../Register.js';
-import { isPathUnder } from '../ClassMatcher/getNormalPath.js';
+import { isPathUnder } from '../ClassMatcher/normalizePath.js';
 import { getRepeats } from './getRepeats.js';
 
 /** Floors may hold back at most this share of a service from the order of the tiers. */
--- a/packages/placement/src/bench/measureHolder.ts
+++ b/packages/placement/src/bench/measureHolder.ts
@@ -5,7 +5,7 @@
 import { PlacementManager } from '../lib/PlacementManager/PlacementManager.js';
 import { defaultPlacementOptions } from '../lib/placementOptions.js';
 import { createFleet } from './createFleet.js';
-import type { EngineOrders } from '../lib/EngineOrders/EngineOrders.js';
+import type { EngineClient } from '../lib/EngineClient/EngineClient.js';
 
 const SECOND = 1_000;
 const SETTLING = 1_200 * SECOND;
@@ -66,7 +66,7 @@
   const times = { gained: 0, met: 0 };
   const configuration = createFleet(replicas, ['model-1@1']);
   const { engines } = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
-  const orders: EngineOrders = {
+  const orders: EngineClient = {
     observe: async ({ id }) => {
       counts.looks += 1;
       const loaded = [...engines.get(id)!.names];
@@ -81,7 +81,7 @@
     store: createStore(counts),
     engines: orders,
     getConfiguration: () => configuration,
-    onDecision: ({ kind, at }) => {
+    onEvent: ({ kind, at }) => {
       times.gained = kind === 'lease-gained' ? at : times.gained;
       times.met = kind === 'engine-met' ? at : times.met;
     },
--- a/packages/placement/src/bench/measureLooks.ts
+++ b/packages/placement/src/bench/measureLooks.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
 import { SystemClock } from '@apricotrill/utils';
-import { HttpEngineOrders } from '../lib/HttpEngineOrders/HttpEngineOrders.js';
+import { HttpEngineClient } from '../lib/HttpEngineClient/HttpEngineClient.js';
 import { createFleet } from './createFleet.js';
 
 const WARM_UP = 500;
@@ -27,7 +27,7 @@
   });
   const [{ port }] = await once(worker, 'message');
   const replica = { ...createFleet(1, []).register.replicas[0]!, port };
-  const engines = new HttpEngineOrders(new SystemClock());
+  const engines = new HttpEngineClient(new SystemClock());
   const look = async (count: number) => {
     for (let index = 0; index < count; index += 1) {
       // eslint-disable-next-line no-await-in-loop
--- a/packages/placement/src/bench/measurePlanner.ts
+++ b/packages/placement/src/bench/measurePlanner.ts
@@ -3,7 +3,7 @@
 import { defaultPlacementOptions } from '../lib/placementOptions.js';
 import { PlacementPlanner } from '../lib/PlacementPlanner/PlacementPlanner.js';
 import { createFleet } from './createFleet.js';
-import type { EngineState } from '../lib/EngineOrders/EngineOrders.js';
+import type { EngineState } from '../lib/EngineClient/EngineClient.js';
 
 const MODELS = Array.from({ length: 21 }, (_, index) => `model-${index}@1`);
 const MINIMUM_SPAN = 300;
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -3,18 +3,18 @@
   DesiredEngine,
   DesiredPlacement,
 } from './lib/DesiredPlacement/getDesiredPlacement.js';
-export { EngineUnavailableError } from './lib/EngineOrders/EngineOrders.js';
+export { EngineUnavailableError } from './lib/EngineClient/EngineClient.js';
 export type {
   EngineOrder,
-  EngineOrders,
+  EngineClient,
   EngineState,
   LoadableModel,
   NumberedOrder,
   OrderOutcome,
-} from './lib/EngineOrders/EngineOrders.js';
-export { HttpEngineOrders } from './lib/HttpEngineOrders/HttpEngineOrders.js';
-export { DropReason } from './lib/PlacementDecision.js';
-export type { PlacementDecision, PlacementListener } from './lib/PlacementDecision.js';
+} from './lib/EngineClient/EngineClient.js';
+export { HttpEngineClient } from './lib/HttpEngineClient/HttpEngineClient.js';
+export { DropReason } from './lib/PlacementEvent.js';
+export type { PlacementEvent, PlacementListener } from './lib/PlacementEvent.js';
 export { PlacementManager } from './lib/PlacementManager/PlacementManager.js';
 export type { PlacementSettings } from './lib/PlacementManager/PlacementManager.js';
 export { defaultPlacementOptions } from './lib/placementOptions.js';
--- a/packages/placement/src/lib/EngineOrders/EngineOrders.ts
+++ b/packages/placement/src/lib/EngineClient/EngineClient.ts
@@ -69,7 +69,7 @@
  *
  * @public
  */
-export interface EngineOrders {
+export interface EngineClient {
   /** @throws EngineUnavailableError when no usable answer came */
   observe(replica: Replica): Promise<EngineState>;
   /** @throws EngineUnavailableError when no answer came: the order may have been carried out */
--- a/packages/placement/src/lib/EngineTable/EngineTable.ts
+++ b/packages/placement/src/lib/EngineTable/EngineTable.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { EngineState } from '../EngineOrders/EngineOrders.js';
+import type { EngineState } from '../EngineClient/EngineClient.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
 /** What a holder knows of one engine in its term. */
--- a/packages/placement/src/lib/HttpEngineOrders/HttpEngineOrders.test.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
@@ -4,10 +4,10 @@
 import { ManualClock } from '@apricotrill/utils';
 import type { AddressInfo } from 'node:net';
 import type { Server, ServerResponse } from 'node:http';
-import { settle } from '@apricotrill/standins';
+import { flushTasks } from '@apricotrill/standins';
 import { createConfiguration } from '../../test/PlacementWorld.js';
-import { EngineUnavailableError } from '../EngineOrders/EngineOrders.js';
-import { HttpEngineOrders } from './HttpEngineOrders.js';
+import { EngineUnavailableError } from '../EngineClient/EngineClient.js';
+import { HttpEngineClient } from '../HttpEngineClient/HttpEngineClient.js';
 
 const state = { loaded: ['a@1'], loading: [], role: 'mixed', highestFencingNumber: 3 };
 const order = { kind: 'load' as const, model: 'a', version: '1' };
@@ -17,7 +17,7 @@
   let server: Server;
   let answer: (response: ServerResponse, body: string) => void;
   const clock = new ManualClock();
-  const engines = new HttpEngineOrders(clock);
+  const engines = new HttpEngineClient(clock);
   const replica = createConfiguration({ 'chat-1': [] }).register.replicas[0]!;
 
   beforeAll(async () => {
@@ -87,7 +87,7 @@
     answer = (response) => response.writeHead(200).write('{"loaded":');
     const look = engines.observe(replica);
     await hasHeaders;
-    await settle();
+    await flushTasks();
     clock.advance(2_000);
     await expect(look).rejects.toThrow(EngineUnavailableError);
   });
--- a/packages/placement/src/lib/HttpEngineOrders/HttpEngineOrders.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.ts
@@ -3,14 +3,14 @@
 import type { Replica } from '@apricotrill/model';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { EngineRole } from '@apricotrill/model';
-import { EngineUnavailableError } from '../EngineOrders/EngineOrders.js';
+import { EngineUnavailableError } from '../EngineClient/EngineClient.js';
 import { defaultPlacementOptions } from '../placementOptions.js';
 import type {
-  EngineOrders,
+  EngineClient,
   EngineState,
   NumberedOrder,
   OrderOutcome,
-} from '../EngineOrders/EngineOrders.js';
+} from '../EngineClient/EngineClient.js';
 
 /** How long each kind of call may take. */
 interface HttpEngineOptions {
@@ -83,7 +83,7 @@
  * ```
  * @public
  */
-export class HttpEngineOrders implements EngineOrders {
+export class HttpEngineClient implements EngineClient {
   /** Idle connections are dropped soon: one that went silent would cost the next call its timeout. */
   private readonly agent = new Agent({ keepAliveTimeout: MAXIMUM_IDLE, connections: 2 });
 
--- a/packages/placement/src/lib/PlacementDecision.ts
+++ b/packages/placement/src/lib/PlacementEvent.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { EngineOrder } from './EngineOrders/EngineOrders.js';
+import type { EngineOrder } from './EngineClient/EngineClient.js';
 import type { OrderReason } from './PlacementPlanner/PlacementPlanner.js';
 
 /** Why a planned order was not sent. */
@@ -46,7 +46,7 @@
  *
  * @public
  */
-export type PlacementDecision =
+export type PlacementEvent =
   | (DecisionContext & { kind: 'lease-gained'; fencingNumber: number })
   | (DecisionContext & { kind: 'lease-lost' })
   /** The first answer of an engine in a term; says whether the engine checks fencing numbers. */
@@ -61,4 +61,4 @@
  *
  * @public
  */
-export type PlacementListener = (decision: PlacementDecision) => void;
+export type PlacementListener = (decision: PlacementEvent) => void;
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { createRandom } from '@apricotrill/utils';
-import { createDelays } from '@apricotrill/standins';
+import { createDelayGenerator } from '@apricotrill/standins';
 import { PlacementWorld, worldOptions } from '../../test/PlacementWorld.js';
 import type { Placements } from '../../test/PlacementWorld.js';
 
@@ -134,7 +134,7 @@
         fc.commands(commandArbitraries, { maxCommands: 25, size: '+1' }),
         async (seed, placements, commands) => {
           const accepted: Accepted = { placements };
-          const world = new PlacementWorld(placements, createDelays(createRandom(seed)));
+          const world = new PlacementWorld(placements, createDelayGenerator(createRandom(seed)));
           await fc.asyncModelRun(() => ({ model: accepted, real: world }), commands);
           await heal(world);
           expect(world.getLoaded()).toEqual(accepted.placements);
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
@@ -1,5 +1,5 @@
 import { PlacementWorld, worldOptions } from '../../test/PlacementWorld.js';
-import { DropReason } from '../PlacementDecision.js';
+import { DropReason } from '../PlacementEvent.js';
 import type { Arrival } from '../../test/FakeEngine.js';
 import type { Placements } from '../../test/PlacementWorld.js';
 
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.ts
@@ -6,8 +6,8 @@
 import { ServicePlacement } from '../ServicePlacement/ServicePlacement.js';
 import { TokenBucket } from '../TokenBucket/TokenBucket.js';
 import { getLoadRates } from './getLoadRates.js';
-import type { EngineOrders } from '../EngineOrders/EngineOrders.js';
-import type { PlacementListener } from '../PlacementDecision.js';
+import type { EngineClient } from '../EngineClient/EngineClient.js';
+import type { PlacementListener } from '../PlacementEvent.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
 /**
@@ -21,14 +21,14 @@
   clock: Clock;
   random: Random;
   store: PlatformStore;
-  engines: EngineOrders;
+  engines: EngineClient;
   /** The configuration in force at this daemon; the same object until another is in force. */
   getConfiguration: () => Configuration | undefined;
   /** The ids of the live daemons, over which duties spread; this daemon alone when absent. */
   getMembers?: () => readonly string[];
   options?: PlacementOptions;
   /** Told each decision, for its log line. */
-  onDecision: PlacementListener;
+  onEvent: PlacementListener;
 }
 
 interface Duty {
@@ -147,7 +147,7 @@
   }
 
   private createDuty(service: string): Duty {
-    const { clock, engines, getConfiguration, onDecision } = this.settings;
+    const { clock, engines, getConfiguration, onEvent: onDecision } = this.settings;
     const loads = new TokenBucket({ perSecond: 1, capacity: 1, initial: 0 }, clock.now());
     const placement = new ServicePlacement({
       service,
--- a/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
+++ b/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
@@ -5,7 +5,7 @@
 import { getBaseName, getLoadableName } from '../modelName.js';
 import { defaultPlacementOptions } from '../placementOptions.js';
 import { PlacementPlanner } from './PlacementPlanner.js';
-import type { EngineState } from '../EngineOrders/EngineOrders.js';
+import type { EngineState } from '../EngineClient/EngineClient.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
 const IDS = ['chat-1', 'chat-2', 'chat-3', 'chat-4'];
--- a/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.ts
+++ b/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.ts
@@ -1,7 +1,7 @@
 import { isUnloadable } from '../DesiredPlacement/getDesiredPlacement.js';
 import { getBaseName, getLoadableModel, getLoadableName } from '../modelName.js';
 import type { DesiredEngine, DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
-import type { EngineOrder, EngineState } from '../EngineOrders/EngineOrders.js';
+import type { EngineOrder, EngineState } from '../EngineClient/EngineClient.js';
 
 /** Why an order is given. */
 export enum OrderReason {
--- a/packages/placement/src/lib/ServicePlacement/OrderSender.ts
+++ b/packages/placement/src/lib/ServicePlacement/OrderSender.ts
@@ -1,11 +1,11 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Configuration } from '@apricotrill/model';
 import { isConverged, isReflected } from './isConverged.js';
-import { DropReason } from '../PlacementDecision.js';
+import { DropReason } from '../PlacementEvent.js';
 import type { DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
-import type { EngineState, OrderOutcome } from '../EngineOrders/EngineOrders.js';
+import type { EngineState, OrderOutcome } from '../EngineClient/EngineClient.js';
 import type { EngineTable } from '../EngineTable/EngineTable.js';
-import type { OrderContext, OrderEvent } from '../PlacementDecision.js';
+import type { OrderContext, OrderEvent } from '../PlacementEvent.js';
 import type { PlannedOrder, Witness } from '../PlacementPlanner/PlacementPlanner.js';
 import type { ServiceSettings } from './ServiceSettings.js';
 
--- a/packages/placement/src/lib/ServicePlacement/ServiceSettings.ts
+++ b/packages/placement/src/lib/ServicePlacement/ServiceSettings.ts
@@ -1,8 +1,8 @@
 import type { Configuration } from '@apricotrill/model';
 import type { Clock } from '@apricotrill/utils';
 import type { LeaseManager } from '@apricotrill/lease';
-import type { EngineOrders } from '../EngineOrders/EngineOrders.js';
-import type { PlacementListener } from '../PlacementDecision.js';
+import type { EngineClient } from '../EngineClient/EngineClient.js';
+import type { PlacementListener } from '../PlacementEvent.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { TokenBucket } from '../TokenBucket/TokenBucket.js';
 
@@ -11,7 +11,7 @@
   service: string;
   clock: Clock;
   lease: LeaseManager;
-  engines: EngineOrders;
+  engines: EngineClient;
   getConfiguration: () => Configuration | undefined;
   options: PlacementOptions;
   /** Looks at engines, shared by all duties of the daemon. */
--- a/packages/placement/src/lib/ServicePlacement/isConverged.ts
+++ b/packages/placement/src/lib/ServicePlacement/isConverged.ts
@@ -2,7 +2,7 @@
 import { isUnloadable } from '../DesiredPlacement/getDesiredPlacement.js';
 import { getLoadableName } from '../modelName.js';
 import type { DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
-import type { EngineOrder, EngineState } from '../EngineOrders/EngineOrders.js';
+import type { EngineOrder, EngineState } from '../EngineClient/EngineClient.js';
 
 /**
  * Whether an engine is as it should be, so that it need not be looked at soon.
--- a/packages/placement/src/lib/modelName.ts
+++ b/packages/placement/src/lib/modelName.ts
@@ -1,4 +1,4 @@
-import type { LoadableModel } from './EngineOrders/EngineOrders.js';
+import type { LoadableModel } from './EngineClient/EngineClient.js';
 
 const NAME_FORM = /^([^\s:@]+)(?::([^\s:@]+))?(?:@([^\s:@]+))?$/;
 
--- a/packages/placement/src/test/Daemon.ts
+++ b/packages/placement/src/test/Daemon.ts
@@ -1,9 +1,9 @@
 import type { Configuration } from '@apricotrill/model';
 import type { ManualClock, Milliseconds, Random } from '@apricotrill/utils';
-import { Link, PausableClock } from '@apricotrill/standins';
+import { SimulatedLink, PausableClock } from '@apricotrill/standins';
 import { PlacementManager } from '../lib/PlacementManager/PlacementManager.js';
-import type { EngineOrders } from '../lib/EngineOrders/EngineOrders.js';
-import type { PlacementDecision } from '../lib/PlacementDecision.js';
+import type { EngineClient } from '../lib/EngineClient/EngineClient.js';
+import type { PlacementEvent } from '../lib/PlacementEvent.js';
 import type { PlacementOptions } from '../lib/placementOptions.js';
 import type { FakeEngine } from './FakeEngine.js';
 import type { FakeStore } from './FakeStore.js';
@@ -13,7 +13,7 @@
   clock: ManualClock;
   store: FakeStore;
   engines: Map<string, FakeEngine>;
-  decisions: (PlacementDecision & { daemon: string })[];
+  decisions: (PlacementEvent & { daemon: string })[];
   random: Random;
   options: PlacementOptions;
   getDelay: () => Milliseconds;
@@ -28,14 +28,14 @@
 
   configuration: Configuration;
 
-  private readonly link: Link;
+  private readonly link: SimulatedLink;
 
   constructor(
     readonly id: string,
     private readonly world: DaemonSurroundings,
   ) {
     this.clock = new PausableClock(world.clock);
-    this.link = new Link(world.clock, this.clock, () => world.getDelay());
+    this.link = new SimulatedLink(world.clock, this.clock, () => world.getDelay());
     this.configuration = world.configuration;
     this.manager = this.start();
   }
@@ -62,11 +62,11 @@
       getConfiguration: () => this.configuration,
       getMembers: () => ['daemon-1', 'daemon-2', 'daemon-3'],
       options: world.options,
-      onDecision: (decision) => world.decisions.push({ ...decision, daemon: this.id }),
+      onEvent: (decision) => world.decisions.push({ ...decision, daemon: this.id }),
     });
   }
 
-  private createEngines(): EngineOrders {
+  private createEngines(): EngineClient {
     const { engines, options } = this.world;
     const { observeTimeout, orderTimeout } = options;
     return {
--- a/packages/placement/src/test/FakeEngine.ts
+++ b/packages/placement/src/test/FakeEngine.ts
@@ -8,7 +8,7 @@
   EngineState,
   NumberedOrder,
   OrderOutcome,
-} from '../lib/EngineOrders/EngineOrders.js';
+} from '../lib/EngineClient/EngineClient.js';
 
 const LOAD_TIME: Milliseconds = 3_000;
 
--- a/packages/placement/src/test/FakeStore.ts
+++ b/packages/placement/src/test/FakeStore.ts
@@ -1,7 +1,7 @@
 import { parseLeaseRecord } from '@apricotrill/lease';
 import { StoreUnavailableError } from '@apricotrill/store';
-import type { PlatformStore, PutOutcome, StoredObject } from '@apricotrill/store';
-import type { Link } from '@apricotrill/standins';
+import type { PlatformStore, PutResult, StoredObject } from '@apricotrill/store';
+import type { SimulatedLink } from '@apricotrill/standins';
 
 /** A lease granted, as the store saw it. */
 export interface Grant {
@@ -27,7 +27,7 @@
 
   private version = 100;
 
-  connect(link: Link): PlatformStore {
+  connect(link: SimulatedLink): PlatformStore {
     // Longer than the lease waits: giving up a silent call is the lease's own task.
     const timeout = 60_000;
     return {
@@ -46,7 +46,7 @@
     return this.objects.get(key);
   }
 
-  private put(key: string, value: string, expectedVersion: number): PutOutcome {
+  private put(key: string, value: string, expectedVersion: number): PutResult {
     const outcome = this.write(key, value, expectedVersion);
     if (outcome.kind === 'accepted' && this.lostAnswers > 0) {
       this.lostAnswers -= 1;
@@ -55,7 +55,7 @@
     return outcome;
   }
 
-  private write(key: string, value: string | undefined, expectedVersion: number): PutOutcome {
+  private write(key: string, value: string | undefined, expectedVersion: number): PutResult {
     const current = this.get(key);
     if ((current?.version ?? 0) !== expectedVersion) {
       return { kind: 'conflict', current };
--- a/packages/placement/src/test/PlacementWorld.ts
+++ b/packages/placement/src/test/PlacementWorld.ts
@@ -2,12 +2,12 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import type { Configuration, Replica } from '@apricotrill/model';
 import type { Milliseconds, Random } from '@apricotrill/utils';
-import { advance, settle } from '@apricotrill/standins';
+import { advanceClock, flushTasks } from '@apricotrill/standins';
 import { defaultPlacementOptions } from '../lib/placementOptions.js';
 import { Daemon } from './Daemon.js';
 import { FakeEngine } from './FakeEngine.js';
 import { FakeStore } from './FakeStore.js';
-import type { PlacementDecision } from '../lib/PlacementDecision.js';
+import type { PlacementEvent } from '../lib/PlacementEvent.js';
 import type { PlacementOptions } from '../lib/placementOptions.js';
 
 export const worldOptions = { ...defaultPlacementOptions, observeConverged: 10_000 };
@@ -43,7 +43,7 @@
 
   readonly weights = { refusesUntil: 0 };
 
-  readonly decisions: (PlacementDecision & { daemon: string })[] = [];
+  readonly decisions: (PlacementEvent & { daemon: string })[] = [];
 
   readonly engines = new Map<string, FakeEngine>();
 
@@ -83,19 +83,19 @@
   }
 
   async advance(span: Milliseconds): Promise<void> {
-    await advance(this.clock, span, () => this.checkHolders());
+    await advanceClock(this.clock, span, () => this.checkHolders());
   }
 
   /** Moves time on until something is the case; fails after ten minutes of that time. */
   async until(isDone: () => boolean): Promise<void> {
     const limit = this.clock.now() + 600_000;
-    await settle();
+    await flushTasks();
     while (!isDone()) {
       if (!this.clock.runNext(limit)) {
         throw new Error('it never came');
       }
       // eslint-disable-next-line no-await-in-loop
-      await settle();
+      await flushTasks();
       this.checkHolders();
     }
   }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,10 +1,10 @@
 export type { Baseline } from './lib/baselines/Baseline.js';
 export {
-  createFirstInFirstOut,
-  createLeastOutstanding,
-  createStrictPriority,
+  createFifoBaseline,
+  createLeastOutstandingBaseline,
+  createStrictPriorityBaseline,
 } from './lib/baselines/createBaselines.js';
-export { AttemptEnd, CancelReason, GiveUpReason, Outcome } from './lib/messages.js';
+export { AttemptStatus, CancelReason, GiveUpReason, ExecutionOutcome } from './lib/messages.js';
 export type {
   LoadReport,
   ScheduledRequest,
@@ -14,5 +14,5 @@
 export { defaultPolicyOptions } from './lib/policyOptions.js';
 export type { PolicyOptions } from './lib/policyOptions.js';
 export { Scheduler } from './lib/Scheduler/Scheduler.js';
-export type { SchedulerParts, SchedulerSnapshot } from './lib/Scheduler/Scheduler.js';
+export type { SchedulerSettings, SchedulerSnapshot } from './lib/Scheduler/Scheduler.js';
 export type { ReplicaSnapshot, ServiceSnapshot } from './lib/Scheduler/getServiceSnapshot.js';
--- a/packages/policy/src/lib/Scheduler/ReplicaReview.ts
+++ b/packages/policy/src/lib/Scheduler/ReplicaReview.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import { AttemptEnd } from '../messages.js';
+import { AttemptStatus } from '../messages.js';
 import type { PolicyOptions } from '../policyOptions.js';
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
@@ -47,13 +47,13 @@
   }
 
   /** Notes that an attempt failed, and avoids its replica if that is likely to happen again. */
-  noteFailure(state: ReplicaState, end: AttemptEnd, retryAfter: Milliseconds | undefined): void {
+  noteFailure(state: ReplicaState, end: AttemptStatus, retryAfter: Milliseconds | undefined): void {
     const { clock, options, table } = this.parts;
     const now = clock.now();
     const until =
-      end === AttemptEnd.Refused
+      end === AttemptStatus.Refused
         ? now + Math.min(options.maxAvoidance, retryAfter ?? options.avoidance)
-        : state.fail(now, end === AttemptEnd.NotSent);
+        : state.fail(now, end === AttemptStatus.NotSent);
     if (until !== undefined) {
       table.avoid(state, until);
     }
--- a/packages/policy/src/lib/Scheduler/RequestRecord.ts
+++ b/packages/policy/src/lib/Scheduler/RequestRecord.ts
@@ -1,7 +1,7 @@
 import { getHash } from '@apricotrill/utils';
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { QueuePlace } from '../ClassFairQueue/QueuePlace.js';
-import { AttemptEnd, Outcome } from '../messages.js';
+import { AttemptStatus, ExecutionOutcome } from '../messages.js';
 import type { ScheduledRequest } from '../messages.js';
 import type { Wish } from '../ReplicaChooser/ReplicaChooser.js';
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
@@ -130,15 +130,17 @@
   }
 
   get deadline(): Milliseconds {
-    return this.request.arrived + this.request.serviceClass.deadline;
+    return this.request.arrivedAt + this.request.serviceClass.deadline;
   }
 
   /** What its caller may be told if it is given up now. */
-  get outcome(): Outcome {
+  get outcome(): ExecutionOutcome {
     if (!this.mayHaveRun) {
-      return Outcome.NotRun;
+      return ExecutionOutcome.NotRun;
     }
-    return this.request.serviceClass.repeatable ? Outcome.Failed : Outcome.Unknown;
+    return this.request.serviceClass.repeatable
+      ? ExecutionOutcome.Failed
+      : ExecutionOutcome.Unknown;
   }
 
   /** Whether it could go on at another replica without the caller noticing. */
@@ -203,9 +205,9 @@
   }
 
   /** Notes how the attempt ended. */
-  end(end: AttemptEnd): void {
+  end(end: AttemptStatus): void {
     this.currentAttempt = undefined;
-    if (end !== AttemptEnd.NotSent && end !== AttemptEnd.Refused) {
+    if (end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused) {
       this.mayHaveRun = true;
     }
   }
--- a/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
@@ -3,7 +3,7 @@
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
 import { Harness } from '../../test/Harness.js';
 import { SchedulerOracle } from '../../test/SchedulerOracle.js';
-import { AttemptEnd } from '../messages.js';
+import { AttemptStatus } from '../messages.js';
 import type { SchedulerMessage } from '../messages.js';
 
 type SchedulerCommand = fc.Command<SchedulerOracle, Harness>;
@@ -32,7 +32,12 @@
 }
 
 /** Ends the live attempt of some request. */
-function endLive(oracle: SchedulerOracle, harness: Harness, pick: number, end: AttemptEnd): void {
+function endLive(
+  oracle: SchedulerOracle,
+  harness: Harness,
+  pick: number,
+  end: AttemptStatus,
+): void {
   const now = harness.clock.now();
   const running = oracle.getOpen().filter((story) => oracle.getLive(story, now) !== undefined);
   const story = running[pick % running.length];
@@ -89,13 +94,13 @@
   .tuple(
     fc.nat(),
     fc.constantFrom(
-      AttemptEnd.Completed,
-      AttemptEnd.Completed,
-      AttemptEnd.NotSent,
-      AttemptEnd.Refused,
-      AttemptEnd.Broken,
-      AttemptEnd.Errored,
-      AttemptEnd.Cancelled,
+      AttemptStatus.Completed,
+      AttemptStatus.Completed,
+      AttemptStatus.NotSent,
+      AttemptStatus.Refused,
+      AttemptStatus.Broken,
+      AttemptStatus.Errored,
+      AttemptStatus.Cancelled,
     ),
   )
   .map(([pick, how]) =>
@@ -184,7 +189,7 @@
   tellBoth(oracle, harness, { kind: 'replica-returned', replica: 'replica-1' });
   tellBoth(oracle, harness, { kind: 'replicas', replicas: [createReplica('replica-1')] });
   for (let round = 0; round < ROUNDS && oracle.getOpen().length > 0; round += 1) {
-    endLive(oracle, harness, round, AttemptEnd.Completed);
+    endLive(oracle, harness, round, AttemptStatus.Completed);
     advanceBoth(oracle, harness, 100);
   }
 }
--- a/packages/policy/src/lib/Scheduler/Scheduler.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.test.ts
@@ -1,7 +1,7 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
 import { getBrief, Harness } from '../../test/Harness.js';
-import { AttemptEnd } from '../messages.js';
+import { AttemptStatus } from '../messages.js';
 import { Scheduler } from './Scheduler.js';
 
 describe('Scheduler', () => {
@@ -11,7 +11,7 @@
     ['first', 'second'].forEach((id) => harness.submit(createRequest(id, classes.draft)));
     expect(scheduler.getSnapshot()).toMatchObject({ waiting: 1, running: 1 });
     harness.progress('first');
-    harness.end('first', AttemptEnd.Completed);
+    harness.end('first', AttemptStatus.Completed);
     expect(getBrief(harness.effects)).toEqual(['dispatch first', 'done first', 'dispatch second']);
   });
 
@@ -25,7 +25,7 @@
       options: { maxWaitingPerClass: 10_000 },
       emit: ({ kind, id }) => {
         if (kind === 'dispatch' && id !== 'first') {
-          scheduler.handle({ kind: 'attempt-ended', id, attempt: 1, end: AttemptEnd.Completed });
+          scheduler.handle({ kind: 'attempt-ended', id, attempt: 1, end: AttemptStatus.Completed });
         } else if (kind === 'done') {
           ended.push(id);
         }
@@ -36,7 +36,12 @@
     ids.forEach((id) =>
       scheduler.handle({ kind: 'submit', request: createRequest(id, classes.chat) }),
     );
-    scheduler.handle({ kind: 'attempt-ended', id: 'first', attempt: 1, end: AttemptEnd.Completed });
+    scheduler.handle({
+      kind: 'attempt-ended',
+      id: 'first',
+      attempt: 1,
+      end: AttemptStatus.Completed,
+    });
     expect(ended).toEqual(ids);
   });
 });
--- a/packages/policy/src/lib/Scheduler/Scheduler.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.ts
@@ -1,7 +1,7 @@
 import type { Replica } from '@apricotrill/model';
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
-import { GiveUpReason, Outcome } from '../messages.js';
+import { GiveUpReason, ExecutionOutcome } from '../messages.js';
 import type { ScheduledRequest, SchedulerEffect, SchedulerMessage } from '../messages.js';
 import { defaultPolicyOptions } from '../policyOptions.js';
 import type { PolicyOptions } from '../policyOptions.js';
@@ -17,7 +17,7 @@
  *
  * @public
  */
-export interface SchedulerParts {
+export interface SchedulerSettings {
   clock: Clock;
   random: Random;
   /** What differs from the defaults. */
@@ -78,7 +78,7 @@
 
   private isDraining = false;
 
-  constructor({ clock, random, options, emit }: SchedulerParts) {
+  constructor({ clock, random, options, emit }: SchedulerSettings) {
     this.options = { ...defaultPolicyOptions, ...options };
     this.random = random;
     this.tasks = new TaskQueue(clock, emit);
@@ -167,7 +167,7 @@
     this.tasks.emit({
       kind: 'give-up',
       id: request.id,
-      outcome: Outcome.NotRun,
+      outcome: ExecutionOutcome.NotRun,
       reason: this.isDraining ? GiveUpReason.Draining : GiveUpReason.NoReplica,
       retryAfter: this.options.minRetryAfter,
     });
--- a/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
+++ b/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
@@ -1,8 +1,8 @@
 import type { Replica } from '@apricotrill/model';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
-import { AttemptEnd, CancelReason, GiveUpReason } from '../messages.js';
-import type { LoadReport, Outcome, ScheduledRequest } from '../messages.js';
+import { AttemptStatus, CancelReason, GiveUpReason } from '../messages.js';
+import type { LoadReport, ExecutionOutcome, ScheduledRequest } from '../messages.js';
 import { ReplicaChooser } from '../ReplicaChooser/ReplicaChooser.js';
 import { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
 import { Reserve } from '../Reserve/Reserve.js';
@@ -21,7 +21,7 @@
 interface GivingUp {
   reason: GiveUpReason;
   /** What the caller is told if it is not what the attempts say. */
-  outcome?: Outcome;
+  outcome?: ExecutionOutcome;
   retryAfter?: Milliseconds;
 }
 
@@ -66,7 +66,7 @@
       ...parts,
       table: this.table,
       running: this.running,
-      onCancelled: (record) => this.attemptEnded(record, AttemptEnd.Cancelled),
+      onCancelled: (record) => this.attemptEnded(record, AttemptStatus.Cancelled),
       onLate: (record) => this.preempt(this.slots.findLateVictim(record)),
       onSilent: (record) => {
         this.pathSilent(record.attempt!.state.id);
@@ -144,13 +144,13 @@
     }
   }
 
-  attemptEnded(record: RequestRecord, end: AttemptEnd, retryAfter?: Milliseconds): void {
+  attemptEnded(record: RequestRecord, end: AttemptStatus, retryAfter?: Milliseconds): void {
     const attempt = record.attempt!;
     if (record.phase === Phase.Running) {
       this.attempts.release(record);
     }
     record.end(end);
-    if (end === AttemptEnd.Completed) {
+    if (end === AttemptStatus.Completed) {
       this.budget.earn();
       this.review.noteSuccess(attempt.state);
     } else if (!attempt.isOwnCancel) {
@@ -254,7 +254,7 @@
     return victim !== undefined;
   }
 
-  private goOn(record: RequestRecord, end: AttemptEnd, isOwnCancel: boolean): void {
+  private goOn(record: RequestRecord, end: AttemptStatus, isOwnCancel: boolean): void {
     const { clock, options, emit } = this.parts;
     const now = clock.now();
     const takeRetry = () => this.budget.take(now, record.isUrgent);
--- a/packages/policy/src/lib/Scheduler/admission.test.ts
+++ b/packages/policy/src/lib/Scheduler/admission.test.ts
@@ -1,14 +1,14 @@
 import { getBrief, Harness } from '../../test/Harness.js';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
-import { AttemptEnd, GiveUpReason, Outcome } from '../messages.js';
+import { AttemptStatus, GiveUpReason, ExecutionOutcome } from '../messages.js';
 
-const NOT_RUN = { kind: 'give-up', outcome: Outcome.NotRun };
+const NOT_RUN = { kind: 'give-up', outcome: ExecutionOutcome.NotRun };
 
 /** Draws out a queue: one request of the class is served every second. */
 function serveSlowly(harness: Harness, count: number): void {
   for (let index = 0; index < count; index += 1) {
     harness.advance(1000);
-    harness.end(harness.getAll('dispatch').at(-1)!.id, AttemptEnd.Completed);
+    harness.end(harness.getAll('dispatch').at(-1)!.id, AttemptStatus.Completed);
   }
 }
 
@@ -21,7 +21,7 @@
       harness.submit(createRequest(id, classes.draft)),
     );
     expect(harness.getAll('give-up')).toMatchObject([
-      { id: 'draft-3', reason: GiveUpReason.Overload, outcome: Outcome.NotRun },
+      { id: 'draft-3', reason: GiveUpReason.Overload, outcome: ExecutionOutcome.NotRun },
     ]);
     ['hold-1', 'hold-2', 'hold-3', 'hold-4'].forEach((id) =>
       harness.submit(createRequest(id, classes.hold)),
@@ -74,8 +74,8 @@
     submit('c');
     harness.tell({ kind: 'drain' });
     expect(submit('d')).toMatchObject([{ ...NOT_RUN, reason: GiveUpReason.Draining }]);
-    expect(getBrief(harness.end('b', AttemptEnd.Completed))).toEqual(['done b', 'dispatch c']);
-    expect(getBrief(harness.end('c', AttemptEnd.Completed))).toEqual(['done c']);
+    expect(getBrief(harness.end('b', AttemptStatus.Completed))).toEqual(['done b', 'dispatch c']);
+    expect(getBrief(harness.end('c', AttemptStatus.Completed))).toEqual(['done c']);
   });
 
   it('cancels upstream for a caller that leaves and forgets it wherever it is', () => {
@@ -97,7 +97,7 @@
     const submit = (id: string, name: keyof typeof classes) =>
       harness.submit(createRequest(id, classes[name]));
     submit('chat', 'chat');
-    harness.end('chat', AttemptEnd.Completed);
+    harness.end('chat', AttemptStatus.Completed);
     for (let index = 0; index < 10; index += 1) {
       submit(`draft-${index}`, 'draft');
     }
@@ -105,7 +105,7 @@
     ['chat-1', 'chat-2'].forEach((id) =>
       expect(getBrief(submit(id, 'chat'))).toEqual([`dispatch ${id}`]),
     );
-    ['chat-1', 'chat-2'].forEach((id) => harness.end(id, AttemptEnd.Completed));
+    ['chat-1', 'chat-2'].forEach((id) => harness.end(id, AttemptStatus.Completed));
     expect(harness.scheduler.getSnapshot()).toMatchObject({ running: 8 });
     harness.advance(100);
     submit('draft-10', 'draft');
@@ -134,14 +134,14 @@
     for (let index = 0; index < 4; index += 1) {
       harness.submit(createRequest(`gate-${index}`, classes.gate));
     }
-    harness.end('draft', AttemptEnd.Completed);
+    harness.end('draft', AttemptStatus.Completed);
     harness.submit(createRequest('gate-4', classes.gate));
     harness.submit(createRequest('starving', { ...classes.draft, floor: 0.2 }));
     let next = 5;
     while (!getBrief(harness.effects).includes('dispatch starving') && next < 12) {
       harness.submit(createRequest(`gate-${next}`, classes.gate));
       next += 1;
-      harness.end(`gate-${next - 6}`, AttemptEnd.Completed);
+      harness.end(`gate-${next - 6}`, AttemptStatus.Completed);
     }
     expect(harness.getDispatch('starving')).toMatchObject({ priority: 0, reason: 'floor' });
   });
--- a/packages/policy/src/lib/Scheduler/getNextStep.ts
+++ b/packages/policy/src/lib/Scheduler/getNextStep.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { AttemptEnd, GiveUpReason, Outcome } from '../messages.js';
+import { AttemptStatus, GiveUpReason, ExecutionOutcome } from '../messages.js';
 import type { RequestRecord } from './RequestRecord.js';
 
 /**
@@ -10,7 +10,7 @@
 export type NextStep =
   | { kind: 'done' }
   | { kind: 'retry' }
-  | { kind: 'give-up'; outcome: Outcome; reason: GiveUpReason };
+  | { kind: 'give-up'; outcome: ExecutionOutcome; reason: GiveUpReason };
 
 /**
  * What the decision rests on besides the request.
@@ -18,7 +18,7 @@
  * @internal
  */
 export interface StepContext {
-  end: AttemptEnd;
+  end: AttemptStatus;
   /** The scheduler ended the attempt for reasons of its own: that counts as no failure. */
   isOwnCancel: boolean;
   now: Milliseconds;
@@ -42,11 +42,15 @@
  */
 export function getNextStep(record: RequestRecord, context: StepContext): NextStep {
   const { end, isOwnCancel, now, maxFailures, takeRetry } = context;
-  if (end === AttemptEnd.Completed) {
+  if (end === AttemptStatus.Completed) {
     return { kind: 'done' };
   }
-  if (end === AttemptEnd.Errored) {
-    return { kind: 'give-up', outcome: Outcome.Failed, reason: GiveUpReason.ReplicaFailed };
+  if (end === AttemptStatus.Errored) {
+    return {
+      kind: 'give-up',
+      outcome: ExecutionOutcome.Failed,
+      reason: GiveUpReason.ReplicaFailed,
+    };
   }
   if (record.hasMaybeRun && !record.request.serviceClass.repeatable) {
     return giveUp(record, GiveUpReason.MayHaveRun);
--- a/packages/policy/src/lib/Scheduler/preemption.test.ts
+++ b/packages/policy/src/lib/Scheduler/preemption.test.ts
@@ -1,6 +1,6 @@
 import { getBrief, Harness } from '../../test/Harness.js';
 import { classes, createRequest } from '../../test/fixtures.js';
-import { AttemptEnd, CancelReason } from '../messages.js';
+import { AttemptStatus, CancelReason } from '../messages.js';
 
 function submit(harness: Harness, id: string, name: keyof typeof classes) {
   return getBrief(harness.submit(createRequest(id, classes[name])));
@@ -25,8 +25,8 @@
     const harness = createFull('draft', 'chat');
     expect(submit(harness, 'gate', 'gate')).toEqual(['cancel draft', 'dispatch gate']);
     expect(harness.getAll('cancel').at(-1)!.reason).toBe(CancelReason.Preempted);
-    harness.end('draft', AttemptEnd.Cancelled);
-    expect(getBrief(harness.end('gate', AttemptEnd.Completed))).toEqual([
+    harness.end('draft', AttemptStatus.Cancelled);
+    expect(getBrief(harness.end('gate', AttemptStatus.Completed))).toEqual([
       'done gate',
       'dispatch draft',
     ]);
@@ -60,16 +60,16 @@
     // its first attempt still hands over a token that had arrived. Cause: resumed too early.
     const harness = createFull('draft');
     submit(harness, 'gate', 'gate');
-    harness.end('gate', AttemptEnd.Completed);
+    harness.end('gate', AttemptStatus.Completed);
     harness.progress('draft', 3);
-    expect(getBrief(harness.end('draft', AttemptEnd.Cancelled))).toEqual(['dispatch draft']);
+    expect(getBrief(harness.end('draft', AttemptStatus.Cancelled))).toEqual(['dispatch draft']);
     expect(harness.getDispatch('draft').resumeAt).toBe(11);
   });
 
   it('goes on when the owner never reports the end of what it was told to stop', () => {
     const harness = createFull('draft');
     submit(harness, 'gate', 'gate');
-    harness.end('gate', AttemptEnd.Completed);
+    harness.end('gate', AttemptStatus.Completed);
     expect(getBrief(harness.advance(249))).toEqual([]);
     expect(getBrief(harness.advance(1))).toEqual(['dispatch draft']);
   });
@@ -77,7 +77,7 @@
   it('is done when the whole answer came before the owner could stop it', () => {
     const harness = createFull('draft');
     submit(harness, 'gate', 'gate');
-    expect(getBrief(harness.end('draft', AttemptEnd.Completed))).toEqual(['done draft']);
+    expect(getBrief(harness.end('draft', AttemptStatus.Completed))).toEqual(['done draft']);
   });
 
   it('leaves a request alone after its second preemption', () => {
@@ -85,7 +85,7 @@
     const harness = createFull('draft');
     ['gate-1', 'gate-2', 'gate-3'].forEach((gate) => {
       submit(harness, gate, 'gate');
-      harness.end(gate, AttemptEnd.Completed);
+      harness.end(gate, AttemptStatus.Completed);
       harness.advance(250);
     });
     expect(harness.getAll('cancel').length).toBe(2);
--- a/packages/policy/src/lib/Scheduler/replicas.test.ts
+++ b/packages/policy/src/lib/Scheduler/replicas.test.ts
@@ -1,6 +1,6 @@
 import { getBrief, Harness } from '../../test/Harness.js';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
-import { AttemptEnd, CancelReason } from '../messages.js';
+import { AttemptStatus, CancelReason } from '../messages.js';
 
 let count = 0;
 
@@ -19,7 +19,7 @@
     const { id, replica } = send(harness);
     harness.advance(getDelay(replica));
     harness.progress(id);
-    harness.end(id, AttemptEnd.Completed);
+    harness.end(id, AttemptStatus.Completed);
     replicas.push(replica);
   }
   return replicas;
@@ -43,7 +43,7 @@
     const harness = new Harness({ replicas: 1 });
     const { id } = send(harness);
     harness.tell({ kind: 'replicas', replicas: [] });
-    expect(getBrief(harness.end(id, AttemptEnd.Completed))).toEqual([`done ${id}`]);
+    expect(getBrief(harness.end(id, AttemptStatus.Completed))).toEqual([`done ${id}`]);
   });
 
   it('avoids one that cannot be reached, and tries it again', () => {
@@ -52,7 +52,7 @@
     const harness = new Harness({ replicas: 2, slots: 50 });
     const fail = () => {
       const { id, replica } = send(harness);
-      harness.end(id, replica === 'replica-1' ? AttemptEnd.NotSent : AttemptEnd.Completed);
+      harness.end(id, replica === 'replica-1' ? AttemptStatus.NotSent : AttemptStatus.Completed);
       return replica;
     };
     const used = Array.from({ length: 20 }, fail);
@@ -84,7 +84,7 @@
     expect(harness.advance(tokenGapTimeout + 499)).toEqual([]);
     const cancel = { kind: 'cancel', id, replica, reason: CancelReason.Silent };
     expect(harness.advance(1)).toMatchObject([cancel]);
-    harness.end(id, AttemptEnd.Cancelled);
+    harness.end(id, AttemptStatus.Cancelled);
     expect(harness.getDispatch(id)).toMatchObject({ attempt: 2, resumeAt: 4 });
     expect(harness.getDispatch(id).replica.id).not.toBe(replica);
   });
@@ -126,7 +126,7 @@
     const heads = Array.from({ length: 12 }, (_, prefixHash) => prefixHash);
     const getReplica = (prefixHash: number) => {
       const { id, replica } = send(harness, { prefixHash });
-      harness.end(id, AttemptEnd.Completed);
+      harness.end(id, AttemptStatus.Completed);
       return replica;
     };
     const first = heads.map(getReplica);
--- a/packages/policy/src/lib/Scheduler/retries.test.ts
+++ b/packages/policy/src/lib/Scheduler/retries.test.ts
@@ -1,6 +1,6 @@
 import { Harness } from '../../test/Harness.js';
 import { classes, createRequest } from '../../test/fixtures.js';
-import { AttemptEnd, GiveUpReason, Outcome } from '../messages.js';
+import { AttemptStatus, GiveUpReason, ExecutionOutcome } from '../messages.js';
 
 function submit(harness: Harness, id: string, name: keyof typeof classes) {
   return harness.submit(createRequest(id, classes[name]));
@@ -10,8 +10,8 @@
   it('sends what did not run to another replica, also what may not be repeated', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
-    harness.end('hold', AttemptEnd.NotSent);
-    harness.end('hold', AttemptEnd.Refused);
+    harness.end('hold', AttemptStatus.NotSent);
+    harness.end('hold', AttemptStatus.Refused);
     const replicas = harness.getAll('dispatch').map(({ replica }) => replica.id);
     expect(new Set(replicas).size).toBe(3);
   });
@@ -21,25 +21,31 @@
     // notice was sent, and it is sent elsewhere. Cause: a broken attempt counted as not run.
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
-    harness.end('hold', AttemptEnd.NotSent);
-    expect(harness.end('hold', AttemptEnd.Broken)).toMatchObject([
-      { kind: 'give-up', outcome: Outcome.Unknown, reason: GiveUpReason.MayHaveRun },
+    harness.end('hold', AttemptStatus.NotSent);
+    expect(harness.end('hold', AttemptStatus.Broken)).toMatchObject([
+      { kind: 'give-up', outcome: ExecutionOutcome.Unknown, reason: GiveUpReason.MayHaveRun },
     ]);
   });
 
   it('says not-run only if no attempt may have run', () => {
     // Symptom: a refused caller asks again and the request runs a second time. Sequence: one
     // attempt breaks, the others are refused. Cause: only the last attempt was looked at.
-    const refuse = (first: AttemptEnd) => {
+    const refuse = (first: AttemptStatus) => {
       const harness = new Harness({ replicas: 9 });
       submit(harness, 'report', 'report');
       harness.end('report', first);
-      const ends = Array.from({ length: 3 }, () => harness.end('report', AttemptEnd.Refused));
+      const ends = Array.from({ length: 3 }, () => harness.end('report', AttemptStatus.Refused));
       return ends.at(-1)![0];
     };
     const reason = GiveUpReason.RetriesSpent;
-    expect(refuse(AttemptEnd.Refused)).toMatchObject({ reason, outcome: Outcome.NotRun });
-    expect(refuse(AttemptEnd.Broken)).toMatchObject({ reason, outcome: Outcome.Failed });
+    expect(refuse(AttemptStatus.Refused)).toMatchObject({
+      reason,
+      outcome: ExecutionOutcome.NotRun,
+    });
+    expect(refuse(AttemptStatus.Broken)).toMatchObject({
+      reason,
+      outcome: ExecutionOutcome.Failed,
+    });
   });
 
   it('goes on at the delivered token, and drops word of an earlier attempt', () => {
@@ -49,12 +55,12 @@
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
     harness.progress('chat', 5);
-    harness.end('chat', AttemptEnd.Broken);
+    harness.end('chat', AttemptStatus.Broken);
     harness.tell({ kind: 'progress', id: 'chat', attempt: 1, tokens: 7 });
     const late = { kind: 'attempt-ended' as const, id: 'chat', attempt: 1 };
-    expect(harness.tell({ ...late, end: AttemptEnd.Completed })).toEqual([]);
+    expect(harness.tell({ ...late, end: AttemptStatus.Completed })).toEqual([]);
     harness.progress('chat', 2);
-    harness.end('chat', AttemptEnd.Broken);
+    harness.end('chat', AttemptStatus.Broken);
     expect(harness.getAll('dispatch').map(({ resumeAt }) => resumeAt)).toEqual([0, 5, 7]);
   });
 
@@ -62,16 +68,16 @@
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'report', 'report');
     harness.progress('report');
-    expect(harness.end('report', AttemptEnd.Broken)).toMatchObject([
-      { kind: 'give-up', outcome: Outcome.Failed },
+    expect(harness.end('report', AttemptStatus.Broken)).toMatchObject([
+      { kind: 'give-up', outcome: ExecutionOutcome.Failed },
     ]);
   });
 
   it('does not repeat what a replica ran and failed', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
-    expect(harness.end('chat', AttemptEnd.Errored)).toMatchObject([
-      { kind: 'give-up', outcome: Outcome.Failed, reason: GiveUpReason.ReplicaFailed },
+    expect(harness.end('chat', AttemptStatus.Errored)).toMatchObject([
+      { kind: 'give-up', outcome: ExecutionOutcome.Failed, reason: GiveUpReason.ReplicaFailed },
     ]);
   });
 
@@ -83,7 +89,7 @@
     for (let index = 0; index < 40; index += 1) {
       submit(harness, `chat-${index}`, 'chat');
       while (!harness.getAll('give-up').some(({ id }) => id === `chat-${index}`)) {
-        harness.end(`chat-${index}`, AttemptEnd.Broken);
+        harness.end(`chat-${index}`, AttemptStatus.Broken);
         harness.advance(100);
       }
     }
@@ -93,7 +99,7 @@
   it('comes back to a replica that failed it when there is no other, after a pause', () => {
     const harness = new Harness({ replicas: 1 });
     submit(harness, 'chat', 'chat');
-    expect(harness.end('chat', AttemptEnd.NotSent)).toEqual([]);
+    expect(harness.end('chat', AttemptStatus.NotSent)).toEqual([]);
     expect(harness.advance(49)).toEqual([]);
     expect(harness.advance(2000)).toMatchObject([{ kind: 'dispatch', attempt: 2 }]);
   });
@@ -104,7 +110,7 @@
     const harness = new Harness({ replicas: 1, slots: 1 });
     submit(harness, 'first', 'chat');
     submit(harness, 'second', 'chat');
-    expect(harness.end('first', AttemptEnd.Refused, 10)).toMatchObject([
+    expect(harness.end('first', AttemptStatus.Refused, 10)).toMatchObject([
       { kind: 'dispatch', id: 'second' },
     ]);
   });
--- a/packages/policy/src/lib/baselines/Baseline.ts
+++ b/packages/policy/src/lib/baselines/Baseline.ts
@@ -1,8 +1,8 @@
 import type { Replica } from '@apricotrill/model';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import { AttemptEnd, CancelReason, GiveUpReason, Outcome } from '../messages.js';
+import { AttemptStatus, CancelReason, GiveUpReason, ExecutionOutcome } from '../messages.js';
 import type { ScheduledRequest, SchedulerMessage } from '../messages.js';
-import type { SchedulerParts } from '../Scheduler/Scheduler.js';
+import type { SchedulerSettings } from '../Scheduler/Scheduler.js';
 import { TaskQueue } from '../Scheduler/TaskQueue.js';
 import { Heap } from '../structures/Heap.js';
 import { BaselineJob } from './BaselineJob.js';
@@ -48,7 +48,7 @@
 
   private isDraining = false;
 
-  constructor({ clock, emit }: SchedulerParts, rules: BaselineRules) {
+  constructor({ clock, emit }: SchedulerSettings, rules: BaselineRules) {
     this.tasks = new TaskQueue(clock, emit);
     this.clock = this.tasks.clock;
     this.rules = rules;
@@ -96,7 +96,7 @@
     } else if ((this.queues.get(request.service)?.size ?? 0) >= MAX_WAITING) {
       this.giveUp(job, GiveUpReason.Overload);
     } else {
-      const left = request.arrived + request.serviceClass.deadline - this.clock.now();
+      const left = request.arrivedAt + request.serviceClass.deadline - this.clock.now();
       this.clock.setTimer(left, () => this.expire(job));
       this.enqueue(job);
     }
@@ -128,7 +128,7 @@
   }
 
   private dispatch(job: BaselineJob, replica: Replica): void {
-    const { serviceClass, id, arrived } = job.request;
+    const { serviceClass, id, arrivedAt: arrived } = job.request;
     job.start(replica.id);
     this.changeOutstanding(replica.id, 1);
     this.tasks.emit({
@@ -144,17 +144,17 @@
     });
   }
 
-  private attemptEnded(job: BaselineJob | undefined, end: AttemptEnd): void {
+  private attemptEnded(job: BaselineJob | undefined, end: AttemptStatus): void {
     if (job === undefined) {
       return;
     }
     this.changeOutstanding(job.replica!, -1);
     job.end(end);
-    if (end === AttemptEnd.Completed) {
+    if (end === AttemptStatus.Completed) {
       this.jobs.delete(job.request.id);
       this.tasks.emit({ kind: 'done', id: job.request.id });
-    } else if (end === AttemptEnd.Errored) {
-      this.giveUp(job, GiveUpReason.ReplicaFailed, Outcome.Failed);
+    } else if (end === AttemptStatus.Errored) {
+      this.giveUp(job, GiveUpReason.ReplicaFailed, ExecutionOutcome.Failed);
     } else if (!job.canGoOn) {
       this.giveUp(job, GiveUpReason.MayHaveRun);
     } else if (job.attempt >= MAX_ATTEMPTS) {
@@ -173,7 +173,7 @@
       this.queues.get(job.request.service)?.remove(job);
     } else {
       this.cancel(job, CancelReason.Silent);
-      job.end(AttemptEnd.Cancelled);
+      job.end(AttemptStatus.Cancelled);
     }
     this.giveUp(job, GiveUpReason.Deadline);
     this.pump(job.request.service);
--- a/packages/policy/src/lib/baselines/BaselineJob.ts
+++ b/packages/policy/src/lib/baselines/BaselineJob.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, Outcome } from '../messages.js';
+import { AttemptStatus, ExecutionOutcome } from '../messages.js';
 import type { ScheduledRequest } from '../messages.js';
 
 /**
@@ -41,11 +41,13 @@
     return this.begun;
   }
 
-  get outcome(): Outcome {
+  get outcome(): ExecutionOutcome {
     if (!this.mayHaveRun) {
-      return Outcome.NotRun;
+      return ExecutionOutcome.NotRun;
     }
-    return this.request.serviceClass.repeatable ? Outcome.Failed : Outcome.Unknown;
+    return this.request.serviceClass.repeatable
+      ? ExecutionOutcome.Failed
+      : ExecutionOutcome.Unknown;
   }
 
   get canGoOn(): boolean {
@@ -63,9 +65,9 @@
     this.deliveredTokens += tokens;
   }
 
-  end(end: AttemptEnd): void {
+  end(end: AttemptStatus): void {
     this.failed.add(this.replica!);
     this.replica = undefined;
-    this.mayHaveRun ||= end !== AttemptEnd.NotSent && end !== AttemptEnd.Refused;
+    this.mayHaveRun ||= end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused;
   }
 }
--- a/packages/policy/src/lib/baselines/createBaselines.ts
+++ b/packages/policy/src/lib/baselines/createBaselines.ts
@@ -1,5 +1,5 @@
 import type { Random } from '@apricotrill/utils';
-import type { SchedulerParts } from '../Scheduler/Scheduler.js';
+import type { SchedulerSettings } from '../Scheduler/Scheduler.js';
 import { Baseline } from './Baseline.js';
 import type { BaselineReplica } from './BaselineRules.js';
 
@@ -22,7 +22,7 @@
  * ```
  * @public
  */
-export function createFirstInFirstOut(parts: SchedulerParts): Baseline {
+export function createFifoBaseline(parts: SchedulerSettings): Baseline {
   let turn = 0;
   return new Baseline(parts, {
     name: 'round-robin',
@@ -44,7 +44,7 @@
  * ```
  * @public
  */
-export function createLeastOutstanding(parts: SchedulerParts): Baseline {
+export function createLeastOutstandingBaseline(parts: SchedulerSettings): Baseline {
   return new Baseline(parts, {
     name: 'least-outstanding',
     getRank: () => 0,
@@ -62,7 +62,7 @@
  * ```
  * @public
  */
-export function createStrictPriority(parts: SchedulerParts): Baseline {
+export function createStrictPriorityBaseline(parts: SchedulerSettings): Baseline {
   return new Baseline(parts, {
     name: 'strict-priority',
     getRank: ({ tier }) => tier,
--- a/packages/policy/src/lib/messages.ts
+++ b/packages/policy/src/lib/messages.ts
@@ -7,7 +7,7 @@
  */
 
 /** What a refused or broken request is known to have done. */
-export enum Outcome {
+export enum ExecutionOutcome {
   /** Proof: no byte of the request left the daemon, or the replica refused it by a documented answer. */
   NotRun = 'not-run',
   /** The request may have run; nobody can tell. */
@@ -17,7 +17,7 @@
 }
 
 /** How one attempt at a replica ended. */
-export enum AttemptEnd {
+export enum AttemptStatus {
   /** The whole answer came. */
   Completed = 'completed',
   /** No byte left the daemon: the connection was refused or timed out. */
@@ -50,7 +50,7 @@
   prefixHash?: number;
   /** Whether a broken attempt may go on elsewhere at the delivered token. */
   resumable: boolean;
-  arrived: Milliseconds;
+  arrivedAt: Milliseconds;
 }
 
 /**
@@ -82,7 +82,7 @@
       kind: 'attempt-ended';
       id: string;
       attempt: number;
-      end: AttemptEnd;
+      end: AttemptStatus;
       retryAfter?: Milliseconds;
     }
   | { kind: 'load-report'; report: LoadReport }
@@ -122,7 +122,7 @@
   | {
       kind: 'give-up';
       id: string;
-      outcome: Outcome;
+      outcome: ExecutionOutcome;
       reason: GiveUpReason;
       /** When asking again makes sense. */
       retryAfter: Milliseconds;
--- a/packages/policy/src/test/Harness.ts
+++ b/packages/policy/src/test/Harness.ts
@@ -1,7 +1,7 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
 import type {
-  AttemptEnd,
+  AttemptStatus,
   ScheduledRequest,
   SchedulerEffect,
   SchedulerMessage,
@@ -57,14 +57,14 @@
 
   /** Submits a request that arrives now. */
   submit(request: ScheduledRequest): SchedulerEffect[] {
-    return this.tell({ kind: 'submit', request: { ...request, arrived: this.clock.now() } });
+    return this.tell({ kind: 'submit', request: { ...request, arrivedAt: this.clock.now() } });
   }
 
   progress(id: string, tokens = 1): SchedulerEffect[] {
     return this.tell({ kind: 'progress', id, attempt: this.getDispatch(id).attempt, tokens });
   }
 
-  end(id: string, end: AttemptEnd, retryAfter?: Milliseconds): SchedulerEffect[] {
+  end(id: string, end: AttemptStatus, retryAfter?: Milliseconds): SchedulerEffect[] {
     const { attempt } = this.getDispatch(id);
     return this.tell({ kind: 'attempt-ended', id, attempt, end, retryAfter });
   }
--- a/packages/policy/src/test/SchedulerOracle.ts
+++ b/packages/policy/src/test/SchedulerOracle.ts
@@ -1,6 +1,6 @@
 import { assert } from '@apricotrill/utils';
 import type { Milliseconds } from '@apricotrill/utils';
-import { AttemptEnd, CancelReason, GiveUpReason, Outcome } from '../lib/messages.js';
+import { AttemptStatus, CancelReason, GiveUpReason, ExecutionOutcome } from '../lib/messages.js';
 import type { SchedulerEffect, SchedulerMessage } from '../lib/messages.js';
 import { Story } from './Story.js';
 import type { Sent } from './Story.js';
@@ -14,7 +14,7 @@
 const PREEMPTING_TIER = 2;
 
 function canHaveRun({ end }: Sent): boolean {
-  return end !== AttemptEnd.NotSent && end !== AttemptEnd.Refused;
+  return end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused;
 }
 
 /**
@@ -83,7 +83,7 @@
     } else if (effect.kind === 'give-up') {
       this.checkGiveUp(story, effect, now);
     } else {
-      assert(story.attempts.at(-1)?.end === AttemptEnd.Completed, 'done means completed');
+      assert(story.attempts.at(-1)?.end === AttemptStatus.Completed, 'done means completed');
       story.finish();
     }
   }
@@ -163,8 +163,11 @@
     const { tier, repeatable } = request.serviceClass;
     assert(this.getLive(story, now) === undefined, 'nothing is given up while it runs');
     const notRun = !attempts.some(canHaveRun);
-    assert((effect.outcome === Outcome.NotRun) === notRun, 'not-run is the truth');
-    assert(effect.outcome !== Outcome.Unknown || !repeatable, 'unknown is for what runs once');
+    assert((effect.outcome === ExecutionOutcome.NotRun) === notRun, 'not-run is the truth');
+    assert(
+      effect.outcome !== ExecutionOutcome.Unknown || !repeatable,
+      'unknown is for what runs once',
+    );
     assert(effect.retryAfter > 0, 'a refusal says when to ask again');
     story.finish();
     if (effect.reason === GiveUpReason.Overload) {
--- a/packages/policy/src/test/Story.ts
+++ b/packages/policy/src/test/Story.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { AttemptEnd, ScheduledRequest } from '../lib/messages.js';
+import type { AttemptStatus, ScheduledRequest } from '../lib/messages.js';
 
 /** One dispatch and what became of it. */
 export interface Sent {
   number: number;
   replica: string;
-  end?: AttemptEnd;
+  end?: AttemptStatus;
   cancelledAt?: Milliseconds;
   isAnswered?: boolean;
 }
--- a/packages/policy/src/test/fixtures.ts
+++ b/packages/policy/src/test/fixtures.ts
@@ -54,7 +54,7 @@
     workspaceWeight: 1,
     serviceClass,
     resumable: RESUMABLE.has(serviceClass.name),
-    arrived: 0,
+    arrivedAt: 0,
     ...rules,
   };
 }
--- a/packages/relay/src/lib/daemon/StoreLink.test.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.test.ts
@@ -1,4 +1,4 @@
-import { getQuietPorts } from '@apricotrill/standins';
+import { reservePorts } from '@apricotrill/standins';
 import { SystemClock, createRandom } from '@apricotrill/utils';
 import { ModelStore } from '../../test/ModelStore.js';
 import type { ObjectSource } from '../follow/StateFollower/ObjectSource.js';
@@ -119,7 +119,7 @@
   const daemons: LinkedDaemon[] = [];
 
   async function startFleet(store: ObjectSource<number>): Promise<void> {
-    const ports = await getQuietPorts(DAEMONS);
+    const ports = await reservePorts(DAEMONS);
     const entries = ports.map((port, index) => ({
       id: `d-${index}`,
       address: `127.0.0.1:${port}`,
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
@@ -1,4 +1,4 @@
-import { getQuietPorts } from '@apricotrill/standins';
+import { reservePorts } from '@apricotrill/standins';
 import { SystemClock, createRandom } from '@apricotrill/utils';
 import { createSocket } from 'node:dgram';
 import type { SharedAttempt } from '../../decide/messages.js';
@@ -50,7 +50,7 @@
     const events: RelayEvent[] = [];
     const waits: (() => void)[] = [];
     const wake = () => waits.splice(0).forEach((wait) => wait());
-    const [port] = await getQuietPorts(1);
+    const [port] = await reservePorts(1);
     const link = new PeerLink({
       self: { id, address: `127.0.0.1:${port}`, availabilityZone: 'zone-a' },
       clock: new SystemClock(),
--- a/packages/relay/src/lib/readers/ObjectServer/ObjectServer.test.ts
+++ b/packages/relay/src/lib/readers/ObjectServer/ObjectServer.test.ts
@@ -1,4 +1,4 @@
-import { getQuietPorts } from '@apricotrill/standins';
+import { reservePorts } from '@apricotrill/standins';
 import { ManualClock } from '@apricotrill/utils';
 import { Agent } from 'undici';
 import { HttpCaller } from '../../http/HttpCaller.js';
@@ -38,7 +38,7 @@
     const objects = new SharedObjects<unknown>(new ManualClock(), 'epoch', () => 7);
     objects.update(new Map([['main', LARGE]]));
     server.add('configuration', objects);
-    const [port] = await getQuietPorts(1);
+    const [port] = await reservePorts(1);
     await server.listen(HOST, port!);
     const address = `${HOST}:${port}`;
     const ask = createAskReader(caller, 'configuration');
--- a/packages/router/src/lib/createRouterDaemon.ts
+++ b/packages/router/src/lib/createRouterDaemon.ts
@@ -1,5 +1,5 @@
 import { KeyFiles } from '@apricotrill/keys';
-import type { KeyDecision } from '@apricotrill/keys';
+import type { KeyEvent } from '@apricotrill/keys';
 import type { Settings } from '@apricotrill/model';
 import { SystemClock, createRandom, getHash } from '@apricotrill/utils';
 import type { Clock } from '@apricotrill/utils';
@@ -22,8 +22,8 @@
 }
 
 function createKeyFiles({ tls }: Settings, clock: Clock, log: DecisionLog): KeyFiles | undefined {
-  const onDecision = (decision: KeyDecision) => log('daemon', decision);
-  return tls && new KeyFiles({ files: tls, clock, onDecision });
+  const onDecision = (decision: KeyEvent) => log('daemon', decision);
+  return tls && new KeyFiles({ files: tls, clock, onEvent: onDecision });
 }
 
 /**
--- a/packages/router/src/lib/pipeline/CallerServer.keys.test.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.keys.test.ts
@@ -51,9 +51,9 @@
       keys,
     });
     const port = await server.listen();
-    const before = await getSerial(port, first.authority);
+    const before = await getSerial(port, first.caCertificate);
     tell(second);
-    const after = await getSerial(port, first.authority);
+    const after = await getSerial(port, first.caCertificate);
     server.dispose();
     expect(before).not.toBe('');
     expect(after).not.toBe(before);
--- a/packages/router/src/lib/pipeline/CallerServer.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.ts
@@ -1,6 +1,6 @@
 import { CallerConnections, refuseConnection, waitForAccepted } from '@apricotrill/callers';
 import type { KeyMaterial, KeySource } from '@apricotrill/keys';
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import { randomUUID } from 'node:crypto';
 import { createServer } from 'node:http';
 import { createServer as createTlsServer } from 'node:https';
@@ -42,7 +42,7 @@
   status: 404,
   title: 'Unknown path',
   detail: 'there are POST /v1/chat/completions, GET /v1/models and /services/<service>/<path>',
-  outcome: Outcome.NotRun,
+  outcome: ExecutionOutcome.NotRun,
 };
 
 const INTERNAL: Problem = {
@@ -50,7 +50,7 @@
   status: 500,
   title: 'Internal error',
   detail: 'this daemon failed on the request',
-  outcome: Outcome.Unknown,
+  outcome: ExecutionOutcome.Unknown,
   retryAfter: routerOptions.internalRetryAfter,
 };
 
--- a/packages/router/src/lib/pipeline/Problem.ts
+++ b/packages/router/src/lib/pipeline/Problem.ts
@@ -1,5 +1,5 @@
 import { StepError } from '@apricotrill/utils';
-import type { Outcome } from '@apricotrill/policy';
+import type { ExecutionOutcome } from '@apricotrill/policy';
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
@@ -36,7 +36,7 @@
   title: string;
   detail: string;
   /** What the request is known to have done. */
-  outcome: Outcome;
+  outcome: ExecutionOutcome;
   /** When asking again makes sense; absent when it never does. */
   retryAfter?: Milliseconds;
 }
--- a/packages/router/src/lib/pipeline/claim.ts
+++ b/packages/router/src/lib/pipeline/claim.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { createHash } from 'node:crypto';
@@ -47,7 +47,7 @@
     reason: ProblemReason.KeyMissing,
     status: 400,
     detail: `send an \`Idempotency-Key\` of 1 to ${MAX_KEY_LENGTH} characters, the same for each repeat`,
-    outcome: Outcome.NotRun,
+    outcome: ExecutionOutcome.NotRun,
   });
 }
 
@@ -76,7 +76,7 @@
     detail: isProvedNotRun
       ? 'the key could not be claimed in time'
       : 'it can not be told at the moment whether a request with this key runs; ask again with it',
-    outcome: isProvedNotRun ? Outcome.NotRun : Outcome.Unknown,
+    outcome: isProvedNotRun ? ExecutionOutcome.NotRun : ExecutionOutcome.Unknown,
     retryAfter,
   };
 }
@@ -89,7 +89,7 @@
         status: 409,
         title: TITLE,
         detail: 'a request with this key is running; ask again for its answer',
-        outcome: Outcome.Unknown,
+        outcome: ExecutionOutcome.Unknown,
         retryAfter: routerOptions.inProgressRetryAfter,
       };
     case 'answer-not-kept':
@@ -98,7 +98,7 @@
         status: 409,
         title: TITLE,
         detail: `the request ran and was answered with status ${verdict.status}; its answer was too long to keep`,
-        outcome: Outcome.Unknown,
+        outcome: ExecutionOutcome.Unknown,
       };
     case 'mismatch':
       return {
@@ -106,7 +106,7 @@
         status: 422,
         title: TITLE,
         detail: 'this key was used for another request; take a new key for a new request',
-        outcome: Outcome.NotRun,
+        outcome: ExecutionOutcome.NotRun,
       };
     case 'unknown':
       return {
@@ -114,7 +114,7 @@
         status: 409,
         title: TITLE,
         detail: 'a request with this key may have run; check before you ask with a new key',
-        outcome: Outcome.Unknown,
+        outcome: ExecutionOutcome.Unknown,
       };
     case 'unavailable':
       return getUnavailable(verdict);
--- a/packages/router/src/lib/pipeline/getErrorInDoubt.ts
+++ b/packages/router/src/lib/pipeline/getErrorInDoubt.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { IncomingMessage } from 'node:http';
 import { ProblemError } from './Problem.js';
 
@@ -18,9 +18,16 @@
  */
 export function getErrorInDoubt(error: unknown, request: IncomingMessage): unknown {
   const isKeyed = request.headers['idempotency-key'] !== undefined;
-  if (!isKeyed || !(error instanceof ProblemError) || error.problem.outcome !== Outcome.NotRun) {
+  if (
+    !isKeyed ||
+    !(error instanceof ProblemError) ||
+    error.problem.outcome !== ExecutionOutcome.NotRun
+  ) {
     return error;
   }
   const { problem, step, peer } = error;
-  return new ProblemError({ ...problem, outcome: Outcome.Unknown }, { step, peer, cause: error });
+  return new ProblemError(
+    { ...problem, outcome: ExecutionOutcome.Unknown },
+    { step, peer, cause: error },
+  );
 }
--- a/packages/router/src/lib/pipeline/getMalformedBody.ts
+++ b/packages/router/src/lib/pipeline/getMalformedBody.ts
@@ -1,6 +1,6 @@
 import { MalformedKind } from '@apricotrill/callers';
 import type { RefusalBody } from '@apricotrill/callers';
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import { randomUUID } from 'node:crypto';
 import { ProblemReason } from './Problem.js';
 import type { Problem } from './Problem.js';
@@ -31,7 +31,7 @@
     ...BY_KIND[kind],
     status,
     title: 'The request could not be read',
-    outcome: Outcome.NotRun,
+    outcome: ExecutionOutcome.NotRun,
   };
   const text = JSON.stringify(getProblemBody(problem, randomUUID()));
   return { type: 'application/problem+json', text };
--- a/packages/router/src/lib/pipeline/handleChat.ts
+++ b/packages/router/src/lib/pipeline/handleChat.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { getChatRequestFault } from '../request/ChatRequest.js';
 import type { ChatRequest } from '../request/ChatRequest.js';
@@ -20,7 +20,7 @@
       status: 400,
       title: 'The chat request is malformed',
       detail,
-      outcome: Outcome.NotRun,
+      outcome: ExecutionOutcome.NotRun,
     },
     { step: 'receive', peer: 'caller' },
   );
--- a/packages/router/src/lib/pipeline/handlePlain.ts
+++ b/packages/router/src/lib/pipeline/handlePlain.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { PlainWork, writePlainAnswer } from '../request/PlainWork.js';
 import type { Settlement } from '../request/RequestTask.js';
@@ -67,7 +67,7 @@
   if (settlement.kind === 'answered' && answer !== undefined) {
     return { kind: 'answered', answer };
   }
-  return settlement.kind === 'given-up' && settlement.outcome === Outcome.NotRun
+  return settlement.kind === 'given-up' && settlement.outcome === ExecutionOutcome.NotRun
     ? { kind: 'released' }
     : { kind: 'unknown' };
 }
--- a/packages/router/src/lib/pipeline/identify.ts
+++ b/packages/router/src/lib/pipeline/identify.ts
@@ -1,5 +1,5 @@
-import { Outcome } from '@apricotrill/policy';
-import type { RequestFacts, Service, ServiceClass, Workspace } from '@apricotrill/model';
+import { ExecutionOutcome } from '@apricotrill/policy';
+import type { RequestAttributes, Service, ServiceClass, Workspace } from '@apricotrill/model';
 import { ProblemError, ProblemReason } from './Problem.js';
 import type { RoutingTable } from './RoutingTable.js';
 
@@ -10,7 +10,7 @@
 
 function createRefusal(reason: ProblemReason, status: number, title: string, detail: string) {
   return new ProblemError(
-    { reason, status, title, detail, outcome: Outcome.NotRun },
+    { reason, status, title, detail, outcome: ExecutionOutcome.NotRun },
     { step: 'identify', peer: 'caller' },
   );
 }
@@ -88,7 +88,7 @@
  * ```
  * @internal
  */
-export function identifyClass(table: RoutingTable, facts: RequestFacts): ServiceClass {
+export function identifyClass(table: RoutingTable, facts: RequestAttributes): ServiceClass {
   const serviceClass = table.classes.getClass(facts);
   if (serviceClass === undefined) {
     const detail = `no rule gives ${facts.method ?? 'a chat request'} ${facts.path ?? ''} at ${facts.service} a class`;
