--- a/packages/router/src/lib/pipeline/readBody.ts
+++ b/packages/router/src/lib/pipeline/readBody.ts
@@ -1,5 +1,5 @@
 import { readBody as readWithin } from '@apricotrill/callers';
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
 import { ProblemError, ProblemReason } from './Problem.js';
@@ -21,7 +21,7 @@
 ) {
   const peer = request.socket.remoteAddress ?? 'caller';
   return new ProblemError(
-    { ...problem, title: 'The request could not be read', outcome: Outcome.NotRun },
+    { ...problem, title: 'The request could not be read', outcome: ExecutionOutcome.NotRun },
     { step: 'receive', peer },
   );
 }
--- a/packages/router/src/lib/pipeline/receive.ts
+++ b/packages/router/src/lib/pipeline/receive.ts
@@ -1,4 +1,4 @@
-import { Outcome } from '@apricotrill/policy';
+import { ExecutionOutcome } from '@apricotrill/policy';
 import type { Workspace } from '@apricotrill/model';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
@@ -32,7 +32,7 @@
       status: 503,
       title: 'Not ready',
       detail: 'this daemon has no configuration yet',
-      outcome: Outcome.NotRun,
+      outcome: ExecutionOutcome.NotRun,
       retryAfter: 1000,
     },
     { step: 'receive', peer: 'caller' },
--- a/packages/router/src/lib/request/RequestRunner.ts
+++ b/packages/router/src/lib/request/RequestRunner.ts
@@ -60,7 +60,7 @@
     serviceClass: call.serviceClass,
     prefixHash: chat === undefined ? undefined : getPrefixHash(chat),
     resumable: chat !== undefined,
-    arrived: call.arrived,
+    arrivedAt: call.arrived,
   };
 }
 
--- a/packages/router/src/lib/request/RequestTask.ts
+++ b/packages/router/src/lib/request/RequestTask.ts
@@ -1,7 +1,7 @@
 import type { Replica } from '@apricotrill/model';
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import type {
-  Outcome,
+  ExecutionOutcome,
   ScheduledRequest,
   SchedulerEffect,
   SchedulerMessage,
@@ -26,7 +26,7 @@
  */
 export type Settlement =
   | { kind: 'answered' }
-  | { kind: 'given-up'; outcome: Outcome; problem: Problem }
+  | { kind: 'given-up'; outcome: ExecutionOutcome; problem: Problem }
   | { kind: 'caller-left' };
 
 /**
@@ -118,7 +118,7 @@
     };
     this.parts.work
       .run(ordered)
-      .catch((error: unknown) => ({ end: AttemptEnd.Broken, detail: String(error) }))
+      .catch((error: unknown) => ({ end: AttemptStatus.Broken, detail: String(error) }))
       .then((result) => {
         report.end();
         this.ended(effect, result);
--- a/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
+++ b/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd, Scheduler } from '@apricotrill/policy';
+import { AttemptStatus, Scheduler } from '@apricotrill/policy';
 import type { ScheduledRequest, SchedulerEffect } from '@apricotrill/policy';
 import type { Replica } from '@apricotrill/model';
 import { ManualClock, createRandom } from '@apricotrill/utils';
@@ -20,7 +20,7 @@
   workspace: 'painotalo',
   workspaceWeight: 1,
   resumable: true,
-  arrived: 0,
+  arrivedAt: 0,
   serviceClass: {
     name: 'draft',
     tier: 4,
@@ -79,7 +79,7 @@
       kind: 'attempt-ended',
       id: 'request',
       attempt: 1,
-      end: AttemptEnd.Completed,
+      end: AttemptStatus.Completed,
     });
     expect(effects.map(({ kind }) => kind)).toEqual(['dispatch', 'done']);
     expect(response.destroyed).toBe(false);
--- a/packages/router/src/lib/shared/ClaimAdapter.ts
+++ b/packages/router/src/lib/shared/ClaimAdapter.ts
@@ -1,4 +1,4 @@
-import type { ClaimAnswer, ClaimHandle, ClaimManager, StoredAnswer } from '@apricotrill/claims';
+import type { ClaimResult, ClaimHandle, ClaimManager, StoredResponse } from '@apricotrill/claims';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Clock } from '@apricotrill/utils';
 import { isUtf8 } from 'node:buffer';
@@ -10,7 +10,7 @@
 const ENCODING = 'x-kept-encoding';
 const BASE64 = 'base64';
 
-function getStoredAnswer({ status, contentType, body }: PlainAnswer): StoredAnswer {
+function getStoredAnswer({ status, contentType, body }: PlainAnswer): StoredResponse {
   const headers: Record<string, string> = { [CONTENT_TYPE]: contentType };
   if (isUtf8(body)) {
     return { kind: 'whole', status, headers, body: body.toString('utf8') };
@@ -19,7 +19,7 @@
   return { kind: 'whole', status, headers, body: body.toString(BASE64) };
 }
 
-function getVerdictOfAnswer(answer: StoredAnswer): ClaimVerdict {
+function getVerdictOfAnswer(answer: StoredResponse): ClaimVerdict {
   if (answer.kind === 'status-only') {
     return { kind: 'answer-not-kept', status: answer.status };
   }
@@ -32,11 +32,14 @@
 function settle(claims: ClaimManager, handle: ClaimHandle, end: ClaimEnd): Promise<void> {
   switch (end.kind) {
     case 'answered':
-      return claims.settle(handle, { kind: 'answered', answer: getStoredAnswer(end.answer) });
+      return claims.recordOutcome(handle, {
+        kind: 'answered',
+        answer: getStoredAnswer(end.answer),
+      });
     case 'released':
-      return claims.settle(handle, { kind: 'not-run' });
+      return claims.recordOutcome(handle, { kind: 'not-run' });
     case 'unknown':
-      return claims.settle(handle, { kind: 'unknown' });
+      return claims.recordOutcome(handle, { kind: 'unknown' });
     default:
       throw exhaustiveSwitchError(end);
   }
@@ -74,7 +77,7 @@
     return this.getVerdict(this.claims, await this.claims.claim(request));
   }
 
-  private getVerdict(claims: ClaimManager, answer: ClaimAnswer): ClaimVerdict {
+  private getVerdict(claims: ClaimManager, answer: ClaimResult): ClaimVerdict {
     switch (answer.kind) {
       case 'granted':
         return this.getGrant(claims, answer.handle);
--- a/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.test.ts
+++ b/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.test.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationInForce } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot } from '@apricotrill/configuration';
 import { ManualClock } from '@apricotrill/utils';
 import { FirstConfiguration } from './FirstConfiguration.js';
 
@@ -15,7 +15,7 @@
     release: ({ manifest }) => released.push(manifest.generation),
   });
   const offer = (generation: number) =>
-    first.offer({ manifest: { generation } } as ConfigurationInForce);
+    first.offer({ manifest: { generation } } as ConfigurationSnapshot);
   return { clock, released, first, offer };
 }
 
--- a/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.ts
+++ b/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationInForce } from '@apricotrill/configuration';
+import type { ConfigurationSnapshot } from '@apricotrill/configuration';
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
@@ -17,7 +17,7 @@
   clock: Clock;
   options: FirstConfigurationOptions;
   /** Takes each configuration that comes into force. */
-  release: (inForce: ConfigurationInForce) => void;
+  release: (inForce: ConfigurationSnapshot) => void;
 }
 
 /**
@@ -29,7 +29,7 @@
  * @internal
  */
 export class FirstConfiguration {
-  private offered: ConfigurationInForce | undefined;
+  private offered: ConfigurationSnapshot | undefined;
 
   /** What is accepted, as far as the store told; undefined while it has not. */
   private accepted: number | undefined;
@@ -56,7 +56,7 @@
   }
 
   /** The cluster has put a configuration in force. */
-  offer(inForce: ConfigurationInForce): void {
+  offer(inForce: ConfigurationSnapshot): void {
     this.offered = inForce;
     this.check();
   }
--- a/packages/router/src/lib/shared/SharedPlatform.ts
+++ b/packages/router/src/lib/shared/SharedPlatform.ts
@@ -1,12 +1,12 @@
 import { ClaimManager, MemberStanding } from '@apricotrill/claims';
-import type { ClaimMember, ClaimMessage, ClaimReply } from '@apricotrill/claims';
+import type { ClaimMember, ClaimMessage, ClaimResponse } from '@apricotrill/claims';
 import { ClusterManager, MemberState } from '@apricotrill/cluster';
 import type { Member } from '@apricotrill/cluster';
 import type { KeySource } from '@apricotrill/keys';
 import { MANIFEST_KEY, parseManifest } from '@apricotrill/configuration';
 import { Mesh } from '@apricotrill/mesh';
 import type { Configuration, Settings } from '@apricotrill/model';
-import { HttpEngineOrders, PlacementManager } from '@apricotrill/placement';
+import { HttpEngineClient, PlacementManager } from '@apricotrill/placement';
 import { HttpInstanceList, HttpPlatformStore } from '@apricotrill/store';
 import type { Clock, Random } from '@apricotrill/utils';
 import type { Registry } from 'prom-client';
@@ -129,7 +129,7 @@
   }
 
   tellReplicaLeaving(replica: string): void {
-    this.joined?.cluster.tellReplicaLeaving(replica);
+    this.joined?.cluster.announceReplicaLeaving(replica);
   }
 
   getMembers(): MemberList {
@@ -177,8 +177,8 @@
     cluster: ClusterManager,
     claimManager: ClaimManager,
   ): FirstConfiguration {
-    cluster.onMembers((members) => {
-      claimManager.onMembersChanged();
+    cluster.onMembersChange((members) => {
+      claimManager.handleMembersChange();
       const eligible = members.filter(({ isEligible }) => isEligible).map(({ id }) => id);
       listener.onDaemons(this.parts.settings.id, eligible);
     });
@@ -192,7 +192,7 @@
         this.joined?.placement.handleConfigurationChange();
       },
     });
-    cluster.onConfiguration((inForce) => first.offer(inForce));
+    cluster.onConfigurationChange((inForce) => first.offer(inForce));
     this.readAccepted(first).catch(() => undefined);
     return first;
   }
@@ -216,7 +216,7 @@
       store: this.store,
       instanceList: this.instanceList,
       seeds,
-      onDecision: (decision) =>
+      onEvent: (decision) =>
         log(decision.kind.startsWith('configuration') ? 'configuration' : 'membership', decision),
     });
   }
@@ -224,20 +224,20 @@
   private createClaims(cluster: ClusterManager): ClaimManager {
     const { clock, log } = this.parts;
     return new ClaimManager({
-      self: getClaimMember(cluster.getSelf()),
+      self: getClaimMember(cluster.getLocalMember()),
       clock,
       store: this.store,
       transport: {
         call: (peer, message) =>
           this.mesh.call(peer.address, CLAIM_TOPIC, message, {
             timeout: routerOptions.claimCallTimeout,
-          }) as Promise<ClaimReply>,
+          }) as Promise<ClaimResponse>,
       },
       getMembers: () =>
         cluster
           .getMembers()
           .map((member) => ({ ...getClaimMember(member), standing: getStanding(member) })),
-      onDecision: (decision) => log('claim', decision),
+      onEvent: (decision) => log('claim', decision),
     });
   }
 
@@ -248,14 +248,14 @@
       clock,
       random,
       store: this.store,
-      engines: new HttpEngineOrders(clock),
+      engines: new HttpEngineClient(clock),
       getConfiguration: () => this.configuration,
       getMembers: () =>
         cluster
           .getMembers()
           .filter(({ isEligible }) => isEligible)
           .map(({ id }) => id),
-      onDecision: (decision) => log('placement', decision),
+      onEvent: (decision) => log('placement', decision),
     });
   }
 }
--- a/packages/router/src/lib/upstream/Attempt.ts
+++ b/packages/router/src/lib/upstream/Attempt.ts
@@ -1,4 +1,4 @@
-import type { AttemptEnd, LoadReport } from '@apricotrill/policy';
+import type { AttemptStatus, LoadReport } from '@apricotrill/policy';
 import type { Replica } from '@apricotrill/model';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { Dispatcher } from 'undici';
@@ -26,7 +26,7 @@
  * @internal
  */
 export interface AttemptResult {
-  end: AttemptEnd;
+  end: AttemptStatus;
   /** The replica's status, when it answered. */
   status?: number;
   retryAfter?: Milliseconds;
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import { ManualClock } from '@apricotrill/utils';
 import { once } from 'node:events';
 import { createServer } from 'node:net';
@@ -129,7 +129,7 @@
     const result = run(client);
     clock.advance(TIMEOUT);
     const { end, silent } = await result;
-    expect(end).toBe(AttemptEnd.NotSent);
+    expect(end).toBe(AttemptStatus.NotSent);
     expect(silent).toBeUndefined();
     late.forEach((go) => go());
     await server.firstSign;
@@ -139,7 +139,7 @@
   it('proves an attempt not sent whose connection is refused', async () => {
     const { server, origin } = await serve(() => undefined);
     server.dispose();
-    expect(await run(connect(origin))).toMatchObject({ end: AttemptEnd.NotSent });
+    expect(await run(connect(origin))).toMatchObject({ end: AttemptStatus.NotSent });
   });
 
   it.each([
@@ -152,7 +152,7 @@
         socket.end(part);
       }
     });
-    expect(await run(connect(origin))).toMatchObject({ end: AttemptEnd.Broken });
+    expect(await run(connect(origin))).toMatchObject({ end: AttemptStatus.Broken });
     expect(answers).toEqual([]);
   });
 
@@ -164,7 +164,7 @@
     });
     const client = connect(origin);
     const { end, silent } = await run(client);
-    expect(end).toBe(AttemptEnd.Broken);
+    expect(end).toBe(AttemptStatus.Broken);
     expect(silent === client).toBe(true);
   });
 
@@ -187,7 +187,7 @@
       clock.advance(5 * TIMEOUT);
       takeMore();
     });
-    expect({ end, detail }).toEqual({ end: AttemptEnd.Completed, detail: 'whole' });
+    expect({ end, detail }).toEqual({ end: AttemptStatus.Completed, detail: 'whole' });
     expect(answers[0]?.body.toString()).toBe('halfhalf');
   });
 
@@ -201,7 +201,7 @@
         socket.write(`${head.join('\r\n')}\r\ncontent-length: 9\r\n\r\n{`);
       }
     });
-    const expected = { end: AttemptEnd.Refused, status: 503, leaving: true, retryAfter: 2000 };
+    const expected = { end: AttemptStatus.Refused, status: 503, leaving: true, retryAfter: 2000 };
     expect(await run(connect(origin))).toMatchObject(expected);
   });
 
@@ -211,7 +211,7 @@
         socket.end('HTTP/1.1 500 No\r\ncontent-length: 50\r\n\r\nout of ink');
       }
     });
-    const expected = { end: AttemptEnd.Errored, status: 500, detail: 'status 500: out of ink' };
+    const expected = { end: AttemptStatus.Errored, status: 500, detail: 'status 500: out of ink' };
     expect(await run(connect(origin))).toMatchObject(expected);
   });
 
@@ -228,7 +228,7 @@
         handler.onResponseError?.(control as never, new Error('aborted'));
       },
     };
-    expect(await run(repeating as never)).toMatchObject({ end: AttemptEnd.Broken });
+    expect(await run(repeating as never)).toMatchObject({ end: AttemptStatus.Broken });
     expect(aborts).toHaveLength(1);
   });
 
@@ -240,7 +240,7 @@
     });
     const client = connect(origin);
     const disconnected = once(client, 'disconnect');
-    expect(await run(client)).toMatchObject({ end: AttemptEnd.Cancelled });
+    expect(await run(client)).toMatchObject({ end: AttemptStatus.Cancelled });
     await disconnected;
   });
 
@@ -248,7 +248,7 @@
     const { server, origin } = await serve(() => undefined);
     const result = run(connect(origin));
     controller.abort();
-    expect(await result).toMatchObject({ end: AttemptEnd.Cancelled });
+    expect(await result).toMatchObject({ end: AttemptStatus.Cancelled });
     await server.firstSign;
     expect(server.received).toBe('');
   });
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import type { Clock, Timer } from '@apricotrill/utils';
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -158,21 +158,21 @@
 
   private cancel(): void {
     if (!this.settled) {
-      this.settle({ end: AttemptEnd.Cancelled, detail: 'cancelled' });
+      this.settle({ end: AttemptStatus.Cancelled, detail: 'cancelled' });
     }
   }
 
   private endSilent(): void {
     const result = this.getBreak('silent for too long');
     const { dispatcher: silent } = this;
-    this.settle(result.end === AttemptEnd.NotSent ? result : { ...result, silent });
+    this.settle(result.end === AttemptStatus.NotSent ? result : { ...result, silent });
   }
 
   private getBreak(detail: string): AttemptResult {
     if (this.controller === undefined) {
-      return { end: AttemptEnd.NotSent, detail };
+      return { end: AttemptStatus.NotSent, detail };
     }
-    return this.reader.onBreak(detail) ?? { end: AttemptEnd.Broken, detail };
+    return this.reader.onBreak(detail) ?? { end: AttemptStatus.Broken, detail };
   }
 
   private settle(result: AttemptResult): void {
@@ -188,12 +188,12 @@
    * last bytes have passed; a short time later it is given up. Any other end breaks it at once, so
    * that the replica stops computing for nobody.
    */
-  private leave(end: AttemptEnd): void {
+  private leave(end: AttemptStatus): void {
     if (this.over) {
       return;
     }
     const abort = () => this.controller?.abort(new Error('given up'));
-    if (end === AttemptEnd.Completed || end === AttemptEnd.Refused) {
+    if (end === AttemptStatus.Completed || end === AttemptStatus.Refused) {
       this.tail = this.parts.clock.setTimer(routerOptions.answerTail, abort);
     } else {
       abort();
--- a/packages/router/src/lib/upstream/ChatAnswerReader.ts
+++ b/packages/router/src/lib/upstream/ChatAnswerReader.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import type { AnswerFlow, AnswerHead, AnswerReader } from './AnswerReader.js';
 import type { AttemptResult } from './Attempt.js';
 import type { ChatListener } from './ChatChunk.js';
@@ -77,7 +77,7 @@
   onEnd(): AttemptResult {
     return (
       this.failure?.onEnd() ??
-      this.getEnd() ?? { end: AttemptEnd.Broken, detail: 'the stream ended early' }
+      this.getEnd() ?? { end: AttemptStatus.Broken, detail: 'the stream ended early' }
     );
   }
 
@@ -88,10 +88,10 @@
   /** The answer is over with its end mark, whenever the connection ends. */
   private getEnd(): AttemptResult | undefined {
     if (this.stream.isWhole()) {
-      return { end: AttemptEnd.Completed, status: OK, detail: 'whole' };
+      return { end: AttemptStatus.Completed, status: OK, detail: 'whole' };
     }
     const fault = this.stream.getFault();
-    return fault === undefined ? undefined : { end: AttemptEnd.Broken, detail: fault };
+    return fault === undefined ? undefined : { end: AttemptStatus.Broken, detail: fault };
   }
 
   private waitForCaller(): undefined {
--- a/packages/router/src/lib/upstream/FailureReader.ts
+++ b/packages/router/src/lib/upstream/FailureReader.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import type { AnswerHead, AnswerReader } from './AnswerReader.js';
 import type { AttemptResult } from './Attempt.js';
 
@@ -28,23 +28,23 @@
 
   onHead(head: AnswerHead): AttemptResult | undefined {
     this.head = head;
-    return isRefusal(head) ? this.getResult(AttemptEnd.Refused) : undefined;
+    return isRefusal(head) ? this.getResult(AttemptStatus.Refused) : undefined;
   }
 
   onBody(bytes: Buffer): AttemptResult | undefined {
     this.text += this.decoder.decode(bytes, { stream: true });
-    return this.text.length < MAX_DETAIL ? undefined : this.getResult(AttemptEnd.Errored);
+    return this.text.length < MAX_DETAIL ? undefined : this.getResult(AttemptStatus.Errored);
   }
 
   onEnd(): AttemptResult {
-    return this.getResult(AttemptEnd.Errored);
+    return this.getResult(AttemptStatus.Errored);
   }
 
   onBreak(): AttemptResult {
-    return this.getResult(AttemptEnd.Errored);
+    return this.getResult(AttemptStatus.Errored);
   }
 
-  private getResult(end: AttemptEnd): AttemptResult {
+  private getResult(end: AttemptStatus): AttemptResult {
     const { status = 0, headers = {} } = this.head ?? {};
     const retryAfter = Number(headers['retry-after']);
     return {
--- a/packages/router/src/lib/upstream/PlainAnswerReader.ts
+++ b/packages/router/src/lib/upstream/PlainAnswerReader.ts
@@ -1,4 +1,4 @@
-import { AttemptEnd } from '@apricotrill/policy';
+import { AttemptStatus } from '@apricotrill/policy';
 import { routerOptions } from '../options.js';
 import type { AnswerHead, AnswerReader } from './AnswerReader.js';
 import type { AttemptResult } from './Attempt.js';
@@ -50,7 +50,7 @@
     const { headers, status } = head;
     const name = headers['x-request-id'];
     if (name !== undefined && name !== this.attemptName) {
-      return { end: AttemptEnd.Broken, detail: 'the answer belongs to another request' };
+      return { end: AttemptStatus.Broken, detail: 'the answer belongs to another request' };
     }
     this.head = head;
     if (headers['x-outcome'] === 'not-run' || status >= SERVER_ERROR) {
@@ -67,7 +67,7 @@
     this.size += bytes.length;
     this.chunks.push(bytes);
     return this.size > routerOptions.maxPlainAnswer
-      ? { end: AttemptEnd.Errored, status: this.head?.status, detail: 'the answer is too large' }
+      ? { end: AttemptStatus.Errored, status: this.head?.status, detail: 'the answer is too large' }
       : undefined;
   }
 
@@ -78,7 +78,7 @@
     const { status, headers } = this.head!;
     const contentType = headers['content-type'] ?? 'application/octet-stream';
     this.onAnswer({ status, contentType, body: Buffer.concat(this.chunks) });
-    return { end: AttemptEnd.Completed, status, detail: 'whole' };
+    return { end: AttemptStatus.Completed, status, detail: 'whole' };
   }
 
   onBreak(): AttemptResult | undefined {
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,12 +1,12 @@
 export { CertificateAuthority } from './lib/authority/CertificateAuthority.js';
 export type { IssuedKeys } from './lib/authority/CertificateAuthority.js';
-export { BackendFaultSwitch } from './lib/backend/BackendFaultSwitch.js';
-export type { BackendFault } from './lib/backend/BackendFaultSwitch.js';
+export { BackendFaultInjector } from './lib/backend/BackendFaultInjector.js';
+export type { BackendFault } from './lib/backend/BackendFaultInjector.js';
 export type { CacheEvent } from './lib/engine/CacheEventLog.js';
 export { EngineBatch } from './lib/engine/EngineBatch.js';
 export type {
   BatchEvent,
-  EngineBatchSetup,
+  EngineBatchSettings,
   EngineJob,
   EngineLoad,
 } from './lib/engine/EngineBatch.js';
@@ -24,10 +24,10 @@
 export { defaultEngineStandinOptions } from './lib/engine/EngineStandinOptions.js';
 export type {
   EngineStandinOptions,
-  EngineStandinSetup,
+  EngineStandinSettings,
 } from './lib/engine/EngineStandinOptions.js';
-export { DEFAULT_MAX_TOKENS, getExpectedAnswer } from './lib/engine/getExpectedAnswer.js';
-export type { ChatMessage } from './lib/engine/getExpectedAnswer.js';
+export { DEFAULT_MAX_TOKENS, getExpectedTokens } from './lib/engine/getExpectedTokens.js';
+export type { ChatMessage } from './lib/engine/getExpectedTokens.js';
 export { getPromptBlocks } from './lib/engine/getPromptBlocks.js';
 export type { PromptBlocks } from './lib/engine/getPromptBlocks.js';
 export { PrefixCache } from './lib/engine/PrefixCache.js';
@@ -35,9 +35,9 @@
 export { WeightStore } from './lib/engine/WeightStore.js';
 export type { ListenAddress } from './lib/http/StandinServer.js';
 export { ChangeSignal } from './lib/network/ChangeSignal.js';
-export { getQuietPorts } from './lib/network/getQuietPorts.js';
+export { reservePorts } from './lib/network/reservePorts.js';
 export { RawCaller } from './lib/network/RawCaller.js';
-export { LinkFault, TcpRelay } from './lib/network/TcpRelay.js';
+export { LinkFault, TcpProxy } from './lib/network/TcpProxy.js';
 export {
   createPlatformStandin,
   defaultPlatformStandinOptions,
@@ -45,7 +45,7 @@
 } from './lib/platform/PlatformStandin.js';
 export type {
   PlatformStandinOptions,
-  PlatformStandinSetup,
+  PlatformStandinSettings,
 } from './lib/platform/PlatformStandin.js';
 export {
   createServiceStandin,
@@ -55,7 +55,12 @@
 export type {
   ServiceRun,
   ServiceStandinOptions,
-  ServiceStandinSetup,
+  ServiceStandinSettings,
 } from './lib/service/ServiceStandin.js';
-export { advance, createDelays, Link, settle } from './lib/process/Link.js';
+export {
+  advanceClock,
+  createDelayGenerator,
+  SimulatedLink,
+  flushTasks,
+} from './lib/process/SimulatedLink.js';
 export { PausableClock } from './lib/process/PausableClock.js';
--- a/packages/standins/src/lib/authority/CertificateAuthority.ts
+++ b/packages/standins/src/lib/authority/CertificateAuthority.ts
@@ -28,7 +28,7 @@
 export interface IssuedKeys {
   certificate: Buffer;
   privateKey: Buffer;
-  authority: Buffer;
+  caCertificate: Buffer;
 }
 
 /**
@@ -79,7 +79,7 @@
     return {
       certificate: Buffer.from(certificate.toString('pem')),
       privateKey: await getKeyText(pair.privateKey),
-      authority: Buffer.from(this.certificate.toString('pem')),
+      caCertificate: Buffer.from(this.certificate.toString('pem')),
     };
   }
 }
--- a/packages/standins/src/lib/backend/BackendFaultSwitch.ts
+++ b/packages/standins/src/lib/backend/BackendFaultInjector.ts
@@ -38,7 +38,7 @@
 }
 
 /** Which faults a backend server shows at the moment. */
-export class BackendFaultSwitch {
+export class BackendFaultInjector {
   private refusals = 0;
 
   private drops = { count: 0, tokens: 0 };
--- a/packages/standins/src/lib/engine/ChatExchange.ts
+++ b/packages/standins/src/lib/engine/ChatExchange.ts
@@ -1,4 +1,4 @@
-import type { BackendFaultSwitch } from '../backend/BackendFaultSwitch.js';
+import type { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
 import type { RunLog } from '../backend/RunLog.js';
 import type { ChatAnswer } from './ChatAnswer.js';
 import type { ChatRequest } from './parseChatRequest.js';
@@ -29,7 +29,7 @@
   constructor(
     readonly request: ChatRequest,
     private readonly answer: ChatAnswer,
-    faults: BackendFaultSwitch,
+    faults: BackendFaultInjector,
   ) {
     const { requestId, startIndex } = request;
     this.run = { requestId, startIndex, tokens: 0, completed: false };
--- a/packages/standins/src/lib/engine/EngineBatch.ts
+++ b/packages/standins/src/lib/engine/EngineBatch.ts
@@ -1,5 +1,5 @@
 import { LaggedValue } from '@apricotrill/store';
-import type { Reading } from '@apricotrill/store';
+import type { TimestampedValue } from '@apricotrill/store';
 import type { Clock, Timer } from '@apricotrill/utils';
 import { defaultEngineBatchOptions } from './EngineBatchOptions.js';
 import type { EngineBatchOptions } from './EngineBatchOptions.js';
@@ -54,7 +54,7 @@
 }
 
 /** What to hand a batch; every option left out has its default. */
-export interface EngineBatchSetup {
+export interface EngineBatchSettings {
   clock: Clock;
   options?: Partial<EngineBatchOptions>;
   emit: (event: BatchEvent) => void;
@@ -94,7 +94,7 @@
 
   private slowFactor = 1;
 
-  constructor({ clock, options, emit }: EngineBatchSetup) {
+  constructor({ clock, options, emit }: EngineBatchSettings) {
     this.clock = clock;
     this.emit = emit;
     this.options = { ...defaultEngineBatchOptions, ...options };
@@ -142,7 +142,7 @@
   }
 
   /** The load as the engine reports it: behind the truth by `loadLag`. */
-  getReportedLoad(): Reading<EngineLoad> {
+  getReportedLoad(): TimestampedValue<EngineLoad> {
     return this.load.get();
   }
 
--- a/packages/standins/src/lib/engine/EngineRequests.ts
+++ b/packages/standins/src/lib/engine/EngineRequests.ts
@@ -1,7 +1,7 @@
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Clock } from '@apricotrill/utils';
-import type { BackendFaultSwitch } from '../backend/BackendFaultSwitch.js';
+import type { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
 import { getLoadHeaders } from '../backend/backendAnswers.js';
 import type { ReportedLoad } from '../backend/backendAnswers.js';
 import { RunLog } from '../backend/RunLog.js';
@@ -11,7 +11,7 @@
 import { EngineBatch } from './EngineBatch.js';
 import type { BatchEvent } from './EngineBatch.js';
 import type { EngineBatchOptions } from './EngineBatchOptions.js';
-import { getExpectedAnswer } from './getExpectedAnswer.js';
+import { getExpectedTokens } from './getExpectedTokens.js';
 import { getPromptBlocks } from './getPromptBlocks.js';
 import type { ChatRequest } from './parseChatRequest.js';
 import type { CacheChange } from './PrefixCache.js';
@@ -29,7 +29,7 @@
   constructor(
     clock: Clock,
     options: Partial<EngineBatchOptions>,
-    private readonly faults: BackendFaultSwitch,
+    private readonly faults: BackendFaultInjector,
     private readonly onCacheChange: (change: CacheChange) => void,
   ) {
     this.batch = new EngineBatch({ clock, options, emit: (event) => this.handle(event) });
@@ -45,7 +45,7 @@
     this.lastJob += 1;
     // Not the caller's id: two attempts that carry the same one are still two jobs.
     const id = String(this.lastJob);
-    const tokens = getExpectedAnswer(request.model, request.messages, request.maxTokens);
+    const tokens = getExpectedTokens(request.model, request.messages, request.maxTokens);
     const answer = new ChatAnswer(request, tokens, response, () => this.getHeaders(request));
     this.exchanges.set(id, new ChatExchange(request, answer, this.faults));
     response.on('close', () => {
--- a/packages/standins/src/lib/engine/EngineStandin.test.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.test.ts
@@ -3,8 +3,8 @@
 import { ManualClock } from '@apricotrill/utils';
 import { until } from '../../test/until.js';
 import { createEngineStandin } from './EngineStandin.js';
-import type { EngineStandinSetup } from './EngineStandinOptions.js';
-import { getExpectedAnswer } from './getExpectedAnswer.js';
+import type { EngineStandinSettings } from './EngineStandinOptions.js';
+import { getExpectedTokens } from './getExpectedTokens.js';
 
 const disposals: (() => Promise<void>)[] = [];
 
@@ -46,7 +46,7 @@
   return { tokens, last: events.at(-1), finish: events.at(-2) };
 }
 
-async function setUp(setup: EngineStandinSetup = {}) {
+async function setUp(setup: EngineStandinSettings = {}) {
   const pace = { stepBase: 1, stepPerRequest: 0, prefillPerToken: 0, loadLag: 0 };
   const engine = createEngineStandin({ ...pace, ...setup });
   disposals.push(() => engine.dispose());
@@ -65,7 +65,7 @@
 describe('EngineStandin', () => {
   it('answers whole, streamed and resumed with the tokens of the oracle', async () => {
     const { ask, read } = await setUp();
-    const expected = getExpectedAnswer(MODEL, getMessages('ink'), 40);
+    const expected = getExpectedTokens(MODEL, getMessages('ink'), 40);
     const whole = await readJson(await ask('ink'));
     expect(whole.choices[0]!.message.content).toBe(expected.join(''));
     const headers = { 'x-request-id': 'r-1/2' };
@@ -90,11 +90,11 @@
   it('answers differently to each question, by lengths one cannot guess', () => {
     const topics = Array.from({ length: 20 }, (_, index) => `topic ${index}`);
     const lengths = topics.map(
-      (topic) => getExpectedAnswer(MODEL, getMessages(topic), 1_000).length,
+      (topic) => getExpectedTokens(MODEL, getMessages(topic), 1_000).length,
     );
     expect(new Set(lengths).size).toBeGreaterThan(10);
     const [ink, paper] = ['ink', 'paper'].map((topic) =>
-      getExpectedAnswer(MODEL, getMessages(topic), 500),
+      getExpectedTokens(MODEL, getMessages(topic), 500),
     );
     expect(ink!.filter((token) => paper!.includes(token))).toEqual([]);
   });
--- a/packages/standins/src/lib/engine/EngineStandin.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.ts
@@ -2,8 +2,8 @@
 import type { Clock } from '@apricotrill/utils';
 import type { ServerResponse } from 'node:http';
 import { RefusalReason, sendRefusal } from '../backend/backendAnswers.js';
-import { BackendFaultSwitch } from '../backend/BackendFaultSwitch.js';
-import type { BackendFault } from '../backend/BackendFaultSwitch.js';
+import { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
+import type { BackendFault } from '../backend/BackendFaultInjector.js';
 import { getNumberQuery } from '../http/getNumberQuery.js';
 import { readJson } from '../http/readBody.js';
 import { sendJson } from '../http/sendJson.js';
@@ -15,7 +15,7 @@
 import { EngineRequests } from './EngineRequests.js';
 import type { EngineRun } from './ChatExchange.js';
 import { defaultEngineStandinOptions } from './EngineStandinOptions.js';
-import type { EngineStandinOptions, EngineStandinSetup } from './EngineStandinOptions.js';
+import type { EngineStandinOptions, EngineStandinSettings } from './EngineStandinOptions.js';
 import { parseChatRequest } from './parseChatRequest.js';
 import type { ChatRequest } from './parseChatRequest.js';
 import { WeightStore } from './WeightStore.js';
@@ -42,7 +42,7 @@
 export class EngineStandin {
   readonly options: EngineStandinOptions;
 
-  readonly faults: BackendFaultSwitch;
+  readonly faults: BackendFaultInjector;
 
   readonly orders: EngineOrders;
 
@@ -54,11 +54,11 @@
 
   private lastId = 0;
 
-  constructor(setup: EngineStandinSetup = {}) {
+  constructor(setup: EngineStandinSettings = {}) {
     const { clock = new SystemClock(), weights, onCrash, ...options } = setup;
     this.options = { ...defaultEngineStandinOptions, ...options };
     this.server = new StandinServer(this.options);
-    this.faults = new BackendFaultSwitch(this.getFaultActions(onCrash));
+    this.faults = new BackendFaultInjector(this.getFaultActions(onCrash));
     const { lag, lossShare, kept } = this.getCacheEventOptions();
     const random = createRandom(this.options.seed);
     this.cacheEvents = new CacheEventLog(clock, random, { lag, lossShare, kept });
@@ -195,6 +195,6 @@
  * ```
  * @public
  */
-export function createEngineStandin(setup: EngineStandinSetup = {}): EngineStandin {
+export function createEngineStandin(setup: EngineStandinSettings = {}): EngineStandin {
   return new EngineStandin(setup);
 }
--- a/packages/standins/src/lib/engine/EngineStandinOptions.ts
+++ b/packages/standins/src/lib/engine/EngineStandinOptions.ts
@@ -39,7 +39,7 @@
  *
  * @public
  */
-export interface EngineStandinSetup extends Partial<EngineStandinOptions> {
+export interface EngineStandinSettings extends Partial<EngineStandinOptions> {
   /** The machine's clock when absent. */
   clock?: Clock;
   /** One of its own when absent; engines in one process may share one. */
--- a/packages/standins/src/lib/engine/getExpectedAnswer.ts
+++ b/packages/standins/src/lib/engine/getExpectedTokens.ts
@@ -76,7 +76,7 @@
  * ```
  * @public
  */
-export function getExpectedAnswer(
+export function getExpectedTokens(
   model: string,
   messages: readonly ChatMessage[],
   maxTokens: number = DEFAULT_MAX_TOKENS,
--- a/packages/standins/src/lib/engine/getPromptBlocks.ts
+++ b/packages/standins/src/lib/engine/getPromptBlocks.ts
@@ -1,5 +1,5 @@
 import { getHash } from '@apricotrill/utils';
-import type { ChatMessage } from './getExpectedAnswer.js';
+import type { ChatMessage } from './getExpectedTokens.js';
 
 /**
  * A prompt as a prefix cache sees it.
--- a/packages/standins/src/lib/engine/parseChatRequest.ts
+++ b/packages/standins/src/lib/engine/parseChatRequest.ts
@@ -1,8 +1,8 @@
 import type { IncomingMessage } from 'node:http';
 import { BadRequestError } from '../http/requestErrors.js';
 import { readJson } from '../http/readBody.js';
-import { DEFAULT_MAX_TOKENS } from './getExpectedAnswer.js';
-import type { ChatMessage } from './getExpectedAnswer.js';
+import { DEFAULT_MAX_TOKENS } from './getExpectedTokens.js';
+import type { ChatMessage } from './getExpectedTokens.js';
 
 /** A chat request with what its headers say about it. */
 export interface ChatRequest {
--- a/packages/standins/src/lib/network/ChangeSignal.ts
+++ b/packages/standins/src/lib/network/ChangeSignal.ts
@@ -18,7 +18,7 @@
   }
 
   /** Resolves as soon as the condition holds, which may be now. */
-  async until(holds: () => boolean): Promise<void> {
+  async waitUntil(holds: () => boolean): Promise<void> {
     while (!holds()) {
       // Each look follows a change.
       // eslint-disable-next-line no-await-in-loop
--- a/packages/standins/src/lib/network/RawCaller.ts
+++ b/packages/standins/src/lib/network/RawCaller.ts
@@ -38,7 +38,7 @@
   }
 
   /** Sends one piece after the other, as fast as they are taken, until the connection is over. */
-  sendForever(piece: Buffer): this {
+  sendUntilClosed(piece: Buffer): this {
     const next = (error?: Error | null) => {
       if (this.socket.writable && !error) {
         this.socket.write(piece, next);
@@ -50,7 +50,7 @@
 
   /** Waits until that text has come, or the connection is over. */
   async waitFor(text: string): Promise<string> {
-    await this.changed.until(() => this.received.includes(text) || this.socket.destroyed);
+    await this.changed.waitUntil(() => this.received.includes(text) || this.socket.destroyed);
     return this.received;
   }
 
--- a/packages/standins/src/lib/network/TcpRelay.ts
+++ b/packages/standins/src/lib/network/TcpProxy.ts
@@ -30,7 +30,7 @@
  *
  * @public
  */
-export class TcpRelay {
+export class TcpProxy {
   private readonly target: number;
 
   private readonly server: Server;
@@ -102,7 +102,7 @@
 
   /** Resolves once that many connections have been opened. */
   waitForCount(count: number): Promise<void> {
-    return this.opened.until(() => this.count >= count);
+    return this.opened.waitUntil(() => this.count >= count);
   }
 
   dispose(): void {
--- a/packages/standins/src/lib/network/getQuietPorts.ts
+++ b/packages/standins/src/lib/network/reservePorts.ts
@@ -67,6 +67,6 @@
  * ```
  * @public
  */
-export function getQuietPorts(count: number): Promise<number[]> {
+export function reservePorts(count: number): Promise<number[]> {
   return Promise.all(Array.from({ length: count }, getQuietPort));
 }
--- a/packages/standins/src/lib/platform/ObjectRoutes.ts
+++ b/packages/standins/src/lib/platform/ObjectRoutes.ts
@@ -3,8 +3,8 @@
 import type {
   CallCounters,
   ObjectStore,
-  PutOutcome,
-  StoreFaultSwitch,
+  PutResult,
+  StoreFaultInjector,
   StoredObject,
 } from '@apricotrill/store';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
@@ -47,7 +47,7 @@
   response.end(object.value);
 }
 
-function sendOutcome(response: ServerResponse, status: number, outcome: PutOutcome): void {
+function sendOutcome(response: ServerResponse, status: number, outcome: PutResult): void {
   if (outcome.kind === 'accepted') {
     sendEmpty(response, status, { etag: `"${outcome.version}"` });
   } else if (outcome.current === undefined) {
@@ -64,7 +64,7 @@
   constructor(
     private readonly server: StandinServer,
     private readonly objects: ObjectStore,
-    private readonly faults: StoreFaultSwitch,
+    private readonly faults: StoreFaultInjector,
     private readonly clock: Clock,
   ) {}
 
@@ -144,10 +144,10 @@
     key: string,
     response: ServerResponse,
     status: number,
-    effect: () => PutOutcome,
+    effect: () => PutResult,
   ): Promise<void> {
     this.counters.writes += 1;
-    const fate = this.faults.takeWriteFate(key);
+    const fate = this.faults.consumeWriteOutcome(key);
     if (fate.kind === 'late') {
       this.clock.setTimer(fate.delayMs, effect);
       response.destroy();
--- a/packages/standins/src/lib/platform/PlatformStandin.ts
+++ b/packages/standins/src/lib/platform/PlatformStandin.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from 'node:http';
-import { InstanceDirectory, ObjectStore, StoreFaultSwitch } from '@apricotrill/store';
+import { InstanceDirectory, ObjectStore, StoreFaultInjector } from '@apricotrill/store';
 import type { Instance, StoreFault } from '@apricotrill/store';
 import { SystemClock } from '@apricotrill/utils';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
@@ -27,7 +27,7 @@
  *
  * @public
  */
-export interface PlatformStandinSetup extends Partial<PlatformStandinOptions> {
+export interface PlatformStandinSettings extends Partial<PlatformStandinOptions> {
   /** The machine's clock when absent. */
   clock?: Clock;
 }
@@ -52,13 +52,13 @@
 
   readonly directory: InstanceDirectory;
 
-  readonly faults = new StoreFaultSwitch();
+  readonly faults = new StoreFaultInjector();
 
   private readonly routes: ObjectRoutes;
 
   private readonly server: StandinServer;
 
-  constructor(setup: PlatformStandinSetup = {}) {
+  constructor(setup: PlatformStandinSettings = {}) {
     const { clock = new SystemClock(), ...options } = setup;
     this.options = { ...defaultPlatformStandinOptions, ...options };
     this.objects = new ObjectStore(clock);
@@ -144,6 +144,6 @@
  * ```
  * @public
  */
-export function createPlatformStandin(setup: PlatformStandinSetup = {}): PlatformStandin {
+export function createPlatformStandin(setup: PlatformStandinSettings = {}): PlatformStandin {
   return new PlatformStandin(setup);
 }
--- a/packages/standins/src/lib/process/Link.ts
+++ b/packages/standins/src/lib/process/SimulatedLink.ts
@@ -2,7 +2,7 @@
 import type { PausableClock } from './PausableClock.js';
 
 /** Delays of calls: mostly short, at times past every timeout, rarely past a lease's span. */
-export function createDelays(random: Random): () => Milliseconds {
+export function createDelayGenerator(random: Random): () => Milliseconds {
   return () => {
     const kind = random.integer(100);
     if (kind < 94) {
@@ -13,7 +13,7 @@
 }
 
 /** The way from one process to a peer: each call takes time there, has its effect, and time back. */
-export class Link {
+export class SimulatedLink {
   constructor(
     private readonly base: ManualClock,
     readonly clock: PausableClock,
@@ -45,23 +45,23 @@
 }
 
 /** Lets everything run that doesn't wait for the clock. */
-export async function settle(): Promise<void> {
+export async function flushTasks(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
 /** Moves time on, timer by timer, and calls `check` after each. */
-export async function advance(
+export async function advanceClock(
   clock: ManualClock,
   span: Milliseconds,
   check: () => void = () => {},
 ): Promise<void> {
   const end = clock.now() + span;
-  await settle();
+  await flushTasks();
   while (clock.runNext(end)) {
     // eslint-disable-next-line no-await-in-loop
-    await settle();
+    await flushTasks();
     check();
   }
   clock.advance(end - clock.now());
--- a/packages/standins/src/lib/service/ServiceQueue.ts
+++ b/packages/standins/src/lib/service/ServiceQueue.ts
@@ -1,5 +1,5 @@
 import { LaggedValue } from '@apricotrill/store';
-import type { Reading } from '@apricotrill/store';
+import type { TimestampedValue } from '@apricotrill/store';
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /** How busy a plain service is. */
@@ -48,7 +48,7 @@
     return { running: this.timers.size, waiting: this.waiting.length };
   }
 
-  getReportedLoad(): Reading<ServiceLoad> {
+  getReportedLoad(): TimestampedValue<ServiceLoad> {
     return this.load.get();
   }
 
--- a/packages/standins/src/lib/service/ServiceStandin.test.ts
+++ b/packages/standins/src/lib/service/ServiceStandin.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@apricotrill/utils';
 import { until } from '../../test/until.js';
 import { createServiceStandin } from './ServiceStandin.js';
-import type { ServiceStandinSetup } from './ServiceStandin.js';
+import type { ServiceStandinSettings } from './ServiceStandin.js';
 
 const disposals: (() => Promise<void>)[] = [];
 
@@ -10,7 +10,7 @@
   await Promise.all(disposals.splice(0).map((dispose) => dispose()));
 });
 
-async function setUp(setup: ServiceStandinSetup = {}) {
+async function setUp(setup: ServiceStandinSettings = {}) {
   const service = createServiceStandin({ service: 'bodega-app', delay: 1, loadLag: 0, ...setup });
   disposals.push(() => service.dispose());
   const { host, port } = await service.listen();
--- a/packages/standins/src/lib/service/ServiceStandin.ts
+++ b/packages/standins/src/lib/service/ServiceStandin.ts
@@ -4,8 +4,8 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { getLoadHeaders, RefusalReason, sendRefusal } from '../backend/backendAnswers.js';
 import type { ReportedLoad } from '../backend/backendAnswers.js';
-import { BackendFaultSwitch } from '../backend/BackendFaultSwitch.js';
-import type { BackendFault } from '../backend/BackendFaultSwitch.js';
+import { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
+import type { BackendFault } from '../backend/BackendFaultInjector.js';
 import { RunLog } from '../backend/RunLog.js';
 import { readBody, readJson } from '../http/readBody.js';
 import { sendJson } from '../http/sendJson.js';
@@ -39,7 +39,7 @@
  *
  * @public
  */
-export interface ServiceStandinSetup extends Partial<ServiceStandinOptions> {
+export interface ServiceStandinSettings extends Partial<ServiceStandinOptions> {
   /** The machine's clock when absent. */
   clock?: Clock;
   /** What a crash does; breaks every connection and frees the port when absent. */
@@ -90,7 +90,7 @@
 export class ServiceStandin {
   readonly options: ServiceStandinOptions;
 
-  readonly faults: BackendFaultSwitch;
+  readonly faults: BackendFaultInjector;
 
   private readonly runs = new RunLog<ServiceRun>();
 
@@ -100,12 +100,12 @@
 
   private lastRun = 0;
 
-  constructor(setup: ServiceStandinSetup = {}) {
+  constructor(setup: ServiceStandinSettings = {}) {
     const { clock = new SystemClock(), onCrash, ...options } = setup;
     this.options = { ...defaultServiceStandinOptions, ...options };
     this.server = new StandinServer(this.options);
     this.queue = new ServiceQueue(clock, this.options);
-    this.faults = new BackendFaultSwitch({
+    this.faults = new BackendFaultInjector({
       crash: onCrash ?? (() => this.dispose()),
       stall: () => {},
       unstall: () => {},
@@ -233,6 +233,6 @@
  * ```
  * @public
  */
-export function createServiceStandin(setup: ServiceStandinSetup = {}): ServiceStandin {
+export function createServiceStandin(setup: ServiceStandinSettings = {}): ServiceStandin {
   return new ServiceStandin(setup);
 }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -3,18 +3,18 @@
 export { InstanceRole, InstanceState } from './lib/InstanceList.js';
 export type { Instance, InstanceList } from './lib/InstanceList.js';
 export { LaggedValue } from './lib/LaggedValue/LaggedValue.js';
-export type { Reading } from './lib/LaggedValue/LaggedValue.js';
+export type { TimestampedValue } from './lib/LaggedValue/LaggedValue.js';
 export { ObjectStore } from './lib/ObjectStore/ObjectStore.js';
 export { StoreUnavailableError } from './lib/PlatformStore.js';
-export type { PlatformStore, PutOutcome, StoreChange, StoredObject } from './lib/PlatformStore.js';
-export { StoreFaultSwitch } from './lib/StoreFaultSwitch/StoreFaultSwitch.js';
-export type { StoreFault, WriteFate } from './lib/StoreFaultSwitch/StoreFaultSwitch.js';
+export type { PlatformStore, PutResult, StoreChange, StoredObject } from './lib/PlatformStore.js';
+export { StoreFaultInjector } from './lib/StoreFaultInjector/StoreFaultInjector.js';
+export type { StoreFault, WriteOutcome } from './lib/StoreFaultInjector/StoreFaultInjector.js';
 export { MAX_VALUE_BYTES, ValueTooLargeError } from './lib/ValueTooLargeError.js';
 export { HttpInstanceList } from './lib/HttpInstanceList/HttpInstanceList.js';
 export { defaultHttpPlatformOptions } from './lib/HttpPlatformStore/HttpPlatformOptions.js';
 export type {
   HttpPlatformOptions,
-  HttpPlatformSetup,
+  HttpPlatformSettings,
 } from './lib/HttpPlatformStore/HttpPlatformOptions.js';
 export { HttpPlatformStore } from './lib/HttpPlatformStore/HttpPlatformStore.js';
 export { MemoryInstanceList } from './lib/MemoryInstanceList.js';
@@ -24,5 +24,5 @@
 } from './lib/MemoryPlatformStore/MemoryPlatformStore.js';
 export type {
   MemoryPlatformOptions,
-  MemoryPlatformSetup,
+  MemoryPlatformSettings,
 } from './lib/MemoryPlatformStore/MemoryPlatformStore.js';
--- a/packages/store/src/lib/HttpInstanceList/HttpInstanceList.ts
+++ b/packages/store/src/lib/HttpInstanceList/HttpInstanceList.ts
@@ -1,4 +1,4 @@
-import type { HttpPlatformSetup } from '../HttpPlatformStore/HttpPlatformOptions.js';
+import type { HttpPlatformSettings } from '../HttpPlatformStore/HttpPlatformOptions.js';
 import { PlatformConnection } from '../HttpPlatformStore/PlatformConnection.js';
 import type { Instance, InstanceList } from '../InstanceList.js';
 
@@ -18,7 +18,7 @@
   private readonly connection: PlatformConnection;
 
   /** @param setup - the platform's address; every other option has a default */
-  constructor(setup: HttpPlatformSetup) {
+  constructor(setup: HttpPlatformSettings) {
     this.connection = new PlatformConnection(setup);
   }
 
--- a/packages/store/src/lib/HttpPlatformStore/HttpPlatformOptions.ts
+++ b/packages/store/src/lib/HttpPlatformStore/HttpPlatformOptions.ts
@@ -27,4 +27,4 @@
 };
 
 /** Options as a caller gives them: what is left out has its default. */
-export type HttpPlatformSetup = Pick<HttpPlatformOptions, 'url'> & Partial<HttpPlatformOptions>;
+export type HttpPlatformSettings = Pick<HttpPlatformOptions, 'url'> & Partial<HttpPlatformOptions>;
--- a/packages/store/src/lib/HttpPlatformStore/HttpPlatformStore.ts
+++ b/packages/store/src/lib/HttpPlatformStore/HttpPlatformStore.ts
@@ -1,8 +1,8 @@
 import { createCallCounters } from '../CallCounters.js';
 import type { CallCounters } from '../CallCounters.js';
-import type { PlatformStore, PutOutcome, StoreChange, StoredObject } from '../PlatformStore.js';
+import type { PlatformStore, PutResult, StoreChange, StoredObject } from '../PlatformStore.js';
 import { checkValueSize } from '../ValueTooLargeError.js';
-import type { HttpPlatformSetup } from './HttpPlatformOptions.js';
+import type { HttpPlatformSettings } from './HttpPlatformOptions.js';
 import { PlatformConnection } from './PlatformConnection.js';
 import type { PlatformAnswer } from './PlatformConnection.js';
 
@@ -39,7 +39,7 @@
   private readonly counters = createCallCounters();
 
   /** @param setup - the platform's address; every other option has a default */
-  constructor(setup: HttpPlatformSetup) {
+  constructor(setup: HttpPlatformSettings) {
     this.connection = new PlatformConnection(setup);
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** @throws ValueTooLargeError when the value is over a megabyte; nothing was sent then */
-  async put(key: string, value: string, expectedVersion: number): Promise<PutOutcome> {
+  async put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     checkValueSize(key, value, this.connection.peer);
     this.counters.writes += 1;
     const step = 'store-put';
@@ -69,7 +69,7 @@
     return this.getOutcome(step, key, await this.connection.call(call));
   }
 
-  async delete(key: string, expectedVersion: number): Promise<PutOutcome> {
+  async delete(key: string, expectedVersion: number): Promise<PutResult> {
     this.counters.writes += 1;
     const step = 'store-delete';
     const headers = getCondition(expectedVersion);
@@ -109,7 +109,7 @@
     await this.connection.dispose();
   }
 
-  private getOutcome(step: string, key: string, answer: PlatformAnswer): PutOutcome {
+  private getOutcome(step: string, key: string, answer: PlatformAnswer): PutResult {
     this.check(step, answer, [OK, CREATED, NO_CONTENT, PRECONDITION_FAILED]);
     if (answer.status !== PRECONDITION_FAILED) {
       return { kind: 'accepted', version: this.getVersion(step, answer) };
--- a/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
+++ b/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
@@ -2,7 +2,7 @@
 import type { Dispatcher, Pool } from 'undici';
 import { StoreUnavailableError } from '../PlatformStore.js';
 import { defaultHttpPlatformOptions } from './HttpPlatformOptions.js';
-import type { HttpPlatformOptions, HttpPlatformSetup } from './HttpPlatformOptions.js';
+import type { HttpPlatformOptions, HttpPlatformSettings } from './HttpPlatformOptions.js';
 import { RenewablePool } from './RenewablePool.js';
 
 /** A call to the platform. */
@@ -48,7 +48,7 @@
 
   private readonly bytes = { sent: 0, received: 0 };
 
-  constructor(setup: HttpPlatformSetup) {
+  constructor(setup: HttpPlatformSettings) {
     this.options = { ...defaultHttpPlatformOptions, ...setup };
     this.peer = new URL(this.options.url).host;
     this.calls = new RenewablePool(this.options.url, this.options.connections);
--- a/packages/store/src/lib/LaggedValue/LaggedValue.ts
+++ b/packages/store/src/lib/LaggedValue/LaggedValue.ts
@@ -5,7 +5,7 @@
  *
  * @public
  */
-export interface Reading<Value> {
+export interface TimestampedValue<Value> {
   value: Value;
   measuredAt: Milliseconds;
 }
@@ -23,7 +23,7 @@
  * @public
  */
 export class LaggedValue<Value> {
-  private readonly readings: Reading<Value>[];
+  private readonly readings: TimestampedValue<Value>[];
 
   private lag: Milliseconds;
 
@@ -52,7 +52,7 @@
   }
 
   /** The newest value that is at least `lag` old, with the time at which it still held. */
-  get(): Reading<Value> {
+  get(): TimestampedValue<Value> {
     this.forgetOldReadings();
     const { value, measuredAt } = this.readings[0]!;
     return { value, measuredAt: Math.max(measuredAt, this.clock.now() - this.lag) };
--- a/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.ts
+++ b/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.ts
@@ -3,9 +3,9 @@
 import type { CallCounters } from '../CallCounters.js';
 import { ObjectStore } from '../ObjectStore/ObjectStore.js';
 import { StoreUnavailableError } from '../PlatformStore.js';
-import type { PlatformStore, PutOutcome, StoreChange, StoredObject } from '../PlatformStore.js';
-import type { StoreFault } from '../StoreFaultSwitch/StoreFaultSwitch.js';
-import { StoreFaultSwitch } from '../StoreFaultSwitch/StoreFaultSwitch.js';
+import type { PlatformStore, PutResult, StoreChange, StoredObject } from '../PlatformStore.js';
+import type { StoreFault } from '../StoreFaultInjector/StoreFaultInjector.js';
+import { StoreFaultInjector } from '../StoreFaultInjector/StoreFaultInjector.js';
 import { checkValueSize } from '../ValueTooLargeError.js';
 import { OpenCalls } from './OpenCalls.js';
 
@@ -35,7 +35,7 @@
  *
  * @public
  */
-export interface MemoryPlatformSetup extends Partial<MemoryPlatformOptions> {
+export interface MemoryPlatformSettings extends Partial<MemoryPlatformOptions> {
   clock: Clock;
   /** Objects shared with other clients; its own when absent. */
   objects?: ObjectStore;
@@ -66,13 +66,13 @@
 
   private readonly options: MemoryPlatformOptions;
 
-  private readonly faults = new StoreFaultSwitch();
+  private readonly faults = new StoreFaultInjector();
 
   private readonly openCalls: OpenCalls;
 
   private readonly counters = createCallCounters();
 
-  constructor({ clock, objects, ...options }: MemoryPlatformSetup) {
+  constructor({ clock, objects, ...options }: MemoryPlatformSettings) {
     this.clock = clock;
     this.objects = objects ?? new ObjectStore(clock);
     this.options = { ...defaultMemoryPlatformOptions, ...options };
@@ -100,12 +100,12 @@
     return this.read('store-list', () => this.objects.list(prefix));
   }
 
-  async put(key: string, value: string, expectedVersion: number): Promise<PutOutcome> {
+  async put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     checkValueSize(key, value, PEER);
     return this.write('store-put', key, () => this.objects.put(key, value, expectedVersion));
   }
 
-  async delete(key: string, expectedVersion: number): Promise<PutOutcome> {
+  async delete(key: string, expectedVersion: number): Promise<PutResult> {
     return this.write('store-delete', key, () => this.objects.delete(key, expectedVersion));
   }
 
@@ -131,10 +131,10 @@
     return answer;
   }
 
-  private async write(step: string, key: string, effect: () => PutOutcome): Promise<PutOutcome> {
+  private async write(step: string, key: string, effect: () => PutResult): Promise<PutResult> {
     this.checkUp(step);
     this.counters.writes += 1;
-    const fate = this.faults.takeWriteFate(key);
+    const fate = this.faults.consumeWriteOutcome(key);
     if (fate.kind === 'late') {
       this.clock.setTimer(fate.delayMs, effect);
       throw createError(step, 'the answer was lost');
--- a/packages/store/src/lib/ObjectStore/ObjectStore.ts
+++ b/packages/store/src/lib/ObjectStore/ObjectStore.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import type { PutOutcome, StoreChange, StoredObject } from '../PlatformStore.js';
+import type { PutResult, StoreChange, StoredObject } from '../PlatformStore.js';
 
 interface Waiter {
   prefix: string;
@@ -46,12 +46,12 @@
   }
 
   /** Writes if the object is still at `expectedVersion` (0: it must not exist). */
-  put(key: string, value: string, expectedVersion: number): PutOutcome {
+  put(key: string, value: string, expectedVersion: number): PutResult {
     return this.change(key, value, expectedVersion);
   }
 
   /** Deletes if the object is still at `expectedVersion`. */
-  delete(key: string, expectedVersion: number): PutOutcome {
+  delete(key: string, expectedVersion: number): PutResult {
     if (this.get(key) === undefined) {
       return { kind: 'conflict', current: undefined };
     }
@@ -107,7 +107,7 @@
     return callOff;
   }
 
-  private change(key: string, value: string | undefined, expectedVersion: number): PutOutcome {
+  private change(key: string, value: string | undefined, expectedVersion: number): PutResult {
     const current = this.get(key);
     if ((current?.version ?? 0) !== expectedVersion) {
       return { kind: 'conflict', current };
--- a/packages/store/src/lib/PlatformStore.ts
+++ b/packages/store/src/lib/PlatformStore.ts
@@ -19,7 +19,7 @@
  *
  * @public
  */
-export type PutOutcome =
+export type PutResult =
   { kind: 'accepted'; version: number } | { kind: 'conflict'; current: StoredObject | undefined };
 
 /**
@@ -49,9 +49,9 @@
    *
    * @throws StoreUnavailableError when no answer came: the write may or may not have taken effect
    */
-  put(key: string, value: string, expectedVersion: number): Promise<PutOutcome>;
+  put(key: string, value: string, expectedVersion: number): Promise<PutResult>;
   /** Deletes if still at `expectedVersion`. @throws StoreUnavailableError */
-  delete(key: string, expectedVersion: number): Promise<PutOutcome>;
+  delete(key: string, expectedVersion: number): Promise<PutResult>;
   /**
    * Waits (one waiting call) for changes under the prefix after a version; resolves with an empty
    * list when the platform's waiting time ends.
--- a/packages/store/src/lib/StoreFaultSwitch/StoreFaultSwitch.ts
+++ b/packages/store/src/lib/StoreFaultInjector/StoreFaultInjector.ts
@@ -25,13 +25,13 @@
   | { kind: 'list-lag'; lagMs: Milliseconds };
 
 /** What is to become of one write. */
-export type WriteFate =
+export type WriteOutcome =
   { kind: 'answered' } | { kind: 'answer-lost' } | { kind: 'late'; delayMs: Milliseconds };
 
 interface PendingWriteFault {
   left: number;
   keyPrefix: string;
-  fate: WriteFate;
+  fate: WriteOutcome;
 }
 
 /**
@@ -44,7 +44,7 @@
  * ```
  * @public
  */
-export class StoreFaultSwitch {
+export class StoreFaultInjector {
   private down = false;
 
   private silentWatches = false;
@@ -96,7 +96,7 @@
   }
 
   /** Decides on a write to the key; uses up one of the faults asked for. */
-  takeWriteFate(key: string): WriteFate {
+  consumeWriteOutcome(key: string): WriteOutcome {
     const fault = this.pending.find(({ left, keyPrefix }) => left > 0 && key.startsWith(keyPrefix));
     if (fault === undefined) {
       return { kind: 'answered' };
@@ -112,7 +112,7 @@
     this.pending = [];
   }
 
-  private addWriteFault(fault: { count: number; keyPrefix?: string }, fate: WriteFate): void {
+  private addWriteFault(fault: { count: number; keyPrefix?: string }, fate: WriteOutcome): void {
     this.pending.push({ left: fault.count, keyPrefix: fault.keyPrefix ?? '', fate });
   }
 }
