--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -3,7 +3,7 @@
 export { CallerConnections } from './lib/CallerConnections/CallerConnections.js';
 export type {
   CallerConnectionOptions,
-  ConnectionCensus,
+  ConnectionCounts,
 } from './lib/CallerConnections/CallerConnections.js';
 export { MalformedKind, refuseConnection } from './lib/refuseConnection.js';
 export type { RefusalBody } from './lib/refuseConnection.js';
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
@@ -42,7 +42,7 @@
       const response = new FakeEnd();
       Object.assign(socket, { bytesRead: socket.bytesRead + 100 });
       const request = { socket, complete: true } as unknown as IncomingMessage;
-      connections.begin(request, response as unknown as ServerResponse);
+      connections.trackRequest(request, response as unknown as ServerResponse);
       return response;
     };
     return { clock, connections, open, begin };
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.ts
@@ -35,7 +35,7 @@
  *
  * @public
  */
-export interface ConnectionCensus {
+export interface ConnectionCounts {
   /** Connections that carried a request. */
   busy: number;
   /** Connections on which a request has begun to arrive. */
@@ -97,7 +97,7 @@
   }
 
   /** A request has begun: its connection lasts until its answer is over. */
-  begin(request: IncomingMessage, response: ServerResponse): void {
+  trackRequest(request: IncomingMessage, response: ServerResponse): void {
     const { socket } = request;
     const connection = this.connections.get(socket);
     if (connection === undefined) {
@@ -118,7 +118,7 @@
   }
 
   /** Whether a request that has been read whole is being answered on the connection. */
-  isAnswering(socket: Socket): boolean {
+  isResponding(socket: Socket): boolean {
     const inFlight = this.connections.get(socket)?.inFlight ?? [];
     return [...inFlight].some(({ complete }) => complete);
   }
@@ -128,14 +128,14 @@
    *
    * @returns what was open
    */
-  drain(): ConnectionCensus {
+  drain(): ConnectionCounts {
     this.draining = true;
     const census = this.getCensus();
     this.connections.forEach((connection, socket) => this.endIfIdle(socket, connection));
     return census;
   }
 
-  private getCensus(): ConnectionCensus {
+  private getCensus(): ConnectionCounts {
     const open = [...this.connections];
     const idle = open.filter(([, { inFlight }]) => inFlight.size === 0);
     const quiet = idle.filter(([socket, { readAtRest }]) => socket.bytesRead === readAtRest);
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -3,10 +3,10 @@
 export type { DutyEvent, DutyLog } from './lib/DutyEvent.js';
 export { dutyOptions } from './lib/dutyOptions.js';
 export { CallResult } from './lib/DutyPlatform.js';
-export type { Authority, DutyPlatform, ReplicaOrder, UsageReport } from './lib/DutyPlatform.js';
-export { FleetTime } from './lib/FleetTime/FleetTime.js';
+export type { LeaseHolder, DutyPlatform, ReplicaOrder, UsageReport } from './lib/DutyPlatform.js';
+export { FleetClock } from './lib/FleetClock/FleetClock.js';
 export type { ScalableService } from './lib/scaling/ScalingDuty/ScalingDuty.js';
 export type { ScalingLimits, ServiceDemand, ZoneSupply } from './lib/scaling/scalingTypes.js';
 export { UsageCounter } from './lib/usage/UsageCounter/UsageCounter.js';
-export { getWindow } from './lib/usage/UsageShare.js';
-export type { UsageShare } from './lib/usage/UsageShare.js';
+export { getWindow } from './lib/usage/SourceUsage.js';
+export type { SourceUsage } from './lib/usage/SourceUsage.js';
--- a/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import { DELAY, DutyFleet, WINDOW } from '../../test/DutyFleet.js';
 import { PlatformFault } from '../../test/FakePlatform.js';
-import { getWindowEnd } from '../usage/UsageShare.js';
+import { getWindowEnd } from '../usage/SourceUsage.js';
 
 const RUNS = Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 40);
 const SEED = process.env.APRICOTRILL_FUZZ_SEED;
--- a/packages/duties/src/lib/DutyManager/DutyManager.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.ts
@@ -27,7 +27,7 @@
   self: string;
   clock: Clock;
   /** Unix milliseconds, put right by the clocks of the other daemons. */
-  getTrueTime: () => Milliseconds;
+  getFleetTime: () => Milliseconds;
   /** The machine's time of day. */
   getTimeOfDay: () => Milliseconds;
   store: LeaseStore;
--- a/packages/duties/src/lib/DutyPlatform.ts
+++ b/packages/duties/src/lib/DutyPlatform.ts
@@ -1,5 +1,5 @@
 /** Who calls the platform, under which number. */
-export interface Authority {
+export interface LeaseHolder {
   holder: string;
   /** Grows when the holder changes. */
   fencingNumber: number;
@@ -38,7 +38,7 @@
  */
 export interface DutyPlatform {
   /** @throws StepError when no answer came; the call may still be carried out */
-  reportUsage(report: UsageReport, authority: Authority): Promise<CallResult>;
+  reportUsage(report: UsageReport, authority: LeaseHolder): Promise<CallResult>;
   /** @throws StepError when no answer came; the call may still be carried out */
-  orderReplicas(order: ReplicaOrder, authority: Authority): Promise<CallResult>;
+  orderReplicas(order: ReplicaOrder, authority: LeaseHolder): Promise<CallResult>;
 }
--- a/packages/duties/src/lib/FleetTime/FleetTime.test.ts
+++ b/packages/duties/src/lib/FleetClock/FleetClock.test.ts
@@ -1,10 +1,10 @@
-import { FleetTime } from './FleetTime.js';
+import { FleetClock } from '../FleetClock/FleetClock.js';
 
 const NOW = 1_700_000_000_000;
 
 /** Records what the clocks of ten other daemons say, by how much each is off. */
-function createTime(offsets: readonly number[]): FleetTime {
-  const time = new FleetTime();
+function createTime(offsets: readonly number[]): FleetClock {
+  const time = new FleetClock();
   offsets.forEach((offset, index) => time.record(`d-${index}`, NOW + offset, NOW));
   return time;
 }
--- a/packages/duties/src/lib/FleetTime/FleetTime.ts
+++ b/packages/duties/src/lib/FleetClock/FleetClock.ts
@@ -17,7 +17,7 @@
  *
  * @public
  */
-export class FleetTime {
+export class FleetClock {
   private readonly readings = new Map<string, Reading>();
 
   /**
--- a/packages/duties/src/lib/usage/FleetUsage/FleetUsage.ts
+++ b/packages/duties/src/lib/usage/FleetUsage/FleetUsage.ts
@@ -1,4 +1,4 @@
-import type { UsageShare } from '../UsageShare.js';
+import type { SourceUsage } from '../SourceUsage.js';
 
 /** Windows that are kept at most, against daemons whose clocks are far off. */
 const MOST_WINDOWS = 64;
@@ -14,7 +14,7 @@
   private oldest = 0;
 
   /** Takes in the counts of one daemon; the order and repeats do not matter. */
-  merge({ source, window, counts }: UsageShare): void {
+  merge({ source, window, counts }: SourceUsage): void {
     if (window < this.oldest) {
       return;
     }
--- a/packages/duties/src/lib/usage/UsageShare.ts
+++ b/packages/duties/src/lib/usage/SourceUsage.ts
@@ -6,7 +6,7 @@
  *
  * @public
  */
-export interface UsageShare {
+export interface SourceUsage {
   /** The life of the daemon that counted. */
   source: string;
   /** Number of the window, counted from the start of 1970. */
--- a/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
+++ b/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { getWindow } from '../UsageShare.js';
-import type { UsageShare } from '../UsageShare.js';
+import { getWindow } from '../SourceUsage.js';
+import type { SourceUsage } from '../SourceUsage.js';
 
 /** What a counter needs. */
 export interface UsageCounterParts {
@@ -34,7 +34,7 @@
   }
 
   /** Counts that have changed since the last call. */
-  takeChanged(): UsageShare[] {
+  takeChanged(): SourceUsage[] {
     const { changed } = this;
     this.changed = new Map();
     return [...changed].map(([window, workspaces]) => {
@@ -47,7 +47,7 @@
   }
 
   /** All counts of the windows that are kept. */
-  getAll(): UsageShare[] {
+  getAll(): SourceUsage[] {
     return [...this.windows].map(([window, counts]) => this.createShare(window, [...counts]));
   }
 
@@ -60,7 +60,7 @@
       });
   }
 
-  private createShare(window: number, counts: UsageShare['counts']): UsageShare {
+  private createShare(window: number, counts: SourceUsage['counts']): SourceUsage {
     return { source: this.parts.source, window, counts };
   }
 }
--- a/packages/duties/src/lib/usage/UsageDuty/UsageDuty.ts
+++ b/packages/duties/src/lib/usage/UsageDuty/UsageDuty.ts
@@ -9,14 +9,14 @@
 import type { UsageStep } from '../getUsageStep.js';
 import { parseLedger } from '../UsageLedger.js';
 import type { UsageLedger } from '../UsageLedger.js';
-import { getWindowEnd } from '../UsageShare.js';
+import { getWindowEnd } from '../SourceUsage.js';
 
 /** What the duty needs. */
 export interface UsageDutyParts {
   self: string;
   clock: Clock;
   /** Unix milliseconds, put right by the clocks of the other daemons. */
-  getTrueTime: () => Milliseconds;
+  getFleetTime: () => Milliseconds;
   lease: LeaseManager;
   store: LeaseStore;
   platform: DutyPlatform;
@@ -60,7 +60,7 @@
   private readonly done = new Set<number>();
 
   constructor(private readonly parts: UsageDutyParts) {
-    this.since = parts.getTrueTime();
+    this.since = parts.getFleetTime();
   }
 
   /** What lies at the store is unknown after a time without the lease. */
@@ -87,14 +87,14 @@
       case 'report':
         return this.report(step, this.stored.ledger);
       case 'wait':
-        return Math.max(0, step.until - this.parts.getTrueTime());
+        return Math.max(0, step.until - this.parts.getFleetTime());
       default:
         return step satisfies never;
     }
   }
 
   private getStep(ledger: UsageLedger): UsageStep {
-    const { getTrueTime, usage, windowSpan, delay, options } = this.parts;
+    const { getFleetTime: getTrueTime, usage, windowSpan, delay, options } = this.parts;
     return getUsageStep({
       ledger,
       usage,
@@ -151,7 +151,15 @@
     { entry }: Extract<UsageStep, { kind: 'report' }>,
     ledger: UsageLedger,
   ): Promise<Milliseconds> {
-    const { getTrueTime, lease, log, options, platform, self, windowSpan } = this.parts;
+    const {
+      getFleetTime: getTrueTime,
+      lease,
+      log,
+      options,
+      platform,
+      self,
+      windowSpan,
+    } = this.parts;
     const fencingNumber = lease.getFencingNumber();
     if (fencingNumber === undefined) {
       return options.retry;
--- a/packages/duties/src/lib/usage/getUsageStep.ts
+++ b/packages/duties/src/lib/usage/getUsageStep.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { FleetUsage } from './FleetUsage/FleetUsage.js';
 import type { UsageEntry, UsageLedger } from './UsageLedger.js';
-import { getWindow, getWindowEnd } from './UsageShare.js';
+import { getWindow, getWindowEnd } from './SourceUsage.js';
 
 /** What a holder does next for the usage. */
 export type UsageStep =
--- a/packages/duties/src/test/DutyFleet.ts
+++ b/packages/duties/src/test/DutyFleet.ts
@@ -6,7 +6,7 @@
 import { DutyManager } from '../lib/DutyManager/DutyManager.js';
 import type { ScalableService } from '../lib/scaling/ScalingDuty/ScalingDuty.js';
 import { UsageCounter } from '../lib/usage/UsageCounter/UsageCounter.js';
-import { getWindow } from '../lib/usage/UsageShare.js';
+import { getWindow } from '../lib/usage/SourceUsage.js';
 import { FakePlatform } from './FakePlatform.js';
 
 export const WINDOW: Milliseconds = 5_000;
@@ -133,7 +133,7 @@
     daemon.manager = new DutyManager({
       self: `daemon-${index}`,
       clock,
-      getTrueTime: () => clock.now(),
+      getFleetTime: () => clock.now(),
       getTimeOfDay: () => clock.now(),
       store: this.createStore(daemon),
       platform: this.createLink(daemon),
--- a/packages/duties/src/test/FakePlatform.ts
+++ b/packages/duties/src/test/FakePlatform.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import { CallResult } from '../lib/DutyPlatform.js';
-import type { Authority, DutyPlatform, ReplicaOrder, UsageReport } from '../lib/DutyPlatform.js';
+import type { LeaseHolder, DutyPlatform, ReplicaOrder, UsageReport } from '../lib/DutyPlatform.js';
 
 /** A report as the platform took it. */
 export interface TakenReport extends UsageReport {
@@ -25,19 +25,19 @@
 
   readonly reports: TakenReport[] = [];
 
-  readonly orders: (ReplicaOrder & Authority)[] = [];
+  readonly orders: (ReplicaOrder & LeaseHolder)[] = [];
 
   /** Rules of the platform that were broken. */
   readonly violations: string[] = [];
 
-  private readonly highest = new Map<string, Authority>();
+  private readonly highest = new Map<string, LeaseHolder>();
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
   ) {}
 
-  reportUsage(report: UsageReport, authority: Authority): Promise<CallResult> {
+  reportUsage(report: UsageReport, authority: LeaseHolder): Promise<CallResult> {
     return this.call('usage', authority, () => {
       const known = this.reports.find(({ window }) => window === report.window);
       if (known === undefined) {
@@ -48,7 +48,7 @@
     });
   }
 
-  orderReplicas(order: ReplicaOrder, authority: Authority): Promise<CallResult> {
+  orderReplicas(order: ReplicaOrder, authority: LeaseHolder): Promise<CallResult> {
     return this.call(`${order.service} ${order.availabilityZone}`, authority, () => {
       this.orders.push({ ...order, ...authority });
     });
@@ -56,7 +56,7 @@
 
   private async call(
     subject: string,
-    authority: Authority,
+    authority: LeaseHolder,
     effect: () => void,
   ): Promise<CallResult> {
     switch (this.fault) {
@@ -83,7 +83,7 @@
     throw new Error('no answer');
   }
 
-  private carryOut(subject: string, authority: Authority, effect: () => void): CallResult {
+  private carryOut(subject: string, authority: LeaseHolder, effect: () => void): CallResult {
     const highest = this.highest.get(subject);
     if (highest !== undefined && authority.fencingNumber < highest.fencingNumber) {
       return CallResult.Conflict;
--- a/packages/experiment/src/lib/relay/DaemonSimulation.ts
+++ b/packages/experiment/src/lib/relay/DaemonSimulation.ts
@@ -6,7 +6,7 @@
   PlacementMessage,
   RelayReplica,
   SharedAttempt,
-  SharedNews,
+  PlacementUpdate,
 } from '@apricotrill/relay';
 import type { ApplicationSimulation } from './ApplicationSimulation.js';
 import type { EngineSimulation } from './EngineSimulation.js';
@@ -27,7 +27,7 @@
   world: DaemonWorld;
   createCore: (emit: (effect: PlacementEffect) => void) => PlacementCore;
   /** Tells one daemon, or all where none is named. */
-  tellOthers: (news: SharedNews, to: string | undefined) => void;
+  tellOthers: (news: PlacementUpdate, to: string | undefined) => void;
 }
 
 type Send = Extract<PlacementEffect, { kind: 'send' }>;
@@ -86,8 +86,8 @@
     return attempts.map((attempt) => ({ ...attempt, prompt: undefined }));
   }
 
-  hear(peer: string, news: SharedNews): void {
-    this.core.handle({ kind: 'peer-news', peer, news });
+  hear(peer: string, news: PlacementUpdate): void {
+    this.core.handle({ kind: 'peer-update', peer, update: news });
   }
 
   submit(call: SimulatedCall): void {
@@ -108,7 +108,7 @@
         latencyTarget: kind.latencyTarget,
         pauseTarget: kind.pauseTarget,
         deadline: call.arrived + kind.timeout,
-        arrived: call.arrived,
+        arrivedAt: call.arrived,
         prompt,
       },
     });
@@ -129,14 +129,14 @@
         this.calls.delete(effect.id);
         break;
       case 'share':
-        this.parts.tellOthers(effect.news, effect.to);
+        this.parts.tellOthers(effect.update, effect.to);
         break;
-      case 'question':
+      case 'check-liveness':
         this.answerQuestion(effect.replica.id);
         break;
       case 'suspect':
-      case 'trust':
-      case 'avoid':
+      case 'mark-healthy':
+      case 'start-cooldown':
       case 'placed-for':
       case 'placer-silent':
       case 'crashed':
@@ -230,7 +230,7 @@
     if (call.firstEvent === undefined) {
       Object.assign(call, { firstEvent: now - call.arrived });
       this.core.handle({ kind: 'load', replica: replica.id, report });
-      this.core.handle({ kind: 'answering', id, attempt });
+      this.core.handle({ kind: 'first-byte-received', id, attempt });
     } else {
       const pause = now - call.lastEvent!;
       Object.assign(call, { longestPause: Math.max(call.longestPause, pause) });
@@ -268,7 +268,7 @@
     const { clock, world } = this.parts;
     clock.setTimer(QUESTION_TIME, () => {
       const isAlive = world.findEngine(replica)?.isDown === false;
-      this.core.handle({ kind: 'questioned', replica, isAlive });
+      this.core.handle({ kind: 'liveness-checked', replica, isAlive });
     });
   }
 
--- a/packages/experiment/src/lib/relay/FleetSimulation.ts
+++ b/packages/experiment/src/lib/relay/FleetSimulation.ts
@@ -7,7 +7,7 @@
   PlacementOptions,
   RelayReplica,
   RelayService,
-  SharedNews,
+  PlacementUpdate,
 } from '@apricotrill/relay';
 import { ApplicationSimulation } from './ApplicationSimulation.js';
 import { DaemonSimulation } from './DaemonSimulation.js';
@@ -194,7 +194,7 @@
     return this.applications.get(id);
   }
 
-  private tellOthers(from: number, news: SharedNews, to: string | undefined): void {
+  private tellOthers(from: number, news: PlacementUpdate, to: string | undefined): void {
     this.clock.setTimer(this.deployment.crossing, () => {
       this.daemons.forEach((daemon, index) => {
         if (index !== from && (to === undefined || to === getDaemonName(index))) {
@@ -210,7 +210,11 @@
       this.daemons.forEach((daemon, from) => {
         this.daemons.forEach((_other, index) => {
           const to = getDaemonName(index);
-          this.tellOthers(from, { kind: 'all', attempts: daemon.getSharedAttempts(to) }, to);
+          this.tellOthers(
+            from,
+            { kind: 'attempt-list', attempts: daemon.getSharedAttempts(to) },
+            to,
+          );
         });
       });
       this.tellAll();
--- a/packages/relay/src/index.ts
+++ b/packages/relay/src/index.ts
@@ -13,8 +13,8 @@
 export { RelayDaemon } from './lib/daemon/RelayDaemon.js';
 export type { QuarantineStore } from './lib/daemon/QuarantineStore.js';
 export type { ListenAddress, RelaySettings } from './lib/daemon/RelaySettings.js';
-export { HttpCaller, parseJson } from './lib/http/HttpCaller.js';
-export type { HttpAnswer, HttpCall } from './lib/http/HttpCaller.js';
+export { HttpClient, parseJson } from './lib/http/HttpClient.js';
+export type { HttpResponse, HttpRequest } from './lib/http/HttpClient.js';
 export { AttemptEnd, CancelReason, Outcome } from './lib/decide/messages.js';
 export type {
   CacheChange,
@@ -26,15 +26,15 @@
   QuarantinedRequest,
   SharedAttempt,
   SharedLimit,
-  SharedNews,
+  PlacementUpdate,
   StatedLimit,
 } from './lib/decide/messages.js';
 export { PlacementCore } from './lib/decide/PlacementCore/PlacementCore.js';
 export { placementOptions } from './lib/decide/placementOptions.js';
 export type { PlacementOptions } from './lib/decide/placementOptions.js';
 export type {
-  CacheListed,
-  CacheNews,
+  CacheListResult,
+  CacheUpdate,
   CacheSource,
 } from './lib/follow/CacheFollower/CacheFollower.js';
 export type {
@@ -49,10 +49,10 @@
 export { RelayMetrics } from './lib/observe/RelayMetrics.js';
 export { findHeader, getEndToEndHeaders } from './lib/protocol/connectionHeaders.js';
 export type {
-  AnswerFields,
-  CallerFields,
+  ResponseFields,
+  RequestFields,
   RelayProtocol,
-  SendFields,
+  UpstreamFields,
 } from './lib/protocol/RelayProtocol.js';
-export type { AnswerHead } from './lib/upstream/UpstreamExchange/UpstreamExchange.js';
+export type { ResponseHead } from './lib/upstream/UpstreamExchange/UpstreamExchange.js';
 export type { PeerDirectory, PeerEntry } from './lib/peers/PeerDirectory.js';
--- a/packages/relay/src/lib/callers/CallerServer/CallerServer.ts
+++ b/packages/relay/src/lib/callers/CallerServer/CallerServer.ts
@@ -1,5 +1,5 @@
 import { CallerConnections, refuseConnection, waitForAccepted } from '@apricotrill/callers';
-import type { ConnectionCensus } from '@apricotrill/callers';
+import type { ConnectionCounts } from '@apricotrill/callers';
 import type { Clock } from '@apricotrill/utils';
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -85,7 +85,7 @@
    *
    * @returns what was open
    */
-  async stopListening(): Promise<ConnectionCensus> {
+  async stopListening(): Promise<ConnectionCounts> {
     await waitForAccepted();
     this.server.close();
     return this.connections.drain();
@@ -100,7 +100,7 @@
     if (this.isDraining) {
       response.shouldKeepAlive = false;
     }
-    this.connections.begin(request, response);
+    this.connections.trackRequest(request, response);
     this.open.add(response);
     response.once('close', () => this.open.delete(response));
     this.parts.onRequest(request, response);
@@ -112,7 +112,7 @@
    */
   private refuse(socket: Socket, error: NodeJS.ErrnoException): void {
     this.parts.onMalformed(error.message);
-    if (!this.connections.isAnswering(socket)) {
+    if (!this.connections.isResponding(socket)) {
       refuseConnection(socket, error);
     }
   }
--- a/packages/relay/src/lib/callers/admitCall.ts
+++ b/packages/relay/src/lib/callers/admitCall.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage } from 'node:http';
 import type { ActiveConfiguration } from '../config/ActiveConfiguration.js';
 import type { RelayRoute, RelayWorkspace } from '../config/RelayConfiguration.js';
-import type { CallerFields } from '../protocol/RelayProtocol.js';
+import type { RequestFields } from '../protocol/RelayProtocol.js';
 import { callerOptions } from './callerOptions.js';
 
 /** Whether a head may go on, and by what. */
@@ -35,7 +35,7 @@
  */
 export function admitCall(
   request: IncomingMessage,
-  fields: CallerFields,
+  fields: RequestFields,
   active: ActiveConfiguration | undefined,
 ): CallAdmission {
   if (active === undefined) {
--- a/packages/relay/src/lib/daemon/EffectPerformer.ts
+++ b/packages/relay/src/lib/daemon/EffectPerformer.ts
@@ -43,7 +43,7 @@
         intake.getTask(effect.id)?.settle();
         break;
       case 'share':
-        link.tell(effect.news, effect.to);
+        link.send(effect.update, effect.to);
         break;
       case 'placed-for': {
         const { peer, key, choice } = effect;
@@ -56,7 +56,7 @@
       case 'follow-caches':
         watch.setFollowed(effect.engines);
         break;
-      case 'question': {
+      case 'check-liveness': {
         const { id, service } = effect.replica;
         log({ event: 'replica-questioned', replica: id, service });
         checks.question(effect.replica);
@@ -115,12 +115,12 @@
         checks.add(replica);
         break;
       }
-      case 'trust': {
+      case 'mark-healthy': {
         const { id, service } = effect.replica;
         log({ event: 'replica-trusted', replica: id, service });
         break;
       }
-      case 'avoid': {
+      case 'start-cooldown': {
         const { replica, span } = effect;
         const { id, service } = replica;
         log({ event: 'replica-avoided', replica: id, service, span });
--- a/packages/relay/src/lib/daemon/FollowedKind.ts
+++ b/packages/relay/src/lib/daemon/FollowedKind.ts
@@ -3,20 +3,20 @@
 import { StateFollower } from '../follow/StateFollower/StateFollower.js';
 import type { FollowListener } from '../follow/StateFollower/StateFollower.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
-import type { ReaderChoice } from '../readers/ReaderChoice/ReaderChoice.js';
+import type { ReaderSelector } from '../readers/ReaderSelector/ReaderSelector.js';
 import { readerOptions } from '../readers/readerOptions.js';
 import { SharedObjects } from '../readers/SharedObjects/SharedObjects.js';
 import { SharedSource } from '../readers/SharedSource/SharedSource.js';
-import type { AskReader } from '../readers/SharedSource/SharedSource.js';
+import type { PeerReader } from '../readers/SharedSource/SharedSource.js';
 
 /** What a followed kind is made of. */
 export interface FollowedKindParts<Item> {
   /** Names the kind in log lines and between daemons. */
   dependency: string;
   store: ObjectSource<Item>;
-  choice: ReaderChoice;
-  ask: AskReader<Item>;
-  onItems: FollowListener<Item>['onItems'];
+  choice: ReaderSelector;
+  ask: PeerReader<Item>;
+  onItems: FollowListener<Item>['onObjects'];
   clock: Clock;
   random: Random;
   log: RelayLog;
@@ -52,23 +52,23 @@
 
   /** The revision of the last change that the store told this daemon of. */
   get lastChange(): number | undefined {
-    return this.isDirect ? this.follower.lastChange : undefined;
+    return this.isDirect ? this.follower.lastChangeRevision : undefined;
   }
 
   /** Whether the last call was answered, by the store or by a reader. */
   get isReached(): boolean {
-    return this.follower.isReached;
+    return this.follower.isConnected;
   }
 
   /** Another daemon has heard of a change; a daemon that asks a reader leaves that to the reader. */
   noteChangeElsewhere(revision: number): void {
     if (this.isDirect) {
-      this.follower.noteChangeElsewhere(revision);
+      this.follower.recordPeerRevision(revision);
     }
   }
 
   setDaemons(daemons: number): void {
-    this.follower.setDaemons(daemons);
+    this.follower.setDaemonCount(daemons);
   }
 
   dispose(): void {
@@ -82,7 +82,9 @@
   private get isFresh(): boolean {
     const { clock, sharedWait } = this.parts;
     const age = clock.now() - this.source.confirmedAt;
-    return this.isDirect && this.follower.isReached && age <= sharedWait + readerOptions.freshSlack;
+    return (
+      this.isDirect && this.follower.isConnected && age <= sharedWait + readerOptions.maxStaleness
+    );
   }
 
   private get isDirect(): boolean {
@@ -92,14 +94,14 @@
   private createListener(): FollowListener<Item> {
     const { dependency, log, onItems } = this.parts;
     return {
-      onItems: (items, revision) => {
+      onObjects: (items, revision) => {
         // A daemon that was not cut off with this one knows better what was deleted meanwhile.
         this.objects.update(this.follower.stored);
         onItems(items, revision);
       },
       onLost: (error) => log({ event: 'dependency-lost', dependency, error: error.message }),
-      onRegained: (after) => log({ event: 'dependency-regained', dependency, after }),
-      onKept: (replica, until) =>
+      onReconnected: (after) => log({ event: 'dependency-regained', dependency, after }),
+      onRetained: (replica, until) =>
         log({ event: 'replica-kept', replica, until, reason: 'the store was away' }),
     };
   }
--- a/packages/relay/src/lib/daemon/HealthChecks/HealthChecks.ts
+++ b/packages/relay/src/lib/daemon/HealthChecks/HealthChecks.ts
@@ -58,7 +58,7 @@
     const { source, tell } = this.parts;
     const answer = source.isAlive(replica, healthOptions.timeout).catch(() => false);
     // A source that throws has no answer of the engine, which is what is told.
-    answer.then((isAlive) => tell({ kind: 'questioned', replica: replica.id, isAlive }));
+    answer.then((isAlive) => tell({ kind: 'liveness-checked', replica: replica.id, isAlive }));
   }
 
   /** Checks once whether a replica with broken attempts still accepts connections. */
--- a/packages/relay/src/lib/daemon/RelayDaemon.ts
+++ b/packages/relay/src/lib/daemon/RelayDaemon.ts
@@ -14,7 +14,7 @@
 import type { RelayProtocol } from '../protocol/RelayProtocol.js';
 import type { PeerDirectory, PeerEntry } from '../peers/PeerDirectory.js';
 import { PeerLink } from '../peers/PeerLink/PeerLink.js';
-import type { PeerNews } from '../peers/PeerNews.js';
+import type { PeerUpdate } from '../peers/PeerUpdate.js';
 import { StatusServer } from '../status/StatusServer.js';
 import { UpstreamConnections } from '../upstream/UpstreamConnections/UpstreamConnections.js';
 import { addDaemonGauges, addDutyGauges } from './addDaemonGauges.js';
@@ -125,9 +125,9 @@
       tell,
       getActive: () => this.active,
       isClosed: () => this.isClosed,
-      onSent: (service, tokens) => this.duties?.noteSent(service, tokens),
-      onEnded: (attempt) => this.duties?.noteEnded(attempt),
-      onRun: (workspace, at) => this.duties?.noteRun(workspace, at),
+      onSent: (service, tokens) => this.duties?.recordSent(service, tokens),
+      onEnded: (attempt) => this.duties?.recordEnd(attempt),
+      onRun: (workspace, at) => this.duties?.recordRunStart(workspace, at),
     });
     this.callers = new CallerServer({
       clock,
@@ -159,23 +159,23 @@
       random: parts.random,
       log,
       directory: parts.peers,
-      getAll: () => this.core.getSharedAttempts(),
-      getRepeated: () => this.core.getRepeated(),
-      onNews: (peer, news) => this.hear(peer, news),
-      onTime: (peer, sentAt) => this.duties?.noteTime(peer, sentAt),
-      onGone: (peer) => tell({ kind: 'peer-gone', peer }),
-      onFleet: (daemons) => {
+      getSharedAttempts: () => this.core.getSharedAttempts(),
+      getPeriodicUpdates: () => this.core.getPeriodicUpdates(),
+      onUpdate: (peer, news) => this.hear(peer, news),
+      onClockReading: (peer, sentAt) => this.duties?.recordClockReading(peer, sentAt),
+      onPeerLost: (peer) => tell({ kind: 'peer-removed', peer }),
+      onFleetChanged: (daemons) => {
         this.store.setFleet(daemons);
         this.duties?.setFleet(daemons);
         tell({ kind: 'fleet', self: id, daemons: daemons.map((daemon) => daemon.id) });
       },
-      onCount: (daemons) => {
+      onDaemonCount: (daemons) => {
         this.watch.setDaemons(daemons);
         this.store.setDaemons(daemons);
         tell({ kind: 'daemons', count: daemons });
       },
-      getChanges: () => this.store.lastChanges,
-      onChanges: (changes) => this.store.noteChangesElsewhere(changes),
+      getStoreRevisions: () => this.store.lastChanges,
+      onStoreRevisions: (changes) => this.store.noteChangesElsewhere(changes),
     });
     this.duties = this.createDuties(self);
     this.performer = this.createPerformer();
@@ -220,14 +220,14 @@
     this.isClosed = true;
     const census = await this.callers.stopListening();
     log({ event: 'port-closed', after: clock.now() - started, ...census });
-    const unlisted = Promise.all([this.link.unlist(), this.duties?.stop()]);
+    const unlisted = Promise.all([this.link.deregister(), this.duties?.stop()]);
     // Connections whose first request is on its way are waited for as well as open answers.
     while (this.callers.openConnections > 0 && clock.now() < end) {
       // eslint-disable-next-line no-await-in-loop
       await this.sleep(shutdownOptions.look);
     }
     await waitAtMost(unlisted, clock, end - clock.now());
-    this.link.tellGone();
+    this.link.announceDeparture();
     log({
       event: 'stopped',
       after: clock.now() - started,
@@ -248,7 +248,7 @@
     );
     this.settings = settings;
     const { ratio, window, slack } = settings.retries;
-    this.core.book.setRetries({ ratio, window, slack });
+    this.core.registry.setRetryLimits({ ratio, window, slack });
     return changed;
   }
 
@@ -306,19 +306,19 @@
           self,
           clock,
           log,
-          tell: (news, to) => this.link.tell(news, to),
-          getServices: () => this.core.book.getScalable(),
+          send: (news, to) => this.link.send(news, to),
+          getServices: () => this.core.registry.getScalableServices(),
         });
   }
 
-  private hear(peer: string, news: PeerNews): void {
+  private hear(peer: string, news: PeerUpdate): void {
     switch (news.kind) {
       case 'usage':
       case 'demand':
-        this.duties?.hear(peer, news);
+        this.duties?.handleUpdate(peer, news);
         break;
       default:
-        this.core.handle({ kind: 'peer-news', peer, news });
+        this.core.handle({ kind: 'peer-update', peer, update: news });
     }
   }
 
--- a/packages/relay/src/lib/daemon/RequestIntake.ts
+++ b/packages/relay/src/lib/daemon/RequestIntake.ts
@@ -75,7 +75,7 @@
   async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { clock, protocol, random } = this.parts;
     const arrived = clock.now();
-    const fields = protocol.readCaller(request.headers);
+    const fields = protocol.readRequest(request.headers);
     const id = this.createId(fields.requestId);
     const admission = this.parts.isClosed()
       ? STOPPING
--- a/packages/relay/src/lib/daemon/StoreLink.test.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.test.ts
@@ -162,7 +162,7 @@
     // A daemon's way to its reader may begin with a refusal: then it reads once by itself, and the
     // daemons that it asked become readers.
     const readers = daemons.filter(({ link }) => link.isReader);
-    expect(readers.length).toBeLessThanOrEqual(readerOptions.mostAsked);
+    expect(readers.length).toBeLessThanOrEqual(readerOptions.maxCandidates);
     const waits = Math.ceil((clock.now() - started) / (CHANGE_BOUND * readerOptions.waitShare));
     expect(countCalls() - before).toBeLessThanOrEqual(
       readers.length * (changes + 1 + waits) + DAEMONS,
--- a/packages/relay/src/lib/daemon/StoreLink.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.ts
@@ -2,12 +2,12 @@
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import type { ObjectSource } from '../follow/StateFollower/ObjectSource.js';
 import type { FollowListener } from '../follow/StateFollower/StateFollower.js';
-import { HttpCaller } from '../http/HttpCaller.js';
+import { HttpClient } from '../http/HttpClient.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { PeerEntry } from '../peers/PeerDirectory.js';
-import { createAskReader } from '../readers/createAskReader.js';
+import { createPeerReader } from '../readers/createPeerReader.js';
 import { ObjectServer } from '../readers/ObjectServer/ObjectServer.js';
-import { ReaderChoice } from '../readers/ReaderChoice/ReaderChoice.js';
+import { ReaderSelector } from '../readers/ReaderSelector/ReaderSelector.js';
 import { readerOptions } from '../readers/readerOptions.js';
 import { FollowedKind } from './FollowedKind.js';
 
@@ -28,9 +28,9 @@
 export class StoreLink {
   private readonly kinds = new Map<string, FollowedKind<unknown>>();
 
-  private readonly caller = new HttpCaller();
+  private readonly caller = new HttpClient();
 
-  private readonly choice: ReaderChoice;
+  private readonly choice: ReaderSelector;
 
   private readonly server: ObjectServer;
 
@@ -42,11 +42,11 @@
   constructor(private readonly parts: StoreLinkParts) {
     const { clock, log, self, changeBound } = parts;
     this.sharedWait = Math.round(changeBound * readerOptions.waitShare);
-    this.choice = new ReaderChoice(parts);
+    this.choice = new ReaderSelector(parts);
     this.server = new ObjectServer({
       log,
-      longestWait: this.sharedWait,
-      onAsked: () => this.choice.noteAsked(),
+      maxWait: this.sharedWait,
+      onRequest: () => this.choice.recordReaderRequest(),
     });
     this.epoch = getHashHex(`${self.id} ${clock.now()}`);
   }
@@ -59,10 +59,10 @@
   follow<Item>(
     dependency: string,
     store: ObjectSource<Item>,
-    onItems: FollowListener<Item>['onItems'],
+    onItems: FollowListener<Item>['onObjects'],
   ): void {
     const { choice, epoch, parts, sharedWait } = this;
-    const ask = createAskReader<Item>(this.caller, dependency);
+    const ask = createPeerReader<Item>(this.caller, dependency);
     const kind = new FollowedKind({
       ...parts,
       dependency,
--- a/packages/relay/src/lib/daemon/addDaemonGauges.ts
+++ b/packages/relay/src/lib/daemon/addDaemonGauges.ts
@@ -29,7 +29,7 @@
   const { core, connections, link, store } = view;
   metrics.addGauge('open_requests', 'Requests under way.', () => core.openRequests);
   metrics.addGauge('upstream_connections', 'Open to replicas.', () => connections.size);
-  metrics.addGauge('peers', 'Other daemons that are heard.', () => link.livePeers);
+  metrics.addGauge('peers', 'Other daemons that are heard.', () => link.livePeerCount);
   metrics.addGauge(
     'quarantined_requests',
     'Requests that are rejected.',
@@ -53,13 +53,13 @@
     core.limits.getRates(),
   );
   metrics.addGauges('waiting_requests', 'Without a place at a replica.', 'service', () =>
-    core.book.getWaitingCounts(),
+    core.registry.getWaitingCounts(),
   );
   metrics.addGauges('repeats_left', 'Repeats that may be sent now.', 'service', () =>
-    core.book.getRepeatsLeft(),
+    core.registry.getRemainingRetries(),
   );
   metrics.addGauges('report_age_seconds', "Of a replica's last word.", 'replica', () =>
-    core.book.getReportAges().map(([id, age]) => [id, getSeconds(age)] as const),
+    core.registry.getReportAges().map(([id, age]) => [id, getSeconds(age)] as const),
   );
 }
 
--- a/packages/relay/src/lib/decide/BreakWindow/BreakWindow.test.ts
+++ b/packages/relay/src/lib/decide/BreakWindow/BreakWindow.test.ts
@@ -47,9 +47,13 @@
   it('avoid a replica that broke others’ requests, without a break of their own', () => {
     const harness = new CoreHarness([createEngineService('llm')], engines);
     ['d-2', 'd-3', 'd-4'].forEach((peer) =>
-      harness.core.handle({ kind: 'peer-news', peer, news: { kind: 'broke', replica: 'e-1' } }),
+      harness.core.handle({
+        kind: 'peer-update',
+        peer,
+        update: { kind: 'attempt-broken', replica: 'e-1' },
+      }),
     );
-    expect(harness.get('avoid')).toMatchObject([{ replica: { id: 'e-1' }, span: 2_000 }]);
+    expect(harness.get('start-cooldown')).toMatchObject([{ replica: { id: 'e-1' }, span: 2_000 }]);
     const places = Array.from({ length: 10 }, (_item, index) => submit(harness, `r-${index}`));
     expect(new Set(places)).toEqual(new Set(['e-2']));
   });
@@ -58,14 +62,18 @@
     const harness = new CoreHarness([createEngineService('llm')], engines);
     const engine = submit(harness, 'r-1');
     harness.end('r-1', 1, AttemptEnd.Broken);
-    const news = harness.get('share').map((effect) => effect.news);
-    expect(news).toContainEqual({ kind: 'broke', replica: engine });
+    const news = harness.get('share').map((effect) => effect.update);
+    expect(news).toContainEqual({ kind: 'attempt-broken', replica: engine });
   });
 
   it('still use it where there is no other', () => {
     const harness = new CoreHarness([createEngineService('llm')], engines.slice(0, 1));
     ['d-2', 'd-3', 'd-4'].forEach((peer) =>
-      harness.core.handle({ kind: 'peer-news', peer, news: { kind: 'broke', replica: 'e-1' } }),
+      harness.core.handle({
+        kind: 'peer-update',
+        peer,
+        update: { kind: 'attempt-broken', replica: 'e-1' },
+      }),
     );
     expect(submit(harness, 'r-1')).toBe('e-1');
   });
--- a/packages/relay/src/lib/decide/CacheView/CacheView.test.ts
+++ b/packages/relay/src/lib/decide/CacheView/CacheView.test.ts
@@ -33,14 +33,14 @@
   // the time that an engine's word takes. Cause: only the engine's word counted.
   it('expects what was sent, until word of the engine is overdue', () => {
     const cache = new CacheView();
-    cache.expect(PROMPT, 0);
+    cache.addExpected(PROMPT, 0);
     expect(cache.getCached(PROMPT, 2_999)).toBe(3_300);
     expect(cache.getCached(PROMPT, 3_001)).toBe(0);
   });
 
   it('lets only what the engine has read be copied', () => {
     const cache = new CacheView();
-    cache.expect(PROMPT, 0);
+    cache.addExpected(PROMPT, 0);
     expect(cache.getCopyable(PROMPT, 10)).toBe(0);
     cache.noteRead(PROMPT, 20);
     expect(cache.getCopyable(PROMPT, 30)).toBe(3_300);
@@ -55,7 +55,7 @@
   it('forgets everything when the engine started again, and takes a whole list', () => {
     const cache = new CacheView();
     cache.apply([add('catalogue', 2_000)]);
-    cache.forget();
+    cache.clear();
     expect(cache.getCached(PROMPT, 0)).toBe(0);
     cache.replace([add('catalogue', 2_000), add('session', 1_000)]);
     expect(cache.size).toBe(2);
--- a/packages/relay/src/lib/decide/CacheView/CacheView.ts
+++ b/packages/relay/src/lib/decide/CacheView/CacheView.ts
@@ -40,7 +40,7 @@
   }
 
   /** A request with this prompt was sent to the engine. */
-  expect(prompt: Prompt, now: Milliseconds): void {
+  addExpected(prompt: Prompt, now: Milliseconds): void {
     if (this.expected.size > SWEEP_SIZE) {
       this.sweep(now);
     }
@@ -83,7 +83,7 @@
   }
 
   /** The engine started again, or its events have a gap that no list fills. */
-  forget(): void {
+  clear(): void {
     this.isTold = false;
     this.held.clear();
     this.expected.clear();
--- a/packages/relay/src/lib/decide/Delegation/Delegation.ts
+++ b/packages/relay/src/lib/decide/Delegation/Delegation.ts
@@ -2,7 +2,7 @@
 import type { AttemptKeys } from '../AttemptKeys.js';
 import type { Fleet } from '../Fleet/Fleet.js';
 import type { ReplicaGroup } from '../groups/getReplicaGroups.js';
-import type { PlacementEffect, PlacementReply } from '../messages.js';
+import type { PlacementEffect, PlacementResponse } from '../messages.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { RequestRecord } from '../RequestRecord.js';
 
@@ -56,24 +56,27 @@
     const now = this.parts.clock.now();
     return this.parts.fleet
       .getPlacers(name)
-      .find((daemon) => !record.asked.has(daemon) && now >= (this.silent.get(daemon)?.until ?? 0));
+      .find(
+        (daemon) =>
+          !record.queriedPlacers.has(daemon) && now >= (this.silent.get(daemon)?.until ?? 0),
+      );
   }
 
   ask(record: RequestRecord, placer: string): void {
     const { clock, emit, keys, options } = this.parts;
     const { service, rank, latencyTarget, pauseTarget, prompt } = record.request;
     const key = keys.next();
-    record.asked.add(placer);
+    record.queriedPlacers.add(placer);
     const timer = clock.setTimer(options.askTimeout, () => this.expire(key));
     this.open.set(key, { record, placer, askedAt: clock.now(), timer });
     const wish = { service, rank, latencyTarget, pauseTarget, prompt };
-    const tried = [...record.tried];
+    const tried = [...record.triedReplicas];
     const ask = { key, wish, availabilityZone: options.availabilityZone, tried };
-    emit({ kind: 'share', to: placer, news: { kind: 'ask', ask } });
+    emit({ kind: 'share', to: placer, update: { kind: 'ask', query: ask } });
   }
 
   /** @returns undefined where nothing waits for the answer any more; then its placer is told so */
-  take(placer: string, { key, placement }: PlacementReply): OpenAsk | undefined {
+  take(placer: string, { key, placement }: PlacementResponse): OpenAsk | undefined {
     this.silent.delete(placer);
     const ask = this.open.get(key);
     if (ask?.placer !== placer) {
@@ -89,7 +92,7 @@
 
   /** The placer need not count an attempt that won't be made. */
   tellUnused(placer: string, key: string): void {
-    this.parts.emit({ kind: 'share', to: placer, news: { kind: 'ended', key } });
+    this.parts.emit({ kind: 'share', to: placer, update: { kind: 'ended', key } });
   }
 
   /** The request is over. */
--- a/packages/relay/src/lib/decide/EngineReading/EngineReading.test.ts
+++ b/packages/relay/src/lib/decide/EngineReading/EngineReading.test.ts
@@ -25,7 +25,7 @@
     this.freeAt = begun + tokens / this.rate;
     const wait = this.freeAt - clock.now();
     clock.setTimer(wait, () => {
-      this.harness.core.handle({ kind: 'answering', id, attempt: 1 });
+      this.harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
       this.harness.end(id, 1, AttemptEnd.Completed);
     });
     return wait;
--- a/packages/relay/src/lib/decide/EngineReading/EngineReading.ts
+++ b/packages/relay/src/lib/decide/EngineReading/EngineReading.ts
@@ -41,7 +41,7 @@
   /** A first token came: the prompt has been read. */
   noteRead(attempt: RunningAttempt, now: Milliseconds): void {
     this.readAt = now;
-    if (attempt.isTelling) {
+    if (attempt.isInformative) {
       this.learn(attempt, now);
     }
   }
--- a/packages/relay/src/lib/decide/Fleet/Fleet.ts
+++ b/packages/relay/src/lib/decide/Fleet/Fleet.ts
@@ -7,7 +7,7 @@
    * Each of n daemons sends three messages for each of its requests to all others: at 74 daemons, by
    * calculation, 1,000 datagrams a second both ways at each, for 5 requests a second.
    */
-  mostClose: 17,
+  maxSmallFleetSize: 17,
 };
 
 /** The placer of a group, and the daemon that takes over when it gives no answer. */
@@ -26,7 +26,7 @@
   private readonly placers = new Map<string, readonly string[]>();
 
   /** Takes over who is heard. */
-  set(own: string, daemons: readonly string[]): void {
+  update(own: string, daemons: readonly string[]): void {
     this.own = own;
     this.daemons = daemons;
     this.placers.clear();
@@ -44,7 +44,7 @@
 
   /** Whether there are too many for each to hear of all that the others do. */
   get isLarge(): boolean {
-    return this.daemons.length > fleetOptions.mostClose;
+    return this.daemons.length > fleetOptions.maxSmallFleetSize;
   }
 
   /** The daemon that chooses for a group, and its deputy. */
--- a/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
+++ b/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
@@ -2,12 +2,20 @@
 import type { ChosenReplica } from '../chooseReplica.js';
 import { getMemoryTokens } from '../getMemoryTokens.js';
 import { AttemptEnd } from '../messages.js';
-import type { PlacementWish, SharedAttempt, SharedEnd, SharedNews } from '../messages.js';
+import type {
+  PlacementCriteria,
+  SharedAttempt,
+  SharedAttemptResult,
+  PlacementUpdate,
+} from '../messages.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import type { RunningAttempt } from '../RequestRecord.js';
 
 /** News of attempts; breaks are counted with their replica. */
-export type AttemptNews = Extract<SharedNews, { kind: 'placed' | 'answering' | 'ended' | 'all' }>;
+export type AttemptNews = Extract<
+  PlacementUpdate,
+  { kind: 'placed' | 'first-byte-received' | 'ended' | 'attempt-list' }
+>;
 
 /**
  * An attempt for which this daemon chose so lately may be missing in the other's list of all: that
@@ -59,14 +67,14 @@
       case 'placed':
         this.add(attempts, news.attempt);
         break;
-      case 'answering':
+      case 'first-byte-received':
         this.noteAnswering(attempts.get(news.key));
         break;
       case 'ended':
         this.learn(attempts.get(news.key), news.result);
         PeerAttempts.remove(attempts, news.key);
         break;
-      case 'all':
+      case 'attempt-list':
         this.listedAt.set(peer, this.parts.clock.now());
         this.replace(attempts, news.attempts);
         this.sweep();
@@ -89,24 +97,29 @@
   }
 
   /** An attempt of another daemon for which this one chose the replica. */
-  place(peer: string, key: string, wish: PlacementWish, { state, choice }: ChosenReplica): void {
+  place(
+    peer: string,
+    key: string,
+    wish: PlacementCriteria,
+    { state, choice }: ChosenReplica,
+  ): void {
     const { prompt, pauseTarget } = wish;
     this.begin(this.getAttempts(peer), {
       number: 0,
       key,
       isOwn: false,
-      isForOther: true,
+      isPlacedForPeer: true,
       state,
       sentAt: this.parts.clock.now(),
       missingTokens: choice.missingTokens,
       tokensAhead: choice.tokensAhead,
-      isTelling: choice.isTelling,
+      isInformative: choice.isTelling,
       copyTime: choice.copyTime,
       memoryTokens: getMemoryTokens(prompt),
       pauseTarget,
       prompt,
       isAnswering: false,
-      isHarmed: false,
+      hasMissedPauseTarget: false,
       placer: undefined,
     });
   }
@@ -127,18 +140,18 @@
       number: 0,
       key,
       isOwn: false,
-      isForOther: false,
+      isPlacedForPeer: false,
       state,
       sentAt: this.parts.clock.now(),
       missingTokens,
       tokensAhead: missingTokens,
-      isTelling: false,
+      isInformative: false,
       copyTime: 0,
       memoryTokens,
       pauseTarget,
       prompt,
       isAnswering,
-      isHarmed: false,
+      hasMissedPauseTarget: false,
       placer: undefined,
     });
   }
@@ -147,28 +160,31 @@
     const { key, state, prompt } = attempt;
     const now = this.parts.clock.now();
     attempts.set(key, attempt);
-    state.noteSent(attempt, now);
+    state.recordSent(attempt, now);
     this.parts.onSent(state.replica.id);
     if (prompt !== undefined) {
-      state.cache.expect(prompt, now);
+      state.cache.addExpected(prompt, now);
     }
   }
 
   /** What the end of an attempt says of its replica. */
-  private learn(attempt: RunningAttempt | undefined, result: SharedEnd | undefined): void {
+  private learn(
+    attempt: RunningAttempt | undefined,
+    result: SharedAttemptResult | undefined,
+  ): void {
     if (attempt === undefined || result === undefined) {
       return;
     }
     const { state } = attempt;
     switch (result.end) {
       case AttemptEnd.Completed:
-        state.noteSuccess(result.after);
+        state.recordSuccess(result.after);
         break;
       case AttemptEnd.Failed:
-        state.noteFailure();
+        state.recordFailure();
         break;
       case AttemptEnd.Refused:
-        state.noteFull(this.parts.clock.now());
+        state.recordRefusal(this.parts.clock.now());
         break;
       case AttemptEnd.NotSent:
       case AttemptEnd.Misdirected:
@@ -187,7 +203,7 @@
     }
     const now = this.parts.clock.now();
     Object.assign(attempt, { isAnswering: true });
-    attempt.state.noteAnswering(attempt, now);
+    attempt.state.recordFirstByte(attempt, now);
   }
 
   /** News can be lost on the way: the whole list puts right what that left behind. */
@@ -196,7 +212,7 @@
     const old = this.parts.clock.now() - LIST_LAG;
     [...attempts]
       .filter(([key]) => !current.has(key))
-      .filter(([, { isForOther, sentAt }]) => !isForOther || sentAt <= old)
+      .filter(([, { isPlacedForPeer: isForOther, sentAt }]) => !isForOther || sentAt <= old)
       .forEach(([key]) => PeerAttempts.remove(attempts, key));
     shared.forEach((attempt) => {
       this.add(attempts, attempt);
@@ -219,7 +235,7 @@
     this.byPeer.forEach((attempts, peer) => {
       if ((this.listedAt.get(peer) ?? Number.NEGATIVE_INFINITY) < expired) {
         [...attempts]
-          .filter(([, { isForOther, sentAt }]) => isForOther && sentAt < expired)
+          .filter(([, { isPlacedForPeer: isForOther, sentAt }]) => isForOther && sentAt < expired)
           .forEach(([key]) => PeerAttempts.remove(attempts, key));
       }
     });
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
@@ -23,7 +23,7 @@
     attempts: fc.integer({ min: 1, max: 3 }),
   }),
   fc.record({ do: fc.constant('end' as const), pick: fc.nat(), end: fc.constantFrom(...ENDS) }),
-  fc.record({ do: fc.constant('answering' as const), pick: fc.nat() }),
+  fc.record({ do: fc.constant('first-byte-received' as const), pick: fc.nat() }),
   fc.record({ do: fc.constant('leave' as const), pick: fc.nat() }),
   fc.record({ do: fc.constant('advance' as const), span: fc.integer({ min: 1, max: 900 }) }),
   fc.record({ do: fc.constant('replicas' as const), mask: fc.nat(15) }),
@@ -79,9 +79,9 @@
       case 'end':
         this.end(next.pick, next.end);
         break;
-      case 'answering':
+      case 'first-byte-received':
         this.withRunning(next.pick, (id, attempt) =>
-          harness.core.handle({ kind: 'answering', id, attempt }),
+          harness.core.handle({ kind: 'first-byte-received', id, attempt }),
         );
         break;
       case 'leave':
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
@@ -115,7 +115,7 @@
       expect(harness.getReplicas(`b${index}`)).not.toContain(down);
     }
     harness.core.handle({ kind: 'health', replica: down!, isHealthy: true });
-    expect(harness.get('trust')).toHaveLength(1);
+    expect(harness.get('mark-healthy')).toHaveLength(1);
     for (let index = 0; index < 4; index += 1) {
       harness.submit(createRequest(`c${index}`));
     }
@@ -150,12 +150,12 @@
     harness.core.handle({ kind: 'leaving', replica: first.id });
     harness.core.handle({ kind: 'replicas', replicas: [next, TWO[1]!] });
     // Another daemon that has not heard of the restart yet tells of the life before.
-    const news = { kind: 'broke', replica: first.id } as const;
+    const news = { kind: 'attempt-broken', replica: first.id } as const;
     for (let index = 0; index < 5; index += 1) {
-      harness.core.handle({ kind: 'peer-news', peer: 'd-2', news });
+      harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: news });
       harness.core.handle({ kind: 'leaving', replica: first.id });
     }
-    expect(harness.get('avoid')).toHaveLength(0);
+    expect(harness.get('start-cooldown')).toHaveLength(0);
     ['a', 'b', 'c'].forEach((id) => harness.submit(createRequest(id)));
     const used = ['a', 'b', 'c'].flatMap((id) => harness.getReplicas(id));
     expect(used).toContain(next.id);
@@ -199,7 +199,7 @@
   }
 
   function answer(harness: CoreHarness, id: string): void {
-    harness.core.handle({ kind: 'answering', id, attempt: 1 });
+    harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
     harness.end(id, 1, AttemptEnd.Completed);
   }
 
@@ -228,7 +228,7 @@
       ['own-a', 500],
     ]);
     harness.clock.advance(100);
-    harness.core.handle({ kind: 'answering', id: 'a', attempt: 1 });
+    harness.core.handle({ kind: 'first-byte-received', id: 'a', attempt: 1 });
     for (let index = 0; index < 6; index += 1) {
       submit(harness, `load${index}`, [
         ['catalogue', 2_500],
@@ -257,14 +257,14 @@
       memoryTokens: 18_000,
       isAnswering: false,
     };
-    harness.core.handle({ kind: 'peer-news', peer: 'd-2', news: { kind: 'placed', attempt } });
+    harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: { kind: 'placed', attempt } });
     expect(
       submit(harness, 'x', [
         ['session', 1_000],
         ['own', 500],
       ]),
     ).not.toBe(preferred);
-    harness.core.handle({ kind: 'peer-gone', peer: 'd-2' });
+    harness.core.handle({ kind: 'peer-removed', peer: 'd-2' });
     expect(
       submit(harness, 'y', [
         ['session', 1_000],
@@ -289,9 +289,9 @@
       })),
     );
     harness.core.handle({
-      kind: 'peer-news',
+      kind: 'peer-update',
       peer: 'd-2',
-      news: { kind: 'all', attempts: streams },
+      update: { kind: 'attempt-list', attempts: streams },
     });
     for (let index = 0; index < 3; index += 1) {
       expect(submit(harness, `p${index}`, [[`own${index}`, 6_000]])).toBe('e-4');
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
@@ -8,8 +8,8 @@
   PlacementMessage,
   PlacementRequest,
   SharedAttempt,
-  SharedEnd,
-  SharedNews,
+  SharedAttemptResult,
+  PlacementUpdate,
 } from '../messages.js';
 import { limitOptions } from '../limits/limitOptions.js';
 import { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
@@ -19,11 +19,11 @@
 import { placementOptions } from '../placementOptions.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import { Quarantine } from '../quarantine/Quarantine/Quarantine.js';
-import { ReplicaBook } from '../ReplicaBook/ReplicaBook.js';
-import type { ServiceState } from '../ReplicaBook/ServiceState.js';
+import { ReplicaRegistry } from '../ReplicaRegistry/ReplicaRegistry.js';
+import type { ServiceState } from '../ReplicaRegistry/ServiceState.js';
 import { RequestRecord } from '../RequestRecord.js';
 import type { RunningAttempt } from '../RequestRecord.js';
-import { SilenceWatch } from '../SilenceWatch/SilenceWatch.js';
+import { ResponseTimeouts } from '../ResponseTimeouts/ResponseTimeouts.js';
 
 const SECOND: Milliseconds = 1_000;
 
@@ -55,12 +55,12 @@
   private readonly options: PlacementOptions;
 
   /** What is believed of services and replicas. */
-  readonly book: ReplicaBook;
+  readonly registry: ReplicaRegistry;
 
   /** Request rate limits stated by replicas. */
   readonly limits: ReplicaLimits;
 
-  private readonly silence: SilenceWatch;
+  private readonly silence: ResponseTimeouts;
 
   /** Pending retries for services whose replicas are all rate-limited. */
   private readonly retryTimers = new Map<ServiceState, Timer>();
@@ -88,14 +88,20 @@
       clock,
       emit,
       fleet,
-      getGroup: (state) => this.book.getService(state.replica.service).getGroupOf(state)?.name,
+      getGroup: (state) =>
+        this.registry.getService(state.replica.service).getReplicaGroup(state)?.name,
     });
     const { limits } = this;
-    this.book = new ReplicaBook({ clock, emit, options: this.options, limits });
-    this.silence = new SilenceWatch({ clock, emit, options: this.options, book: this.book });
+    this.registry = new ReplicaRegistry({ clock, emit, options: this.options, limits });
+    this.silence = new ResponseTimeouts({
+      clock,
+      emit,
+      options: this.options,
+      registry: this.registry,
+    });
     this.peers = new PeerAttempts({
       clock,
-      findReplica: (id) => this.book.find(id),
+      findReplica: (id) => this.registry.findReplica(id),
       onSent: (replica) => limits.noteSent(replica),
     });
     this.quarantine = new Quarantine({
@@ -104,13 +110,13 @@
       fleet,
       onQuarantined: (fingerprint) => this.rejectOpen(fingerprint),
     });
-    const parts = { clock, emit, options: this.options, book: this.book, fleet, limits };
+    const parts = { clock, emit, options: this.options, registry: this.registry, fleet, limits };
     this.placer = new Placer({ ...parts, peers: this.peers });
     this.placing = new Placing({
       ...parts,
       keys: new AttemptKeys(clock.now()),
       quarantine: this.quarantine,
-      onSent: (record, attempt) => this.silence.watch(record, attempt),
+      onSent: (record, attempt) => this.silence.start(record, attempt),
       onAgain: (record) => this.placeOrWait(record),
     });
   }
@@ -119,11 +125,11 @@
     switch (message.kind) {
       case 'services':
         message.services.forEach((service) => {
-          this.book.getService(service.name).setService(service);
+          this.registry.getService(service.name).setService(service);
         });
         break;
       case 'replicas':
-        this.book
+        this.registry
           .setReplicas(message.replicas)
           .forEach((replica) => this.quarantine.noteGone(replica));
         this.limits.retain(new Set(message.replicas.map(({ id }) => id)));
@@ -136,38 +142,40 @@
       case 'caller-left':
         this.leave(message.id);
         break;
-      case 'answering':
+      case 'first-byte-received':
         this.noteAnswering(message);
         break;
       case 'attempt-ended':
         this.end(message);
         break;
       case 'load':
-        this.book.find(message.replica)?.noteReport(message.report, this.clock.now());
+        this.registry
+          .findReplica(message.replica)
+          ?.recordLoadReport(message.report, this.clock.now());
         break;
       case 'limit':
         this.limits.noteAnswer(message);
         break;
       case 'daemons':
-        this.book.setDaemons(message.count);
+        this.registry.setDaemonCount(message.count);
         break;
       case 'fleet':
-        this.fleet.set(message.self, message.daemons);
+        this.fleet.update(message.self, message.daemons);
         this.placer.updateFollowed();
         break;
-      case 'peer-news':
+      case 'peer-update':
         this.takeNews(message);
         break;
-      case 'peer-gone':
+      case 'peer-removed':
         this.peers.forget(message.peer);
         break;
       case 'health':
-        if (this.book.noteHealth(message)) {
+        if (this.registry.recordHealthCheck(message)) {
           this.drainAll();
         }
         break;
-      case 'questioned':
-        this.book.noteQuestioned(message);
+      case 'liveness-checked':
+        this.registry.recordLivenessCheck(message);
         break;
       case 'probed':
         this.quarantine.noteProbed(message.replica, message.isUp);
@@ -176,16 +184,16 @@
         this.quarantine.restore(message.requests);
         break;
       case 'leaving':
-        this.book.noteLeaving(message.replica);
+        this.registry.recordLeaving(message.replica);
         break;
       case 'cache-changed':
-        this.book.find(message.replica)?.cache.apply(message.changes);
+        this.registry.findReplica(message.replica)?.cache.apply(message.changes);
         break;
       case 'cache-listed':
-        this.book.find(message.replica)?.cache.replace(message.changes);
+        this.registry.findReplica(message.replica)?.cache.replace(message.changes);
         break;
       case 'cache-lost':
-        this.book.find(message.replica)?.cache.forget();
+        this.registry.findReplica(message.replica)?.cache.clear();
         break;
       default:
         message satisfies never;
@@ -193,13 +201,13 @@
   }
 
   /** Returns what each regular message repeats, since datagrams can be lost. */
-  getRepeated(): SharedNews[] {
-    return [...this.quarantine.getRepeated(), ...this.limits.getRepeated()];
+  getPeriodicUpdates(): PlacementUpdate[] {
+    return [...this.quarantine.getPeriodicUpdates(), ...this.limits.getPeriodicUpdates()];
   }
 
   /** Counts a health check against the replica's limit. @returns false if the limit forbids it now */
   tryAcquireCheck(replica: string): boolean {
-    const state = this.book.find(replica);
+    const state = this.registry.findReplica(replica);
     if (state === undefined || !this.limits.maySend(state)) {
       return state === undefined;
     }
@@ -236,10 +244,10 @@
   private submit(request: PlacementRequest): void {
     const now = this.clock.now();
     const record = new RequestRecord(request);
-    const service = this.book.getService(request.service);
+    const service = this.registry.getService(request.service);
     this.records.set(request.id, record);
-    service.allowance.noteRequest(now);
-    record.setDeadline(this.clock.setTimer(request.deadline - now, () => this.expire(record)));
+    service.retryBudget.recordRequest(now);
+    record.setDeadlineTimer(this.clock.setTimer(request.deadline - now, () => this.expire(record)));
     if (this.quarantine.has(request.fingerprint)) {
       this.giveUp(record, Outcome.NotRun, GiveUpReason.Quarantined);
       return;
@@ -248,7 +256,7 @@
       this.giveUp(record, Outcome.NotRun, GiveUpReason.UnderReview);
       return;
     }
-    if (service.getStaying().length === 0) {
+    if (service.getReplicasInService().length === 0) {
       this.giveUp(record, Outcome.NotRun, GiveUpReason.NoReplica);
       return;
     }
@@ -257,7 +265,7 @@
 
   private placeOrWait(record: RequestRecord): void {
     if (this.placing.place(record) === PlacingResult.NoRoom) {
-      const service = this.book.getService(record.request.service);
+      const service = this.registry.getService(record.request.service);
       service.waiting.add(record);
       this.rejectExcessAndScheduleRetry(service);
     }
@@ -288,7 +296,7 @@
   private retryWaiting(service: ServiceState): void {
     this.retryTimers.delete(service);
     service.waiting.drain((record) => {
-      record.asked.clear();
+      record.queriedPlacers.clear();
       return this.placing.place(record) !== PlacingResult.NoRoom;
     });
     if (service.waiting.size > 0) {
@@ -302,9 +310,9 @@
       const { running } = record;
       const now = this.clock.now();
       running.isAnswering = true;
-      running.state.noteAnswering(running, now);
-      this.tell(running, { kind: 'answering', key: running.key });
-      record.endSilence();
+      running.state.recordFirstByte(running, now);
+      this.tell(running, { kind: 'first-byte-received', key: running.key });
+      record.cancelSilenceTimer();
     }
   }
 
@@ -315,11 +323,11 @@
       return;
     }
     this.release(record, { end, after: this.clock.now() - running.sentAt });
-    record.count(end);
-    this.book.judge(running, end);
+    record.countAttempt(end);
+    this.registry.recordAttemptEnd(running, end);
     this.updateQuarantine(record, running, end);
     this.goOn(record, attempt, end);
-    this.drainWaiting(this.book.getService(record.request.service));
+    this.drainWaiting(this.registry.getService(record.request.service));
   }
 
   /** Updates the quarantine with the result of an attempt. */
@@ -358,13 +366,13 @@
       this.giveUp(record, step.outcome, step.reason);
       return;
     }
-    const { allowance } = this.book.getService(record.request.service);
+    const { retryBudget: allowance } = this.registry.getService(record.request.service);
     if (this.quarantine.isUnderReview(record.request.fingerprint)) {
       const outcome = record.mayHaveRun ? Outcome.Unknown : Outcome.NotRun;
       this.giveUp(record, outcome, GiveUpReason.UnderReview);
       return;
     }
-    if (!step.isRepeat || allowance.take(this.clock.now())) {
+    if (!step.isRepeat || allowance.tryTake(this.clock.now())) {
       this.placeOrWait(record);
     } else if (step.otherwise === 'settle') {
       this.settle(record, attempt);
@@ -410,7 +418,7 @@
     if (record !== undefined) {
       this.cancelRunning(record, CancelReason.CallerLeft);
       this.forget(record);
-      this.drainWaiting(this.book.getService(record.request.service));
+      this.drainWaiting(this.registry.getService(record.request.service));
     }
   }
 
@@ -423,8 +431,8 @@
   }
 
   /** @param result - absent where the end says nothing of the replica */
-  private release(record: RequestRecord, result?: SharedEnd): void {
-    const running = record.takeRunning();
+  private release(record: RequestRecord, result?: SharedAttemptResult): void {
+    const running = record.removeRunning();
     if (running !== undefined) {
       running.state.running.delete(running);
       // Where all daemons hear of it, each judges by its own attempts alone.
@@ -434,17 +442,17 @@
   }
 
   /** Tells the daemons that count an attempt what became of it. */
-  private tell({ placer }: RunningAttempt, news: SharedNews): void {
+  private tell({ placer }: RunningAttempt, news: PlacementUpdate): void {
     if (placer === undefined || placer !== this.fleet.self) {
-      this.emit({ kind: 'share', to: placer, news });
+      this.emit({ kind: 'share', to: placer, update: news });
     }
   }
 
   private forget(record: RequestRecord): void {
     this.placing.drop(record);
     this.release(record);
-    record.endTimers();
-    this.book.getService(record.request.service).waiting.remove(record);
+    record.cancelTimers();
+    this.registry.getService(record.request.service).waiting.remove(record);
     this.records.delete(record.request.id);
   }
 
@@ -455,13 +463,16 @@
   }
 
   private drainAll(): void {
-    this.book.all.forEach((service) => this.drainWaiting(service));
+    this.registry.allServices.forEach((service) => this.drainWaiting(service));
   }
 
-  private takeNews({ peer, news }: Extract<PlacementMessage, { kind: 'peer-news' }>): void {
+  private takeNews({
+    peer,
+    update: news,
+  }: Extract<PlacementMessage, { kind: 'peer-update' }>): void {
     switch (news.kind) {
-      case 'broke':
-        this.book.noteBreak(news.replica);
+      case 'attempt-broken':
+        this.registry.recordBrokenAttempt(news.replica);
         break;
       case 'crashed':
       case 'cleared':
@@ -473,15 +484,15 @@
         this.drainAll();
         break;
       case 'ask':
-        this.placer.answer(peer, news.ask);
+        this.placer.answer(peer, news.query);
         break;
       case 'reply':
-        this.placing.takeReply(peer, news.reply);
+        this.placing.takeReply(peer, news.response);
         break;
       case 'placed':
-      case 'answering':
+      case 'first-byte-received':
       case 'ended':
-      case 'all':
+      case 'attempt-list':
         this.peers.take(peer, news);
         break;
       default:
--- a/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
@@ -31,10 +31,10 @@
 
   it('stay in use while they answer that they live, however long a prompt waits', () => {
     const { harness, submit } = createHarness();
-    harness.answerQuestions(true);
+    harness.answerLivenessChecks(true);
     harness.clock.advance(6_000);
     expect(harness.get('suspect')).toEqual([]);
-    expect(harness.get('avoid')).toEqual([]);
+    expect(harness.get('start-cooldown')).toEqual([]);
     const more = ['d', 'e', 'f', 'g', 'h', 'i'];
     more.forEach(submit);
     const used = more.flatMap((id) => harness.getReplicas(id));
@@ -43,14 +43,14 @@
 
   it('are left when they give no sign of life, and all daemons are told once', () => {
     const { harness } = createHarness();
-    harness.answerQuestions(false);
+    harness.answerLivenessChecks(false);
     harness.clock.advance(6_000);
     expect(harness.get('suspect').map(({ replica }) => replica.id)).toEqual(
       expect.arrayContaining(['e-0', 'e-1', 'e-2']),
     );
     const told = harness
       .get('share')
-      .flatMap(({ news }) => (news.kind === 'broke' ? [news.replica] : []));
+      .flatMap(({ update: news }) => (news.kind === 'attempt-broken' ? [news.replica] : []));
     expect(told.sort()).toEqual(['e-0', 'e-1', 'e-2']);
   });
 
@@ -69,7 +69,7 @@
     // At 40 tokens a millisecond a prompt takes 75 ms.
     ids.slice(0, 4).forEach((id) => {
       harness.clock.advance(75);
-      harness.core.handle({ kind: 'answering', id, attempt: 1 });
+      harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
     });
     submit('next');
     const { choice } = harness.get('send').at(-1)!;
--- a/packages/relay/src/lib/decide/Placer/Placer.ts
+++ b/packages/relay/src/lib/decide/Placer/Placer.ts
@@ -1,17 +1,17 @@
 import type { Clock } from '@apricotrill/utils';
 import { chooseReplica } from '../chooseReplica.js';
 import type { Fleet } from '../Fleet/Fleet.js';
-import type { Choice, Placement, PlacementAsk, PlacementEffect } from '../messages.js';
+import type { Choice, Placement, PlacementQuery, PlacementEffect } from '../messages.js';
 import type { PeerAttempts } from '../PeerAttempts/PeerAttempts.js';
 import type { PlacementOptions } from '../placementOptions.js';
-import type { ReplicaBook } from '../ReplicaBook/ReplicaBook.js';
+import type { ReplicaRegistry } from '../ReplicaRegistry/ReplicaRegistry.js';
 
 /** What the placer is made of. */
 export interface PlacerParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
-  book: ReplicaBook;
+  registry: ReplicaRegistry;
   fleet: Fleet;
   /** What other daemons have under way. */
   peers: PeerAttempts;
@@ -37,8 +37,8 @@
   constructor(private readonly parts: PlacerParts) {}
 
   /** Another daemon asks where to send a request. */
-  answer(peer: string, ask: PlacementAsk): void {
-    const { book, clock, emit, options, peers } = this.parts;
+  answer(peer: string, ask: PlacementQuery): void {
+    const { registry: book, clock, emit, options, peers } = this.parts;
     const { key, wish, availabilityZone, tried } = ask;
     if (peers.has(peer, key)) {
       // The network repeats a datagram at times: counted twice, the first would never be taken out.
@@ -46,7 +46,7 @@
     }
     const now = clock.now();
     const service = book.getService(wish.service);
-    const group = service.getGroup(wish, key);
+    const group = service.getRequestGroup(wish, key);
     const chosen = chooseReplica({
       request: wish,
       service: service.service,
@@ -55,13 +55,13 @@
       options: { ...options, availabilityZone },
     });
     if (chosen === undefined) {
-      emit({ kind: 'share', to: peer, news: { kind: 'reply', reply: { key } } });
+      emit({ kind: 'share', to: peer, update: { kind: 'reply', response: { key } } });
       return;
     }
     const { state, choice } = chosen;
     peers.place(peer, key, wish, chosen);
     const placement = getPlacement(state.replica.id, choice);
-    emit({ kind: 'share', to: peer, news: { kind: 'reply', reply: { key, placement } } });
+    emit({ kind: 'share', to: peer, update: { kind: 'reply', response: { key, placement } } });
     emit({ kind: 'placed-for', peer, key, replica: state.replica, choice });
   }
 
@@ -79,11 +79,11 @@
   }
 
   private getFollowed(): ReadonlySet<string> | undefined {
-    const { book, fleet } = this.parts;
+    const { registry: book, fleet } = this.parts;
     if (!fleet.isLarge) {
       return undefined;
     }
-    const groups = book.all
+    const groups = book.allServices
       .filter(({ service }) => service?.engine !== undefined)
       .flatMap((service) => service.groups);
     const own = groups.filter(({ name }) => fleet.getPlacers(name).includes(fleet.self));
--- a/packages/relay/src/lib/decide/Placing/Placing.ts
+++ b/packages/relay/src/lib/decide/Placing/Placing.ts
@@ -5,13 +5,13 @@
 import { Delegation } from '../Delegation/Delegation.js';
 import type { OpenAsk } from '../Delegation/Delegation.js';
 import type { Fleet } from '../Fleet/Fleet.js';
-import type { Choice, Placement, PlacementEffect, PlacementReply } from '../messages.js';
+import type { Choice, Placement, PlacementEffect, PlacementResponse } from '../messages.js';
 import { getMemoryTokens } from '../getMemoryTokens.js';
 import { getShared } from '../PeerAttempts/PeerAttempts.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
 import type { Quarantine } from '../quarantine/Quarantine/Quarantine.js';
-import type { ReplicaBook } from '../ReplicaBook/ReplicaBook.js';
+import type { ReplicaRegistry } from '../ReplicaRegistry/ReplicaRegistry.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import type { RequestRecord, RunningAttempt } from '../RequestRecord.js';
 
@@ -28,7 +28,7 @@
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
-  book: ReplicaBook;
+  registry: ReplicaRegistry;
   fleet: Fleet;
   keys: AttemptKeys;
   quarantine: Quarantine;
@@ -55,14 +55,14 @@
 
   /** Sends a request to the replica that is best for it, or asks its placer for one. */
   place(record: RequestRecord): PlacingResult {
-    const { fleet, book, quarantine } = this.parts;
+    const { fleet, registry: book, quarantine } = this.parts;
     const { request } = record;
     const service = book.getService(request.service);
     const isSuspect = quarantine.isSuspect(request.fingerprint);
     const isDelegable =
       service.getTotalLimit() !== undefined ||
       (!isSuspect && (fleet.isLarge || service.hasLimits()));
-    const group = isDelegable ? service.getGroup(request, request.id) : undefined;
+    const group = isDelegable ? service.getRequestGroup(request, request.id) : undefined;
     const placer = group === undefined ? undefined : this.delegation.findPlacer(record, group);
     if (placer === undefined || placer === fleet.self) {
       return this.placeHere(record) ? PlacingResult.Sent : PlacingResult.NoRoom;
@@ -73,7 +73,7 @@
 
   /** Chooses by what this daemon knows itself. @returns false when there is no room now */
   placeHere(record: RequestRecord): boolean {
-    const { book, clock, keys, options } = this.parts;
+    const { registry: book, clock, keys, options } = this.parts;
     const { request } = record;
     const now = clock.now();
     const service = book.getService(request.service);
@@ -92,7 +92,7 @@
   }
 
   /** A placer has answered. */
-  takeReply(peer: string, reply: PlacementReply): void {
+  takeReply(peer: string, reply: PlacementResponse): void {
     const ask = this.delegation.take(peer, reply);
     if (ask === undefined) {
       return;
@@ -113,14 +113,14 @@
     this.delegation.drop(record);
   }
 
-  private getCandidates({ request, tried }: RequestRecord): ReplicaState[] {
-    const { book, clock, fleet, quarantine } = this.parts;
+  private getCandidates({ request, triedReplicas: tried }: RequestRecord): ReplicaState[] {
+    const { registry: book, clock, fleet, quarantine } = this.parts;
     const now = clock.now();
     const service = book.getService(request.service);
     if (quarantine.isSuspect(request.fingerprint)) {
       return quarantine.restrictCandidates(request.fingerprint, service.getCandidates(tried, now));
     }
-    const group = fleet.isLarge ? service.getGroup(request, request.id) : undefined;
+    const group = fleet.isLarge ? service.getRequestGroup(request, request.id) : undefined;
     // Of its own group a daemon knows all that is under way, of the others next to nothing.
     const own =
       group !== undefined && fleet.getPlacers(group.name)[0] === fleet.self
@@ -131,26 +131,26 @@
 
   /** The daemon that is told of an attempt at a replica that this daemon chose by itself. */
   private getPlacerOf({ state }: ChosenReplica): string | undefined {
-    const { book, fleet } = this.parts;
+    const { registry: book, fleet } = this.parts;
     if (!fleet.isLarge) {
       return undefined;
     }
-    const group = book.getService(state.replica.service).getGroupOf(state);
+    const group = book.getService(state.replica.service).getReplicaGroup(state);
     return group === undefined ? fleet.self : fleet.getPlacers(group.name)[0];
   }
 
   /** @returns undefined where the placer knew of no replica, or of one that won't do any more */
   private getChosen(
     { record, placer, askedAt }: OpenAsk,
-    { key, placement }: PlacementReply,
+    { key, placement }: PlacementResponse,
   ): ChosenReplica | undefined {
-    const { book, clock } = this.parts;
-    const state = placement === undefined ? undefined : book.find(placement.replica);
+    const { registry: book, clock } = this.parts;
+    const state = placement === undefined ? undefined : book.findReplica(placement.replica);
     const isGood =
       state !== undefined &&
-      state.isStaying &&
+      state.isInService &&
       state.replica.service === record.request.service &&
-      !record.tried.has(state.replica.id);
+      !record.triedReplicas.has(state.replica.id);
     if (!isGood) {
       return undefined;
     }
@@ -161,7 +161,8 @@
 
   private getChoice(placement: Placement, inFlight: number): Choice {
     const { fetchFrom, fetchTokens, expected, missingTokens, tokensAhead, copyTime } = placement;
-    const source = fetchFrom === undefined ? undefined : this.parts.book.find(fetchFrom)?.replica;
+    const source =
+      fetchFrom === undefined ? undefined : this.parts.registry.findReplica(fetchFrom)?.replica;
     return {
       cost: expected,
       expected,
@@ -183,32 +184,32 @@
     const { prompt, pauseTarget } = request;
     const attempt: RunningAttempt = {
       ...origin,
-      number: record.started + 1,
+      number: record.startedAttempts + 1,
       isOwn: true,
-      isForOther: false,
+      isPlacedForPeer: false,
       state,
       sentAt: now,
       missingTokens: choice.missingTokens,
       tokensAhead: choice.tokensAhead,
-      isTelling: choice.isTelling,
+      isInformative: choice.isTelling,
       copyTime: choice.copyTime,
       memoryTokens: getMemoryTokens(prompt),
       pauseTarget,
       prompt,
       isAnswering: false,
-      isHarmed: false,
+      hasMissedPauseTarget: false,
     };
-    record.begin(attempt);
-    state.noteSent(attempt, now);
+    record.startAttempt(attempt);
+    state.recordSent(attempt, now);
     limits.noteSent(state.replica.id);
     if (prompt !== undefined) {
-      state.cache.expect(prompt, now);
+      state.cache.addExpected(prompt, now);
     }
     onSent(record, attempt);
     const { placer } = origin;
     const isTold = choice.placer !== undefined || placer === fleet.self;
     if (!isTold) {
-      emit({ kind: 'share', to: placer, news: { kind: 'placed', attempt: getShared(attempt) } });
+      emit({ kind: 'share', to: placer, update: { kind: 'placed', attempt: getShared(attempt) } });
     }
     const { id } = request;
     emit({ kind: 'send', id, attempt: attempt.number, replica: state.replica, choice });
--- a/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
@@ -7,7 +7,7 @@
   createRequest,
 } from '../../../test/fixtures.js';
 import { AttemptEnd } from '../messages.js';
-import type { SharedAttempt, SharedNews } from '../messages.js';
+import type { SharedAttempt, PlacementUpdate } from '../messages.js';
 
 const RUNS = Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 60);
 const SEED = Number(process.env.APRICOTRILL_FUZZ_SEED ?? 20_261_203);
@@ -118,9 +118,9 @@
     expect(this.over.size).toBe(this.submitted);
     this.members.forEach((member) => {
       expect(member.core.openRequests).toBe(0);
-      const left = member.core.book
+      const left = member.core.registry
         .getService('llm')
-        .getStaying()
+        .getReplicasInService()
         .reduce((sum, { running }) => sum + running.size, 0);
       expect(left).toBe(0);
     });
@@ -179,7 +179,7 @@
     }
     const { id, attempt } = first;
     if (next.do === 'answer') {
-      member.core.handle({ kind: 'answering', id, attempt });
+      member.core.handle({ kind: 'first-byte-received', id, attempt });
     } else if (next.do === 'leave') {
       running.delete(id);
       this.over.add(id);
@@ -214,8 +214,8 @@
     this.members.forEach((other, to) => {
       if (to !== index) {
         const attempts: SharedAttempt[] = shared.get(DAEMONS[to]) ?? [];
-        const news: SharedNews = { kind: 'all', attempts };
-        other.core.handle({ kind: 'peer-news', peer: DAEMONS[index]!, news });
+        const news: PlacementUpdate = { kind: 'attempt-list', attempts };
+        other.core.handle({ kind: 'peer-update', peer: DAEMONS[index]!, update: news });
       }
     });
   }
@@ -245,7 +245,7 @@
             this.over.add(effect.id);
             break;
           case 'share':
-            this.carry(index, effect.to, effect.news);
+            this.carry(index, effect.to, effect.update);
             break;
           default:
             break;
@@ -254,7 +254,7 @@
     });
   }
 
-  private carry(from: number, to: string | undefined, news: SharedNews): void {
+  private carry(from: number, to: string | undefined, news: PlacementUpdate): void {
     this.members.forEach((member, index) => {
       if (index === from || (to !== undefined && to !== DAEMONS[index])) {
         return;
@@ -264,7 +264,8 @@
       if (this.muted.has(from) || this.muted.has(index) || fate < 10) {
         return;
       }
-      const deliver = () => member.core.handle({ kind: 'peer-news', peer: DAEMONS[from]!, news });
+      const deliver = () =>
+        member.core.handle({ kind: 'peer-update', peer: DAEMONS[from]!, update: news });
       member.clock.setTimer(fate > 90 ? LONGEST_WAY : 2, deliver);
       if (fate % 10 === 7) {
         member.clock.setTimer(LONGEST_WAY, deliver);
--- a/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
+++ b/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
@@ -6,14 +6,14 @@
   createRequest,
 } from '../../../test/fixtures.js';
 import { AttemptEnd } from '../messages.js';
-import type { PlacementAsk, SharedNews } from '../messages.js';
+import type { PlacementQuery, PlacementUpdate } from '../messages.js';
 import { placementOptions } from '../placementOptions.js';
 
 const DAEMONS = Array.from({ length: 20 }, (_item, index) => `d-${index}`);
 
 const ENGINES = createEngines(4);
 
-type NewsOf<K extends SharedNews['kind']> = Extract<SharedNews, { kind: K }>;
+type NewsOf<K extends PlacementUpdate['kind']> = Extract<PlacementUpdate, { kind: K }>;
 
 /** One daemon of twenty. */
 class Member {
@@ -31,20 +31,22 @@
     this.harness.submit(createRequest(id, { service: 'llm', prompt, deadline: 5_000 }));
   }
 
-  hear(peer: string, news: SharedNews): void {
-    this.harness.core.handle({ kind: 'peer-news', peer, news });
+  hear(peer: string, news: PlacementUpdate): void {
+    this.harness.core.handle({ kind: 'peer-update', peer, update: news });
   }
 
   /** News of one kind, with the daemon that each was for. */
-  getTold<K extends SharedNews['kind']>(kind: K): { to: string | undefined; news: NewsOf<K> }[] {
+  getTold<K extends PlacementUpdate['kind']>(
+    kind: K,
+  ): { to: string | undefined; news: NewsOf<K> }[] {
     return this.harness
       .get('share')
-      .filter((effect) => effect.news.kind === kind)
-      .map(({ to, news }) => ({ to, news: news as NewsOf<K> }));
+      .filter((effect) => effect.update.kind === kind)
+      .map(({ to, update: news }) => ({ to, news: news as NewsOf<K> }));
   }
 
-  get asks(): { to: string; ask: PlacementAsk }[] {
-    return this.getTold('ask').map(({ to, news }) => ({ to: to!, ask: news.ask }));
+  get asks(): { to: string; ask: PlacementQuery }[] {
+    return this.getTold('ask').map(({ to, news }) => ({ to: to!, ask: news.query }));
   }
 }
 
@@ -80,17 +82,17 @@
       fetchFrom: 'e-1',
       fetchTokens: 1_900,
     };
-    member.hear(to, { kind: 'reply', reply: { key: ask.key, placement } });
+    member.hear(to, { kind: 'reply', response: { key: ask.key, placement } });
     expect(member.harness.get('send')).toMatchObject([
       {
         replica: { id: 'e-3' },
         choice: { expected: 90, fetchFrom: { id: 'e-1' }, placer: { daemon: placer } },
       },
     ]);
-    member.harness.core.handle({ kind: 'answering', id: 'r', attempt: 1 });
+    member.harness.core.handle({ kind: 'first-byte-received', id: 'r', attempt: 1 });
     member.harness.end('r', 1, AttemptEnd.Completed);
-    expect(member.getTold('answering')).toEqual([
-      { to: placer, news: { kind: 'answering', key: ask.key } },
+    expect(member.getTold('first-byte-received')).toEqual([
+      { to: placer, news: { kind: 'first-byte-received', key: ask.key } },
     ]);
     expect(member.getTold('ended')).toMatchObject([
       { to: placer, news: { key: ask.key, result: { end: AttemptEnd.Completed } } },
@@ -133,7 +135,7 @@
       tokensAhead: 0,
       copyTime: 0,
     };
-    member.hear(placer, { kind: 'reply', reply: { key: ask.key, placement } });
+    member.hear(placer, { kind: 'reply', response: { key: ask.key, placement } });
     expect(member.harness.get('send')).toEqual([]);
     expect(member.getTold('ended')).toHaveLength(2);
   });
@@ -155,7 +157,7 @@
       tokensAhead: 0,
       copyTime: 0,
     };
-    member.hear(placer, { kind: 'reply', reply: { key: ask.key, placement } });
+    member.hear(placer, { kind: 'reply', response: { key: ask.key, placement } });
     expect(member.harness.getReplicas('r')).not.toContain('e-3');
     expect(member.getTold('ended')).toMatchObject([{ to: placer, news: { key: ask.key } }]);
     expect(member.asks).toHaveLength(2);
@@ -165,7 +167,7 @@
     const { member } = createMember();
     member.submit('r');
     const { to, ask } = member.asks[0]!;
-    member.hear(to, { kind: 'reply', reply: { key: ask.key } });
+    member.hear(to, { kind: 'reply', response: { key: ask.key } });
     expect(member.asks).toHaveLength(2);
   });
 
@@ -182,8 +184,8 @@
         prompt: createPrompt([[`own-${peer}-${key}`, 3_000]]),
       };
       const ask = { key, wish, availabilityZone: '', tried: [] };
-      chooser.hear(peer, { kind: 'ask', ask });
-      return chooser.getTold('reply').at(-1)!.news.reply.placement!;
+      chooser.hear(peer, { kind: 'ask', query: ask });
+      return chooser.getTold('reply').at(-1)!.news.response.placement!;
     };
     const first = DAEMONS.slice(0, 4).map((peer) => choose(peer, 'a'));
     expect(new Set(first.map(({ replica }) => replica)).size).toBe(4);
@@ -191,7 +193,7 @@
     expect(second.tokensAhead).toBeGreaterThan(4_000);
     // Its daemon has read it; what ended frees its place.
     const index = first.findIndex(({ replica }) => replica !== second.replica);
-    chooser.hear(`d-${index}`, { kind: 'answering', key: 'a' });
+    chooser.hear(`d-${index}`, { kind: 'first-byte-received', key: 'a' });
     const result = { end: AttemptEnd.Completed, after: 100 };
     chooser.hear(`d-${index}`, { kind: 'ended', key: 'a', result });
     expect(choose('d-10', 'a').replica).toBe(first[index]!.replica);
@@ -208,21 +210,21 @@
       prompt: createPrompt([['own', 3_000]]),
     };
     const getRunning = () =>
-      chooser.harness.core.book
+      chooser.harness.core.registry
         .getService('llm')
-        .getStaying()
+        .getReplicasInService()
         .reduce((sum, { running }) => sum + running.size, 0);
     ['d-0', 'd-1'].forEach((peer) => {
       const ask = { key: 'a', wish, availabilityZone: '', tried: [] };
-      chooser.hear(peer, { kind: 'ask', ask });
+      chooser.hear(peer, { kind: 'ask', query: ask });
     });
     // A list that was written before the answer was heard doesn't count.
-    chooser.hear('d-0', { kind: 'all', attempts: [] });
+    chooser.hear('d-0', { kind: 'attempt-list', attempts: [] });
     expect(getRunning()).toBe(2);
     chooser.harness.clock.advance(1_000);
-    chooser.hear('d-0', { kind: 'all', attempts: [] });
+    chooser.hear('d-0', { kind: 'attempt-list', attempts: [] });
     expect(getRunning()).toBe(1);
-    chooser.harness.core.handle({ kind: 'peer-gone', peer: 'd-1' });
+    chooser.harness.core.handle({ kind: 'peer-removed', peer: 'd-1' });
     expect(getRunning()).toBe(0);
   });
 
--- a/packages/relay/src/lib/decide/ReplicaBook/ReplicaBook.ts
+++ b/packages/relay/src/lib/decide/ReplicaRegistry/ReplicaRegistry.ts
@@ -6,12 +6,12 @@
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import type { RunningAttempt } from '../RequestRecord.js';
-import type { RetryAllowanceParts } from '../RetryAllowance/RetryAllowance.js';
+import type { RetryLimits } from '../RetryBudget/RetryBudget.js';
 import { ServiceState } from './ServiceState.js';
 import type { ServiceLimits } from './ServiceState.js';
 
 /** What the book is made of. */
-export interface ReplicaBookParts {
+export interface ReplicaRegistryParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
@@ -22,15 +22,15 @@
  * What is believed of each service and its replicas, and what changes it: lists, reports, the ends
  * of attempts, health checks, and the word of other daemons.
  */
-export class ReplicaBook {
+export class ReplicaRegistry {
   private readonly services = new Map<string, ServiceState>();
 
   /** Undefined while it isn't known. */
   private daemons: number | undefined;
 
-  constructor(private readonly parts: ReplicaBookParts) {}
+  constructor(private readonly parts: ReplicaRegistryParts) {}
 
-  get all(): ServiceState[] {
+  get allServices(): ServiceState[] {
     return [...this.services.values()];
   }
 
@@ -41,18 +41,20 @@
       return existing;
     }
     const service = new ServiceState(name, this.parts.options, this.parts.limits);
-    service.setDaemons(this.daemons);
+    service.setDaemonCount(this.daemons);
     this.services.set(name, service);
     return service;
   }
 
-  find(id: string): ReplicaState | undefined {
-    return this.all.map(({ replicas }) => replicas.get(id)).find((state) => state !== undefined);
+  findReplica(id: string): ReplicaState | undefined {
+    return this.allServices
+      .map(({ replicas }) => replicas.get(id))
+      .find((state) => state !== undefined);
   }
 
   /** @returns the IDs of replicas that disappeared without having announced that they leave */
   setReplicas(replicas: readonly RelayReplica[]): string[] {
-    const before = this.all.flatMap((service) => service.getStaying());
+    const before = this.allServices.flatMap((service) => service.getReplicasInService());
     replicas.forEach(({ service }) => this.getService(service));
     this.services.forEach((service, name) => {
       service.setReplicas(replicas.filter((replica) => replica.service === name));
@@ -62,35 +64,35 @@
   }
 
   /** Takes over other bounds of repeats; what was counted stays. */
-  setRetries(parts: RetryAllowanceParts): void {
+  setRetryLimits(parts: RetryLimits): void {
     const { options } = this.parts;
     options.retryRatio = parts.ratio;
     options.retryWindow = parts.window;
     options.retrySlack = parts.slack;
-    this.services.forEach((service) => service.setDaemons(this.daemons));
+    this.services.forEach((service) => service.setDaemonCount(this.daemons));
   }
 
   /** Bounds that all daemons share are divided by their number. */
-  setDaemons(daemons: number): void {
+  setDaemonCount(daemons: number): void {
     this.daemons = daemons;
-    this.services.forEach((service) => service.setDaemons(daemons));
+    this.services.forEach((service) => service.setDaemonCount(daemons));
   }
 
   /** What the end of an attempt says of its replica. */
-  judge({ state, sentAt }: RunningAttempt, end: AttemptEnd): void {
+  recordAttemptEnd({ state, sentAt }: RunningAttempt, end: AttemptEnd): void {
     const now = this.parts.clock.now();
     switch (end) {
       case AttemptEnd.Completed:
-        state.noteSuccess(now - sentAt);
+        state.recordSuccess(now - sentAt);
         break;
       case AttemptEnd.Failed:
-        state.noteFailure();
+        state.recordFailure();
         break;
       case AttemptEnd.Refused:
-        state.noteFull(now);
+        state.recordRefusal(now);
         break;
       case AttemptEnd.Misdirected:
-        this.noteLeaving(state.replica.id);
+        this.recordLeaving(state.replica.id);
         break;
       case AttemptEnd.NotSent:
         this.tellBreak(state);
@@ -98,7 +100,7 @@
         break;
       case AttemptEnd.Broken:
         this.tellBreak(state);
-        if (state.noteBroken()) {
+        if (state.recordBrokenAttempt()) {
           this.suspect(state, 'attempts break in a row');
         }
         break;
@@ -114,38 +116,44 @@
    * silent as well: suspected for it, busy engines are taken from all daemons one after the other,
    * and the rest get their work. So it is asked first; a plain service is never busy for so long.
    */
-  noteSilent(state: ReplicaState): void {
+  recordSilence(state: ReplicaState): void {
     const { replica } = state;
     if (this.getService(replica.service).service?.engine === undefined) {
       this.noteDark(state);
     } else if (state.suspicion === undefined && state.question()) {
-      this.parts.emit({ kind: 'question', replica });
+      this.parts.emit({ kind: 'check-liveness', replica });
     }
   }
 
   /** An attempt broke there, at this daemon or another. */
-  noteBreak(id: string): void {
-    const state = this.find(id);
+  recordBrokenAttempt(id: string): void {
+    const state = this.findReplica(id);
     const span = state?.breaks.note(this.parts.clock.now());
     if (state !== undefined && span !== undefined) {
-      this.parts.emit({ kind: 'avoid', replica: state.replica, span });
+      this.parts.emit({ kind: 'start-cooldown', replica: state.replica, span });
     }
   }
 
   /** @returns whether a replica is trusted again */
-  noteHealth({ replica, isHealthy }: Extract<PlacementMessage, { kind: 'health' }>): boolean {
-    const state = this.find(replica);
+  recordHealthCheck({
+    replica,
+    isHealthy,
+  }: Extract<PlacementMessage, { kind: 'health' }>): boolean {
+    const state = this.findReplica(replica);
     if (state?.suspicion === undefined || !isHealthy) {
       return false;
     }
     state.trust(this.parts.clock.now());
-    this.parts.emit({ kind: 'trust', replica: state.replica });
+    this.parts.emit({ kind: 'mark-healthy', replica: state.replica });
     return true;
   }
 
   /** An engine that was silent has been asked whether it lives. */
-  noteQuestioned({ replica, isAlive }: Extract<PlacementMessage, { kind: 'questioned' }>): void {
-    const state = this.find(replica);
+  recordLivenessCheck({
+    replica,
+    isAlive,
+  }: Extract<PlacementMessage, { kind: 'liveness-checked' }>): void {
+    const state = this.findReplica(replica);
     if (state === undefined) {
       return;
     }
@@ -155,17 +163,20 @@
     }
   }
 
-  noteLeaving(id: string): void {
-    const state = this.find(id);
+  recordLeaving(id: string): void {
+    const state = this.findReplica(id);
     if (state !== undefined) {
       state.isLeaving = true;
     }
   }
 
   /** Repeats that this daemon may send now, by service. */
-  getRepeatsLeft(): [string, number][] {
+  getRemainingRetries(): [string, number][] {
     const now = this.parts.clock.now();
-    return [...this.services].map(([name, { allowance }]) => [name, allowance.getLeft(now)]);
+    return [...this.services].map(([name, { retryBudget: allowance }]) => [
+      name,
+      allowance.getRemaining(now),
+    ]);
   }
 
   /** Number of requests waiting for a replica, by service. */
@@ -174,14 +185,14 @@
   }
 
   /** The services whose replicas can be ordered, with what is listed of them. */
-  getScalable(): ScalableService[] {
-    return this.all.flatMap((service) => service.getScalable() ?? []);
+  getScalableServices(): ScalableService[] {
+    return this.allServices.flatMap((service) => service.getScalableService() ?? []);
   }
 
   /** How old the last report of each replica is that has sent one. */
   getReportAges(): [string, Milliseconds][] {
     const now = this.parts.clock.now();
-    return this.all.flatMap(({ replicas }) =>
+    return this.allServices.flatMap(({ replicas }) =>
       [...replicas].flatMap(([id, { lastReport }]): [string, Milliseconds][] =>
         lastReport === undefined ? [] : [[id, now - lastReport.at]],
       ),
@@ -197,8 +208,8 @@
 
   private tellBreak(state: ReplicaState): void {
     const { id } = state.replica;
-    this.parts.emit({ kind: 'share', news: { kind: 'broke', replica: id } });
-    this.noteBreak(id);
+    this.parts.emit({ kind: 'share', update: { kind: 'attempt-broken', replica: id } });
+    this.recordBrokenAttempt(id);
   }
 
   /** The replica gets nothing new until a health check clears it, while there are others. */
--- a/packages/relay/src/lib/decide/ReplicaBook/ServiceState.ts
+++ b/packages/relay/src/lib/decide/ReplicaRegistry/ServiceState.ts
@@ -6,12 +6,12 @@
 import { getReplicaGroups } from '../groups/getReplicaGroups.js';
 import type { ReplicaGroup } from '../groups/getReplicaGroups.js';
 import type { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
-import type { PlacementWish } from '../messages.js';
+import type { PlacementCriteria } from '../messages.js';
 import { EngineLessons } from '../EngineReading/EngineLessons.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import { ReplicaState } from '../ReplicaState/ReplicaState.js';
-import { RetryAllowance } from '../RetryAllowance/RetryAllowance.js';
-import type { RetryAllowanceParts } from '../RetryAllowance/RetryAllowance.js';
+import { RetryBudget } from '../RetryBudget/RetryBudget.js';
+import type { RetryLimits } from '../RetryBudget/RetryBudget.js';
 import { WaitingList } from '../WaitingList/WaitingList.js';
 
 /** A daemon with one connection could not send while an answer is under way. */
@@ -36,7 +36,7 @@
 
   readonly waiting = new WaitingList();
 
-  readonly allowance: RetryAllowance;
+  readonly retryBudget: RetryBudget;
 
   private readonly learned = new EngineLessons();
 
@@ -52,7 +52,7 @@
     private readonly options: PlacementOptions,
     private readonly limits: ServiceLimits,
   ) {
-    this.allowance = new RetryAllowance(this.retries);
+    this.retryBudget = new RetryBudget(this.retries);
   }
 
   get service(): RelayService | undefined {
@@ -66,9 +66,9 @@
   }
 
   /** Takes this daemon's share of what all may do together; what was counted stays. */
-  setDaemons(daemons: number | undefined): void {
+  setDaemonCount(daemons: number | undefined): void {
     this.daemons = daemons;
-    this.allowance.setParts(this.retries);
+    this.retryBudget.setLimits(this.retries);
   }
 
   /** The groups of its replicas, each of which has a daemon that chooses for all. */
@@ -81,7 +81,7 @@
    * The group that a request goes to: that of its session's home, so that all daemons take the same.
    * What has no session goes to any, by its key.
    */
-  getGroup({ prompt }: PlacementWish, key: string): ReplicaGroup | undefined {
+  getRequestGroup({ prompt }: PlacementCriteria, key: string): ReplicaGroup | undefined {
     const { groups } = this;
     if (groups.length <= 1) {
       return groups[0];
@@ -92,7 +92,7 @@
   }
 
   /** The group of a replica. */
-  getGroupOf(state: ReplicaState): ReplicaGroup | undefined {
+  getReplicaGroup(state: ReplicaState): ReplicaGroup | undefined {
     return this.groups.find(({ replicas }) => replicas.includes(state));
   }
 
@@ -119,7 +119,7 @@
    */
   getCandidates(tried: ReadonlySet<string>, now: Milliseconds): ReplicaState[] {
     const hasRoom = (state: ReplicaState) => state.hasRoom(this.connections, this.service?.engine);
-    const staying = this.getStaying().filter((state) => this.limits.maySend(state));
+    const staying = this.getReplicasInService().filter((state) => this.limits.maySend(state));
     return ServiceState.filterCandidates(staying, { tried, now, hasRoom });
   }
 
@@ -130,7 +130,7 @@
     now: Milliseconds,
   ): ReplicaState[] {
     const hasRoom = (state: ReplicaState) => state.hasRoomForAll(this.service?.engine);
-    const staying = replicas.filter((state) => state.isStaying && this.limits.maySend(state));
+    const staying = replicas.filter((state) => state.isInService && this.limits.maySend(state));
     return ServiceState.filterCandidates(staying, { tried, now, hasRoom });
   }
 
@@ -150,18 +150,18 @@
   }
 
   /** Replicas that are not about to leave. */
-  getStaying(): ReplicaState[] {
-    return [...this.replicas.values()].filter((state) => state.isStaying);
+  getReplicasInService(): ReplicaState[] {
+    return [...this.replicas.values()].filter((state) => state.isInService);
   }
 
   /** What is listed of the service, where its replicas can be ordered. */
-  getScalable(): ScalableService | undefined {
+  getScalableService(): ScalableService | undefined {
     const limits = this.known?.scaling;
     if (limits === undefined) {
       return undefined;
     }
     const supply = new Map<string, ZoneSupply>();
-    this.getStaying().forEach(({ replica }) => {
+    this.getReplicasInService().forEach(({ replica }) => {
       const { availabilityZone, isPreemptible } = replica;
       const zone = supply.get(availabilityZone) ?? { onDemand: 0, preemptible: 0 };
       supply.set(availabilityZone, zone);
@@ -172,12 +172,14 @@
 
   /** Whether some of the replicas are limited. */
   hasLimits(): boolean {
-    return this.getStaying().some(({ replica }) => this.limits.getRate(replica.id) !== undefined);
+    return this.getReplicasInService().some(
+      ({ replica }) => this.limits.getRate(replica.id) !== undefined,
+    );
   }
 
   /** Sum of the replica limits in requests per second; undefined unless all replicas are limited. */
   getTotalLimit(): number | undefined {
-    const staying = this.getStaying();
+    const staying = this.getReplicasInService();
     const isLimited = ({ replica }: ReplicaState) => this.limits.getRate(replica.id) !== undefined;
     if (staying.length === 0 || !staying.every(isLimited)) {
       return undefined;
@@ -185,7 +187,7 @@
     return staying.reduce((sum, { replica }) => sum + this.limits.getRate(replica.id)!, 0);
   }
 
-  private get retries(): RetryAllowanceParts {
+  private get retries(): RetryLimits {
     const { retryRatio: ratio, retryWindow: window, retrySlack } = this.options;
     return { ratio, window, slack: getFleetShare(retrySlack, this.daemons, LEAST_SLACK) };
   }
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -71,7 +71,7 @@
   }
 
   /** Whether it is not about to leave. */
-  get isStaying(): boolean {
+  get isInService(): boolean {
     return !this.replica.isDraining && !this.isLeaving;
   }
 
@@ -103,7 +103,7 @@
   }
 
   /** The first byte of an attempt's answer came, at this daemon or another. */
-  noteAnswering(attempt: RunningAttempt, now: Milliseconds): void {
+  recordFirstByte(attempt: RunningAttempt, now: Milliseconds): void {
     this.heardAt = now;
     if (attempt.prompt !== undefined || attempt.missingTokens > 0) {
       this.reading.noteRead(attempt, now);
@@ -113,13 +113,13 @@
     }
   }
 
-  noteReport(report: LoadReport, now: Milliseconds): void {
+  recordLoadReport(report: LoadReport, now: Milliseconds): void {
     this.stamped = { report, at: now, knownThen: this.running.size };
     this.heardAt = now;
   }
 
   /** An attempt of this daemon or another was sent there. */
-  noteSent(attempt: RunningAttempt, now: Milliseconds): void {
+  recordSent(attempt: RunningAttempt, now: Milliseconds): void {
     this.running.add(attempt);
     this.noteHarm(now);
     const isLong = attempt.missingTokens >= this.options.chunkTokens / 2;
@@ -137,7 +137,7 @@
   getHarm(tokens: number, now: Milliseconds): number {
     const reading = (this.getBacklog(now) + tokens) / this.readRate;
     let harm = 0;
-    this.running.forEach(({ isHarmed, pauseTarget }) => {
+    this.running.forEach(({ hasMissedPauseTarget: isHarmed, pauseTarget }) => {
       const slack = isHarmed ? undefined : this.getPauseSlack(pauseTarget);
       harm += slack === undefined ? 0 : getHarm(reading, slack);
     });
@@ -163,7 +163,7 @@
     this.heardAt = now;
   }
 
-  noteSuccess(latency: Milliseconds): void {
+  recordSuccess(latency: Milliseconds): void {
     this.failuresInRow = 0;
     this.failureRate += NEWEST * (0 - this.failureRate);
     this.latency += NEWEST * (latency - this.latency);
@@ -198,18 +198,18 @@
   }
 
   /** It refused a request: for a moment others go first. */
-  noteFull(now: Milliseconds): void {
+  recordRefusal(now: Milliseconds): void {
     this.fullUntil = now + this.options.fullSpan;
   }
 
   /** It answered with a failure of its own: that it answers at all clears it of being down. */
-  noteFailure(): void {
+  recordFailure(): void {
     this.failuresInRow = 0;
     this.failureRate += NEWEST * (1 - this.failureRate);
   }
 
   /** @returns whether it has broken so many attempts in a row that it should not be trusted */
-  noteBroken(): boolean {
+  recordBrokenAttempt(): boolean {
     this.failuresInRow += 1;
     this.failureRate += NEWEST * (1 - this.failureRate);
     return this.failuresInRow >= this.options.suspectAfter;
@@ -272,7 +272,7 @@
     this.running.forEach((attempt) => {
       const slack = attempt.isAnswering ? this.getPauseSlack(attempt.pauseTarget) : undefined;
       if (slack !== undefined && reading >= slack) {
-        Object.assign(attempt, { isHarmed: true });
+        Object.assign(attempt, { hasMissedPauseTarget: true });
       }
     });
   }
--- a/packages/relay/src/lib/decide/RequestRecord.ts
+++ b/packages/relay/src/lib/decide/RequestRecord.ts
@@ -11,7 +11,7 @@
   key: string;
   isOwn: boolean;
   /** Whether this daemon chose the replica for another one. */
-  isForOther: boolean;
+  isPlacedForPeer: boolean;
   state: ReplicaState;
   sentAt: Milliseconds;
   /** Prompt tokens that its engine had to read. */
@@ -19,7 +19,7 @@
   /** The same with what it had to read before, as known when this one was sent. */
   tokensAhead: number;
   /** Whether that is known: from the engine, or since it is the home of the prompt's session. */
-  isTelling: boolean;
+  isInformative: boolean;
   /** For what it copied from another engine. */
   copyTime: Milliseconds;
   /** What it will take of its engine's memory, the prompt and half of the longest answer. */
@@ -30,7 +30,7 @@
   /** The first byte of the answer came. */
   isAnswering: boolean;
   /** Its engine read for so long without a break that a pause of its stream is too long already. */
-  isHarmed: boolean;
+  hasMissedPauseTarget: boolean;
   /** The daemon that is told of it; undefined where all are, the own name where none need be. */
   placer: string | undefined;
 }
@@ -38,22 +38,22 @@
 /** What the placement core keeps of a request until it is over. */
 export class RequestRecord {
   /** Attempts that were started, whatever became of them. */
-  started = 0;
+  startedAttempts = 0;
 
   /** Attempts that reached a replica: these count against the route's limit. */
-  sent = 0;
+  sentAttempts = 0;
 
   /** Attempts of which no byte left this daemon. */
-  unsent = 0;
+  unsentAttempts = 0;
 
   /** Some attempt may have run. */
   mayHaveRun = false;
 
   /** Replicas that were tried. */
-  readonly tried = new Set<string>();
+  readonly triedReplicas = new Set<string>();
 
   /** Placers that were asked for the attempt that comes next. */
-  readonly asked = new Set<string>();
+  readonly queriedPlacers = new Set<string>();
 
   running: RunningAttempt | undefined;
 
@@ -63,47 +63,47 @@
 
   constructor(readonly request: PlacementRequest) {}
 
-  begin(attempt: RunningAttempt): void {
-    this.started = attempt.number;
-    this.tried.add(attempt.state.replica.id);
+  startAttempt(attempt: RunningAttempt): void {
+    this.startedAttempts = attempt.number;
+    this.triedReplicas.add(attempt.state.replica.id);
     this.running = attempt;
-    this.asked.clear();
+    this.queriedPlacers.clear();
   }
 
   /** Counts an attempt by what its end proves. */
-  count(end: AttemptEnd): void {
+  countAttempt(end: AttemptEnd): void {
     if (end === AttemptEnd.NotSent || end === AttemptEnd.Misdirected) {
-      this.unsent += 1;
+      this.unsentAttempts += 1;
       return;
     }
-    this.sent += 1;
+    this.sentAttempts += 1;
     this.mayHaveRun ||= end !== AttemptEnd.Refused;
   }
 
   /** @returns the attempt that was under way, which is so no longer */
-  takeRunning(): RunningAttempt | undefined {
+  removeRunning(): RunningAttempt | undefined {
     const { running } = this;
     this.running = undefined;
-    this.endSilence();
+    this.cancelSilenceTimer();
     return running;
   }
 
-  setDeadline(timer: Timer): void {
+  setDeadlineTimer(timer: Timer): void {
     this.deadlineTimer = timer;
   }
 
   /** Replaces the timer that looks for silence. */
-  setSilence(timer: Timer): void {
+  setSilenceTimer(timer: Timer): void {
     this.silenceTimer?.cancel();
     this.silenceTimer = timer;
   }
 
-  endSilence(): void {
+  cancelSilenceTimer(): void {
     this.silenceTimer?.cancel();
   }
 
-  endTimers(): void {
-    this.endSilence();
+  cancelTimers(): void {
+    this.cancelSilenceTimer();
     this.deadlineTimer?.cancel();
   }
 }
--- a/packages/relay/src/lib/decide/SilenceWatch/SilenceWatch.ts
+++ b/packages/relay/src/lib/decide/ResponseTimeouts/ResponseTimeouts.ts
@@ -3,26 +3,26 @@
 import { CancelReason } from '../messages.js';
 import type { PlacementEffect, PlacementRequest } from '../messages.js';
 import type { PlacementOptions } from '../placementOptions.js';
-import type { ReplicaBook } from '../ReplicaBook/ReplicaBook.js';
+import type { ReplicaRegistry } from '../ReplicaRegistry/ReplicaRegistry.js';
 import type { RequestRecord, RunningAttempt } from '../RequestRecord.js';
 
 /** What the watch is made of. */
-export interface SilenceWatchParts {
+export interface ResponseTimeoutsParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
-  book: ReplicaBook;
+  registry: ReplicaRegistry;
 }
 
 /**
  * Bounds the wait for the first byte of an attempt where another replica may still answer in time,
  * and notices replicas from which nothing comes any more.
  */
-export class SilenceWatch {
-  constructor(private readonly parts: SilenceWatchParts) {}
+export class ResponseTimeouts {
+  constructor(private readonly parts: ResponseTimeoutsParts) {}
 
   /** Looks at an attempt that has just been sent, once it should have answered. */
-  watch(record: RequestRecord, attempt: RunningAttempt): void {
+  start(record: RequestRecord, attempt: RunningAttempt): void {
     this.lookAfter(this.getSilence(record.request), record, attempt);
   }
 
@@ -32,16 +32,16 @@
   }
 
   private lookAfter(span: Milliseconds, record: RequestRecord, attempt: RunningAttempt): void {
-    record.setSilence(this.parts.clock.setTimer(span, () => this.look(record, attempt)));
+    record.setSilenceTimer(this.parts.clock.setTimer(span, () => this.look(record, attempt)));
   }
 
   private look(record: RequestRecord, attempt: RunningAttempt): void {
-    const { book, clock, emit, options } = this.parts;
+    const { registry: book, clock, emit, options } = this.parts;
     if (record.running !== attempt || attempt.isAnswering) {
       return;
     }
     if (attempt.state.isDark(clock.now())) {
-      book.noteSilent(attempt.state);
+      book.recordSilence(attempt.state);
     }
     if (!this.mayGoElsewhere(record)) {
       // Again later: a replica that went dark is noticed by what was sent to it.
@@ -56,16 +56,20 @@
     });
   }
 
-  private mayGoElsewhere({ request, sent, tried }: RequestRecord): boolean {
+  private mayGoElsewhere({
+    request,
+    sentAttempts: sent,
+    triedReplicas: tried,
+  }: RequestRecord): boolean {
     const now = this.parts.clock.now();
-    const service = this.parts.book.getService(request.service);
+    const service = this.parts.registry.getService(request.service);
     const others = service.getCandidates(tried, now);
     const hasOther = others.some(({ replica }) => !tried.has(replica.id));
     return (
       request.repeatable &&
       sent + 1 < request.maxAttempts &&
       hasOther &&
-      service.allowance.getLeft(now) >= 1
+      service.retryBudget.getRemaining(now) >= 1
     );
   }
 }
--- a/packages/relay/src/lib/decide/RetryAllowance/RetryAllowance.test.ts
+++ b/packages/relay/src/lib/decide/RetryBudget/RetryBudget.test.ts
@@ -1,5 +1,5 @@
 import * as fc from 'fast-check';
-import { RetryAllowance } from './RetryAllowance.js';
+import { RetryBudget } from '../RetryBudget/RetryBudget.js';
 
 const WINDOW = 10_000;
 
@@ -11,7 +11,7 @@
     });
     fc.assert(
       fc.property(fc.array(event, { maxLength: 200 }), (events) => {
-        const allowance = new RetryAllowance({ ratio: 0.2, window: WINDOW, slack: 2 });
+        const allowance = new RetryBudget({ ratio: 0.2, window: WINDOW, slack: 2 });
         const requests: number[] = [];
         const repeats: number[] = [];
         let now = 0;
@@ -19,8 +19,8 @@
           now += pause;
           if (isRequest) {
             requests.push(now);
-            allowance.noteRequest(now);
-          } else if (allowance.take(now)) {
+            allowance.recordRequest(now);
+          } else if (allowance.tryTake(now)) {
             repeats.push(now);
           }
         });
@@ -36,11 +36,11 @@
   });
 
   it('takes over other bounds', () => {
-    const allowance = new RetryAllowance({ ratio: 0, window: WINDOW, slack: 0 });
-    expect(allowance.take(0)).toBe(false);
-    allowance.setParts({ ratio: 0, window: WINDOW, slack: 1 });
-    expect(allowance.take(0)).toBe(true);
-    expect(allowance.take(0)).toBe(false);
-    expect(allowance.take(WINDOW + 1_000)).toBe(true);
+    const allowance = new RetryBudget({ ratio: 0, window: WINDOW, slack: 0 });
+    expect(allowance.tryTake(0)).toBe(false);
+    allowance.setLimits({ ratio: 0, window: WINDOW, slack: 1 });
+    expect(allowance.tryTake(0)).toBe(true);
+    expect(allowance.tryTake(0)).toBe(false);
+    expect(allowance.tryTake(WINDOW + 1_000)).toBe(true);
   });
 });
--- a/packages/relay/src/lib/decide/RetryAllowance/RetryAllowance.ts
+++ b/packages/relay/src/lib/decide/RetryBudget/RetryBudget.ts
@@ -13,7 +13,7 @@
 }
 
 /** What bounds the repeats of one service. */
-export interface RetryAllowanceParts {
+export interface RetryLimits {
   ratio: number;
   window: Milliseconds;
   /** Repeats beyond the ratio in one window. */
@@ -26,21 +26,21 @@
  * send it a multiple of its load just when it can take least. Each daemon keeps to the ratio of its
  * own requests, so that all together keep to it without a word among them.
  */
-export class RetryAllowance {
-  private parts: RetryAllowanceParts;
+export class RetryBudget {
+  private parts: RetryLimits;
 
   private counts: Count[] = [];
 
-  constructor(parts: RetryAllowanceParts) {
+  constructor(parts: RetryLimits) {
     this.parts = parts;
   }
 
-  setParts(parts: RetryAllowanceParts): void {
+  setLimits(parts: RetryLimits): void {
     this.parts = parts;
   }
 
   /** A request of the service arrived. */
-  noteRequest(now: Milliseconds): void {
+  recordRequest(now: Milliseconds): void {
     this.getCount(now).requests += 1;
   }
 
@@ -49,8 +49,8 @@
    *
    * @returns false when the allowance is spent
    */
-  take(now: Milliseconds): boolean {
-    if (this.getLeft(now) < 1) {
+  tryTake(now: Milliseconds): boolean {
+    if (this.getRemaining(now) < 1) {
       return false;
     }
     this.getCount(now).repeats += 1;
@@ -58,7 +58,7 @@
   }
 
   /** Repeats that may be sent now. */
-  getLeft(now: Milliseconds): number {
+  getRemaining(now: Milliseconds): number {
     this.getCount(now);
     const requests = this.counts.reduce((sum, count) => sum + count.requests, 0);
     const repeats = this.counts.reduce((sum, count) => sum + count.repeats, 0);
--- a/packages/relay/src/lib/decide/WaitingList/WaitingList.ts
+++ b/packages/relay/src/lib/decide/WaitingList/WaitingList.ts
@@ -17,9 +17,10 @@
   }
 
   add(record: RequestRecord): void {
-    const { rank, arrived } = record.request;
+    const { rank, arrivedAt: arrived } = record.request;
     const after = this.records.findIndex(
-      ({ request }) => request.rank > rank || (request.rank === rank && request.arrived > arrived),
+      ({ request }) =>
+        request.rank > rank || (request.rank === rank && request.arrivedAt > arrived),
     );
     this.records.splice(after === -1 ? this.records.length : after, 0, record);
   }
--- a/packages/relay/src/lib/decide/getNextStep.ts
+++ b/packages/relay/src/lib/decide/getNextStep.ts
@@ -47,7 +47,7 @@
  */
 export function getNextStep(record: RequestRecord, end: AttemptEnd, unsentLimit: number): NextStep {
   const { request } = record;
-  const hasAttempts = record.sent < request.maxAttempts;
+  const hasAttempts = record.sentAttempts < request.maxAttempts;
   switch (end) {
     case AttemptEnd.Completed:
       return { kind: 'settle' };
@@ -57,8 +57,12 @@
         : { kind: 'settle' };
     case AttemptEnd.NotSent:
     case AttemptEnd.Misdirected:
-      return record.unsent < unsentLimit
-        ? { kind: 'place', isRepeat: record.sent > 0, otherwise: asKnown(record, NO_REPLICA) }
+      return record.unsentAttempts < unsentLimit
+        ? {
+            kind: 'place',
+            isRepeat: record.sentAttempts > 0,
+            otherwise: asKnown(record, NO_REPLICA),
+          }
         : asKnown(record, NO_REPLICA);
     case AttemptEnd.Refused:
       return hasAttempts
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
@@ -24,7 +24,7 @@
 }
 
 function receiveLimits(harness: CoreHarness, limits: SharedLimit[]): void {
-  harness.core.handle({ kind: 'peer-news', peer: 'd-2', news: { kind: 'limits', limits } });
+  harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: { kind: 'limits', limits } });
 }
 
 /** Submits requests at a fixed interval. @returns the number sent to each replica */
@@ -106,7 +106,7 @@
     const harness = createHarness();
     receiveLimits(harness, [{ replica: 'i-1', perSecond: 2, age: 300 }]);
     harness.clock.advance(200);
-    expect(harness.core.getRepeated()).toEqual([
+    expect(harness.core.getPeriodicUpdates()).toEqual([
       { kind: 'limits', limits: [{ replica: 'i-1', perSecond: 2, age: 500 }] },
     ]);
   });
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.ts
@@ -1,7 +1,7 @@
 import { getHash } from '@apricotrill/utils';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { Fleet } from '../../Fleet/Fleet.js';
-import type { PlacementEffect, SharedLimit, SharedNews, StatedLimit } from '../../messages.js';
+import type { PlacementEffect, SharedLimit, PlacementUpdate, StatedLimit } from '../../messages.js';
 import type { ReplicaState } from '../../ReplicaState/ReplicaState.js';
 import { limitOptions } from '../limitOptions.js';
 import { RateLimit } from '../RateLimit/RateLimit.js';
@@ -123,7 +123,7 @@
   }
 
   /** Returns what each regular message repeats, since datagrams can be lost. */
-  getRepeated(): SharedNews[] {
+  getPeriodicUpdates(): PlacementUpdate[] {
     const now = this.parts.clock.now();
     this.liftedAt.forEach((at, replica) => {
       if (now - at > limitOptions.liftedRetention) {
@@ -143,7 +143,7 @@
       })),
     ];
     limits.sort((left, right) => left.age - right.age);
-    const repeated = limits.slice(0, limitOptions.mostPerDatagram);
+    const repeated = limits.slice(0, limitOptions.maxPerDatagram);
     return repeated.length === 0 ? [] : [{ kind: 'limits', limits: repeated }];
   }
 
@@ -202,6 +202,6 @@
   }
 
   private announce(limit: SharedLimit): void {
-    this.parts.emit({ kind: 'share', news: { kind: 'limits', limits: [limit] } });
+    this.parts.emit({ kind: 'share', update: { kind: 'limits', limits: [limit] } });
   }
 }
--- a/packages/relay/src/lib/decide/limits/limitOptions.ts
+++ b/packages/relay/src/lib/decide/limits/limitOptions.ts
@@ -17,5 +17,5 @@
   /** Interval between attempts to place requests that wait for limited replicas. */
   retryPeriod: 100 satisfies Milliseconds,
   /** Limits per datagram that keep it below an MTU of 1,500 bytes. */
-  mostPerDatagram: 24,
+  maxPerDatagram: 24,
 };
--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -46,7 +46,7 @@
   pauseTarget?: Milliseconds;
   /** The caller, or the route, waits no longer. */
   deadline: Milliseconds;
-  arrived: Milliseconds;
+  arrivedAt: Milliseconds;
   prompt?: Prompt;
 }
 
@@ -123,16 +123,16 @@
 }
 
 /** What a choice of a replica depends on. */
-export type PlacementWish = Pick<
+export type PlacementCriteria = Pick<
   PlacementRequest,
   'service' | 'rank' | 'latencyTarget' | 'pauseTarget' | 'prompt'
 >;
 
 /** What a daemon asks the one that chooses for a group of replicas. */
-export interface PlacementAsk {
+export interface PlacementQuery {
   /** Names the attempt among those of the daemon that asks. */
   key: string;
-  wish: PlacementWish;
+  wish: PlacementCriteria;
   /** Of the daemon that asks; empty where zones don't matter. */
   availabilityZone: string;
   /** Replicas that are not to be chosen. */
@@ -152,14 +152,14 @@
 }
 
 /** The answer; the placer counts the attempt as under way from then on. */
-export interface PlacementReply {
+export interface PlacementResponse {
   key: string;
   /** Absent where no replica of the group will do. */
   placement?: Placement;
 }
 
 /** How an attempt ended, for the daemon that chooses for its replica. */
-export interface SharedEnd {
+export interface SharedAttemptResult {
   end: AttemptEnd;
   /** From the send to the end. */
   after: Milliseconds;
@@ -190,16 +190,16 @@
 }
 
 /** What one daemon tells the others. */
-export type SharedNews =
+export type PlacementUpdate =
   | { kind: 'placed'; attempt: SharedAttempt }
   /** The engine has read the prompt. */
-  | { kind: 'answering'; key: string }
+  | { kind: 'first-byte-received'; key: string }
   /** `result` is absent where the attempt says nothing of its replica. */
-  | { kind: 'ended'; key: string; result?: SharedEnd }
-  | { kind: 'ask'; ask: PlacementAsk }
-  | { kind: 'reply'; reply: PlacementReply }
+  | { kind: 'ended'; key: string; result?: SharedAttemptResult }
+  | { kind: 'ask'; query: PlacementQuery }
+  | { kind: 'reply'; response: PlacementResponse }
   /** An attempt broke at a replica. */
-  | { kind: 'broke'; replica: string }
+  | { kind: 'attempt-broken'; replica: string }
   /** Requests that were under way at a replica when it crashed. */
   | { kind: 'crashed'; replica: string; fingerprints: string[] }
   /** A request that was under way at crashes has been served by a replica that kept running. */
@@ -207,7 +207,7 @@
   | { kind: 'quarantined'; requests: QuarantinedRequest[] }
   | { kind: 'limits'; limits: SharedLimit[] }
   /** All that is under way; what was told before is forgotten. */
-  | { kind: 'all'; attempts: SharedAttempt[] };
+  | { kind: 'attempt-list'; attempts: SharedAttempt[] };
 
 /** @public */
 export type PlacementMessage =
@@ -216,7 +216,7 @@
   | { kind: 'submit'; request: PlacementRequest }
   | { kind: 'caller-left'; id: string }
   /** The first byte of an answer came. */
-  | { kind: 'answering'; id: string; attempt: number }
+  | { kind: 'first-byte-received'; id: string; attempt: number }
   | { kind: 'attempt-ended'; id: string; attempt: number; end: AttemptEnd }
   | { kind: 'load'; replica: string; report: LoadReport }
   /** The limit stated in a replica's answer; undefined if it states none. */
@@ -225,13 +225,13 @@
   | { kind: 'daemons'; count: number }
   /** The daemons that are heard, this one included. */
   | { kind: 'fleet'; self: string; daemons: readonly string[] }
-  | { kind: 'peer-news'; peer: string; news: SharedNews }
+  | { kind: 'peer-update'; peer: string; update: PlacementUpdate }
   /** Nothing was heard of another daemon for long. */
-  | { kind: 'peer-gone'; peer: string }
+  | { kind: 'peer-removed'; peer: string }
   /** A replica proved, or failed to prove, that it works. */
   | { kind: 'health'; replica: string; isHealthy: boolean }
   /** What came of the question whether an engine lives. */
-  | { kind: 'questioned'; replica: string; isAlive: boolean }
+  | { kind: 'liveness-checked'; replica: string; isAlive: boolean }
   /** Whether a replica with broken attempts accepts connections; undefined if inconclusive. */
   | { kind: 'probed'; replica: string; isUp: boolean | undefined }
   /** Quarantined requests read from the store. */
@@ -259,7 +259,7 @@
   /** The answer of this attempt is final, also where it is a failure. */
   | { kind: 'settle'; id: string; attempt: number }
   /** For the other daemons, or for one of them. */
-  | { kind: 'share'; news: SharedNews; to?: string }
+  | { kind: 'share'; update: PlacementUpdate; to?: string }
   /** A replica was chosen for another daemon's attempt. */
   | { kind: 'placed-for'; peer: string; key: string; replica: RelayReplica; choice: Choice }
   /** A placer gave no answer in time; it isn't asked for a while. */
@@ -267,7 +267,7 @@
   /** The engines whose caches this daemon needs to know; absent for all. */
   | { kind: 'follow-caches'; engines?: ReadonlySet<string> }
   /** Nothing comes from an engine: it is to be asked whether it lives. */
-  | { kind: 'question'; replica: RelayReplica }
+  | { kind: 'check-liveness'; replica: RelayReplica }
   /** Attempts at a replica broke: check whether it still accepts connections. */
   | { kind: 'probe'; replica: RelayReplica }
   /** A replica crashed with these requests of this daemon under way. */
@@ -282,9 +282,9 @@
   /** A replica states a limit that cannot be parsed. */
   | { kind: 'limit-refused'; replica: string; text: string }
   | { kind: 'suspect'; replica: RelayReplica; reason: string }
-  | { kind: 'trust'; replica: RelayReplica }
+  | { kind: 'mark-healthy'; replica: RelayReplica }
   /** Too many attempts of all daemons broke there: for a while it gets nothing. */
-  | { kind: 'avoid'; replica: RelayReplica; span: Milliseconds };
+  | { kind: 'start-cooldown'; replica: RelayReplica; span: Milliseconds };
 
 /** Why an attempt is cancelled. */
 export enum CancelReason {
@@ -297,7 +297,7 @@
 }
 
 /** What a choice of an engine makes of pauses between events, for the log. */
-export interface PauseOutlook {
+export interface PauseEstimate {
   /** Tokens a millisecond that the engine is believed to read. */
   readRate: number;
   /** How long it may read without a break for the request's pauses; absent where it always may. */
@@ -327,7 +327,7 @@
   /** Tokens that it would copy. */
   fetchTokens?: number;
   /** Present where the request has a prompt. */
-  pauses?: PauseOutlook;
+  pauses?: PauseEstimate;
   /** The daemon that chose, where it was another, and what its answer took. */
   placer?: { daemon: string; key: string; waited: Milliseconds };
   /** Requests that are under way there, as far as this daemon is told. */
--- a/packages/relay/src/lib/decide/offers/Offer.ts
+++ b/packages/relay/src/lib/decide/offers/Offer.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RelayService } from '../../config/RelayConfiguration.js';
 import type { Holding } from '../getHoldings.js';
-import type { PauseOutlook, PlacementWish } from '../messages.js';
+import type { PauseEstimate, PlacementCriteria } from '../messages.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 
 /** What a choice is made from. */
 export interface ChoiceInputs {
-  request: PlacementWish;
+  request: PlacementCriteria;
   service: RelayService | undefined;
   candidates: readonly ReplicaState[];
   now: Milliseconds;
@@ -43,6 +43,6 @@
   isTelling: boolean;
   copy: Copy | undefined;
   expected: Milliseconds;
-  pauses: PauseOutlook | undefined;
+  pauses: PauseEstimate | undefined;
   cost: Milliseconds;
 }
--- a/packages/relay/src/lib/decide/offers/getEngineOffer.test.ts
+++ b/packages/relay/src/lib/decide/offers/getEngineOffer.test.ts
@@ -45,7 +45,11 @@
       isAnswering: true,
     }));
     const harness = createHarness();
-    harness.core.handle({ kind: 'peer-news', peer: 'd-2', news: { kind: 'all', attempts } });
+    harness.core.handle({
+      kind: 'peer-update',
+      peer: 'd-2',
+      update: { kind: 'attempt-list', attempts },
+    });
     expect(submit(harness, 'question', 200, 200)).not.toBe(engine);
   });
 
@@ -64,7 +68,11 @@
       pauseTarget: 200,
       isAnswering: true,
     }));
-    harness.core.handle({ kind: 'peer-news', peer: 'd-2', news: { kind: 'all', attempts } });
+    harness.core.handle({
+      kind: 'peer-update',
+      peer: 'd-2',
+      update: { kind: 'attempt-list', attempts },
+    });
     const replicas = Array.from({ length: 24 }, (_item, index) =>
       submit(harness, `prompt-${index}`, tokens, 2_000),
     );
--- a/packages/relay/src/lib/decide/offers/getEngineOffer.ts
+++ b/packages/relay/src/lib/decide/offers/getEngineOffer.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { PauseOutlook, Prompt } from '../messages.js';
+import type { PauseEstimate, Prompt } from '../messages.js';
 import { getHarm } from '../pauses.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
@@ -35,7 +35,7 @@
   { request, now }: ChoiceInputs,
   state: ReplicaState,
   missingTokens: number,
-): PauseOutlook {
+): PauseEstimate {
   return {
     readRate: state.readRate,
     slack: state.getPauseSlack(request.pauseTarget),
@@ -56,7 +56,7 @@
  * need, and nothing is parted where neither harms the other.
  */
 function getPauseCost(
-  { slack, readingShare, harmed }: PauseOutlook,
+  { slack, readingShare, harmed }: PauseEstimate,
   reading: Milliseconds,
   options: PlacementOptions,
 ): Milliseconds {
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
@@ -99,15 +99,15 @@
     const harness = create();
     quarantine(harness);
     const cleared = { kind: 'cleared' as const, fingerprint: 'crashing' };
-    harness.core.handle({ kind: 'peer-news', peer: 'd-1', news: cleared });
+    harness.core.handle({ kind: 'peer-update', peer: 'd-1', update: cleared });
     expect(harness.get('released')).toEqual([
       { kind: 'released', fingerprint: 'crashing', isOwn: true },
     ]);
     const request = { fingerprint: 'crashing', remaining: 60_000, replicas: [] };
     const news = { kind: 'quarantined' as const, requests: [request] };
-    harness.core.handle({ kind: 'peer-news', peer: 'd-2', news });
+    harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: news });
     expect(harness.core.quarantine.size).toBe(0);
-    expect(harness.get('share').at(-1)).toEqual({ kind: 'share', news: cleared, to: 'd-2' });
+    expect(harness.get('share').at(-1)).toEqual({ kind: 'share', update: cleared, to: 'd-2' });
   });
 
   it('does not count a crash when the replica leaves long after a broken attempt', () => {
@@ -141,7 +141,7 @@
     crash(harness, 'b', 'same');
     harness.submit(createRequest('c', { fingerprint: 'same' }));
     harness.end('c', 1, AttemptEnd.Completed);
-    const news = harness.get('share').map((effect) => effect.news);
+    const news = harness.get('share').map((effect) => effect.update);
     expect(news).toContainEqual({ kind: 'cleared', fingerprint: 'same' });
     crash(harness, 'd', 'same');
     harness.clock.advance(quarantineOptions.evaluationDelay);
@@ -152,7 +152,7 @@
     const harness = create();
     ['i-8', 'i-9'].forEach((replica) => {
       const news = { kind: 'crashed' as const, replica, fingerprints: ['crashing'] };
-      harness.core.handle({ kind: 'peer-news', peer: replica, news });
+      harness.core.handle({ kind: 'peer-update', peer: replica, update: news });
     });
     crash(harness, 'a');
     harness.clock.advance(quarantineOptions.evaluationDelay);
@@ -166,7 +166,7 @@
       // Gives each daemon a different load.
       harness.submit(createRequest(`load-${peer}`));
       const news = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['crashing'] };
-      harness.core.handle({ kind: 'peer-news', peer, news });
+      harness.core.handle({ kind: 'peer-update', peer, update: news });
       harness.submit(createRequest('a', { fingerprint: 'crashing' }));
       return harness.getReplicas('a')[0];
     });
@@ -177,8 +177,8 @@
     const first = create();
     quarantine(first);
     const second = create();
-    first.core.quarantine.getRepeated().forEach((news) => {
-      second.core.handle({ kind: 'peer-news', peer: 'd-1', news });
+    first.core.quarantine.getPeriodicUpdates().forEach((news) => {
+      second.core.handle({ kind: 'peer-update', peer: 'd-1', update: news });
     });
     second.submit(createRequest('a', { fingerprint: 'crashing' }));
     expect(second.get('give-up')).toMatchObject([{ reason: GiveUpReason.Quarantined }]);
@@ -188,7 +188,7 @@
   it('accepts a request once its term expires, and quarantines it again after one crash', () => {
     const harness = create();
     quarantine(harness);
-    harness.clock.advance(quarantineOptions.term - 1_000);
+    harness.clock.advance(quarantineOptions.duration - 1_000);
     harness.submit(createRequest('d', { fingerprint: 'crashing' }));
     expect(harness.getReplicas('d')).toEqual([]);
     harness.clock.advance(1_000);
@@ -215,8 +215,8 @@
     harness.submit(createRequest('served', { fingerprint: 'common' }));
     harness.end('served', 1, AttemptEnd.Completed);
     const news = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['common'] };
-    harness.core.handle({ kind: 'peer-news', peer: 'd-1', news });
-    const shared = harness.get('share').map((effect) => effect.news);
+    harness.core.handle({ kind: 'peer-update', peer: 'd-1', update: news });
+    const shared = harness.get('share').map((effect) => effect.update);
     expect(shared).toContainEqual({ kind: 'cleared', fingerprint: 'common' });
   });
 
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.ts
@@ -2,7 +2,7 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { RelayReplica } from '../../../config/RelayConfiguration.js';
 import type { Fleet } from '../../Fleet/Fleet.js';
-import type { PlacementEffect, QuarantinedRequest, SharedNews } from '../../messages.js';
+import type { PlacementEffect, QuarantinedRequest, PlacementUpdate } from '../../messages.js';
 import type { ReplicaState } from '../../ReplicaState/ReplicaState.js';
 import { CrashLedger } from '../CrashLedger/CrashLedger.js';
 import { quarantineOptions } from '../quarantineOptions.js';
@@ -17,7 +17,10 @@
 }
 
 /** Messages about crashes and the requests responsible for them. */
-export type QuarantineNews = Extract<SharedNews, { kind: 'crashed' | 'cleared' | 'quarantined' }>;
+export type QuarantineNews = Extract<
+  PlacementUpdate,
+  { kind: 'crashed' | 'cleared' | 'quarantined' }
+>;
 
 /** A replica with broken attempts that is not known to have crashed. */
 interface PossibleCrash {
@@ -228,7 +231,7 @@
   restore(requests: readonly QuarantinedRequest[]): void {
     const now = this.parts.clock.now();
     requests.forEach(({ fingerprint, remaining, replicas }) => {
-      const term = Math.min(remaining, quarantineOptions.term);
+      const term = Math.min(remaining, quarantineOptions.duration);
       if (term > 0) {
         replicas.forEach((replica) => this.ledger.add(replica, [fingerprint]));
         const entry = { until: now + term, replicas: [...replicas], isOwn: false };
@@ -238,8 +241,8 @@
   }
 
   /** Returns what each regular message repeats, since datagrams can be lost. */
-  getRepeated(): SharedNews[] {
-    const { mostRequestsPerDatagram } = quarantineOptions;
+  getPeriodicUpdates(): PlacementUpdate[] {
+    const { maxRequestsPerDatagram: mostRequestsPerDatagram } = quarantineOptions;
     this.expire();
     const now = this.parts.clock.now();
     this.ownCrashes = this.ownCrashes.filter(({ at }) => at > now - quarantineOptions.repeatPeriod);
@@ -247,13 +250,13 @@
     const first = this.nextRepeated < entries.length ? this.nextRepeated : 0;
     const repeated = entries.slice(first, first + mostRequestsPerDatagram);
     this.nextRepeated = first + repeated.length;
-    const news: SharedNews[] = [];
+    const news: PlacementUpdate[] = [];
     if (repeated.length > 0) {
       news.push({ kind: 'quarantined', requests: repeated.map((entry) => this.toRequest(entry)) });
     }
     if (!this.parts.fleet.isLarge) {
       this.ownCrashes.slice(-mostRequestsPerDatagram).forEach(({ replica, fingerprints }) => {
-        const part = fingerprints.slice(0, quarantineOptions.mostFingerprintsPerDatagram);
+        const part = fingerprints.slice(0, quarantineOptions.maxFingerprintsPerDatagram);
         news.push({ kind: 'crashed', replica, fingerprints: part });
       });
     }
@@ -297,7 +300,7 @@
   }
 
   private shareCrash(replica: string, fingerprints: readonly string[], to?: string): void {
-    chunk(fingerprints, quarantineOptions.mostFingerprintsPerDatagram).forEach((part) =>
+    chunk(fingerprints, quarantineOptions.maxFingerprintsPerDatagram).forEach((part) =>
       this.share({ kind: 'crashed', replica, fingerprints: part }, to),
     );
   }
@@ -374,7 +377,7 @@
   }
 
   private evaluate(): void {
-    const until = this.parts.clock.now() + quarantineOptions.term;
+    const until = this.parts.clock.now() + quarantineOptions.duration;
     this.ledger
       .findResponsible((fingerprint) => this.entries.has(fingerprint))
       .forEach((fingerprint) => {
@@ -462,6 +465,6 @@
   }
 
   private share(news: QuarantineNews, to?: string): void {
-    this.parts.emit({ kind: 'share', news, to });
+    this.parts.emit({ kind: 'share', update: news, to });
   }
 }
--- a/packages/relay/src/lib/decide/quarantine/quarantineOptions.ts
+++ b/packages/relay/src/lib/decide/quarantine/quarantineOptions.ts
@@ -21,7 +21,7 @@
   /** How long crashes are kept. */
   crashRetention: 1_800_000 satisfies Milliseconds,
   /** How long a request is rejected; further arrivals do not extend it. */
-  term: 900_000 satisfies Milliseconds,
+  duration: 900_000 satisfies Milliseconds,
   /** How long a served request is ruled out as the cause of a crash. */
   servedRetention: 10_000 satisfies Milliseconds,
   /** How long quarantine reports from other daemons are rejected for a released request. */
@@ -35,6 +35,6 @@
   /** Limit on quarantined requests; the one that expires first is evicted. */
   mostEntries: 500,
   /** Limits per datagram that keep it below an MTU of 1,500 bytes. */
-  mostRequestsPerDatagram: 8,
-  mostFingerprintsPerDatagram: 40,
+  maxRequestsPerDatagram: 8,
+  maxFingerprintsPerDatagram: 40,
 };
--- a/packages/relay/src/lib/duties/DutyNews.ts
+++ b/packages/relay/src/lib/duties/DutyUpdate.ts
@@ -1,7 +1,7 @@
-import type { ServiceDemand, UsageShare } from '@apricotrill/duties';
+import type { ServiceDemand, SourceUsage } from '@apricotrill/duties';
 
 /** What daemons tell those that stand by for the duties. */
-export type DutyNews =
-  | { kind: 'usage'; share: UsageShare }
+export type DutyUpdate =
+  | { kind: 'usage'; share: SourceUsage }
   /** Of the daemon that sends it. */
   | { kind: 'demand'; demand: ServiceDemand[] };
--- a/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
+++ b/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
@@ -1,10 +1,10 @@
-import { DutyManager, FleetTime, UsageCounter, dutyOptions, getWindow } from '@apricotrill/duties';
+import { DutyManager, FleetClock, UsageCounter, dutyOptions, getWindow } from '@apricotrill/duties';
 import type {
   DutyPlatform,
   DutySettings,
   DutyStatus,
   ScalableService,
-  UsageShare,
+  SourceUsage,
 } from '@apricotrill/duties';
 import { getLeaseCandidates } from '@apricotrill/lease';
 import type { LeaseStore } from '@apricotrill/lease';
@@ -12,7 +12,7 @@
 import type { RelayLog } from '../../observe/RelayEvent.js';
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
 import { DemandCounter } from '../DemandCounter/DemandCounter.js';
-import type { DutyNews } from '../DutyNews.js';
+import type { DutyUpdate } from '../DutyUpdate.js';
 import { RunStarts } from '../RunStarts/RunStarts.js';
 import type { EndedAttempt } from '../RunStarts/RunStarts.js';
 
@@ -43,12 +43,12 @@
   clock: Clock;
   log: RelayLog;
   /** Tells one other daemon. */
-  tell: (news: DutyNews, to: string) => void;
+  send: (news: DutyUpdate, to: string) => void;
   getServices: () => readonly ScalableService[];
 }
 
 /** Splits a share into messages. */
-function splitShare({ source, window, counts }: UsageShare): UsageShare[] {
+function splitShare({ source, window, counts }: SourceUsage): SourceUsage[] {
   const { mostCounts } = fleetDutyOptions;
   const parts = Math.ceil(counts.length / mostCounts);
   return Array.from({ length: parts }, (_, index) => ({
@@ -71,7 +71,7 @@
 
   private readonly starts = new RunStarts();
 
-  private readonly time = new FleetTime();
+  private readonly time = new FleetClock();
 
   private fleet: readonly PeerEntry[];
 
@@ -92,7 +92,7 @@
     this.manager = new DutyManager({
       ...parts,
       self: self.id,
-      getTrueTime: () => this.trueTime,
+      getFleetTime: () => this.trueTime,
       getTimeOfDay: () => Date.now(),
       getRank: () => this.rank,
     });
@@ -111,12 +111,12 @@
   }
 
   /** What another daemon's clock said when it sent a message. */
-  noteTime(daemon: string, said: Milliseconds): void {
+  recordClockReading(daemon: string, said: Milliseconds): void {
     this.time.record(daemon, said, this.parts.clock.now());
   }
 
   /** Another daemon tells of its counts. */
-  hear(daemon: string, news: DutyNews): void {
+  handleUpdate(daemon: string, news: DutyUpdate): void {
     switch (news.kind) {
       case 'usage':
         this.manager.usage.merge(news.share);
@@ -130,7 +130,7 @@
   }
 
   /** An attempt was sent to a replica. */
-  noteSent(service: string, tokens: number): void {
+  recordSent(service: string, tokens: number): void {
     this.demand.noteSent(service, tokens, this.parts.clock.now());
     this.schedule();
   }
@@ -140,13 +140,13 @@
    *
    * @returns when its replica began to run it; undefined where nothing shows that it did
    */
-  noteEnded(attempt: EndedAttempt): Milliseconds | undefined {
+  recordEnd(attempt: EndedAttempt): Milliseconds | undefined {
     this.demand.noteEnded(attempt.service);
     return this.starts.getStart(attempt);
   }
 
   /** A replica began to run a request, for the first time. */
-  noteRun(workspace: string, at: Milliseconds): void {
+  recordRunStart(workspace: string, at: Milliseconds): void {
     this.counter.count(workspace, this.time.correct(at));
     this.schedule();
   }
@@ -194,17 +194,17 @@
     }
   }
 
-  private tellAll(shares: readonly UsageShare[]): void {
-    const { clock, self, tell } = this.parts;
+  private tellAll(shares: readonly SourceUsage[]): void {
+    const { clock, self, send: tell } = this.parts;
     const demand = this.demand.getDemand(clock.now());
-    const news: DutyNews[] = shares
+    const news: DutyUpdate[] = shares
       .flatMap(splitShare)
       .map((share) => ({ kind: 'usage' as const, share }));
     if (demand.length > 0) {
       news.push({ kind: 'demand', demand });
     }
     this.candidates.forEach((id) =>
-      news.forEach((one) => (id === self.id ? this.hear(id, one) : tell(one, id))),
+      news.forEach((one) => (id === self.id ? this.handleUpdate(id, one) : tell(one, id))),
     );
   }
 }
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
@@ -1,9 +1,9 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import { createReplica } from '../../../test/fixtures.js';
 import { CacheFollower, cacheOptions } from './CacheFollower.js';
-import type { CacheNews, CacheSource } from './CacheFollower.js';
+import type { CacheUpdate, CacheSource } from './CacheFollower.js';
 
-const NOTHING: CacheNews & { kind: 'changes' } = {
+const NOTHING: CacheUpdate & { kind: 'changes' } = {
   kind: 'changes',
   epoch: '1',
   next: '5',
@@ -12,7 +12,7 @@
 };
 
 describe('CacheFollower', () => {
-  async function play(answers: (CacheNews | Error)[]) {
+  async function play(answers: (CacheUpdate | Error)[]) {
     const clock = new ManualClock();
     const log: string[] = [];
     const pending = [...answers];
@@ -90,7 +90,7 @@
   // of the life before.
   it('takes nothing that another life of the engine says', async () => {
     const change = { kind: 'added', part: 'p', tokens: 5, model: 'm' } as const;
-    const log = await play([{ ...NOTHING, changes: [change] }, { kind: 'other-life' }, NOTHING]);
+    const log = await play([{ ...NOTHING, changes: [change] }, { kind: 'restarted' }, NOTHING]);
     expect(log.slice(0, 5)).toEqual(['read all', 'changes 1', 'read 5', 'lost', 'read all']);
   });
 });
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
@@ -3,12 +3,12 @@
 import type { CacheChange } from '../../decide/messages.js';
 
 /** What an engine tells of its cache. */
-export type CacheNews =
+export type CacheUpdate =
   | { kind: 'changes'; epoch: string; next: string; hasGap: boolean; changes: CacheChange[] }
   /** It has as many listeners as it takes. */
   | { kind: 'refused' }
   /** Another life of the replica answers, of which the list of replicas doesn't tell yet. */
-  | { kind: 'other-life' };
+  | { kind: 'restarted' };
 
 /** Everything that an engine keeps. */
 export interface CacheListing {
@@ -18,7 +18,7 @@
 }
 
 /** Everything that an engine keeps, or that another life of it has answered. */
-export type CacheListed = ({ kind: 'listed' } & CacheListing) | { kind: 'other-life' };
+export type CacheListResult = ({ kind: 'listed' } & CacheListing) | { kind: 'restarted' };
 
 /**
  * The engines' own word on what they keep.
@@ -37,9 +37,9 @@
     since: string | undefined,
     wait: Milliseconds,
     signal: AbortSignal,
-  ): Promise<CacheNews>;
+  ): Promise<CacheUpdate>;
   /** @throws StepError when no whole answer came */
-  list(replica: RelayReplica, signal: AbortSignal): Promise<CacheListed>;
+  list(replica: RelayReplica, signal: AbortSignal): Promise<CacheListResult>;
 }
 
 /** How caches are followed. */
@@ -114,7 +114,7 @@
     if (signal.aborted || news.kind === 'refused') {
       return false;
     }
-    if (news.kind === 'other-life') {
+    if (news.kind === 'restarted') {
       return this.noteOtherLife();
     }
     if (this.epoch !== undefined && news.epoch !== this.epoch) {
@@ -148,7 +148,7 @@
     if (this.abort.signal.aborted) {
       return false;
     }
-    if (listed.kind === 'other-life') {
+    if (listed.kind === 'restarted') {
       return this.noteOtherLife();
     }
     this.epoch = listed.epoch;
--- a/packages/relay/src/lib/follow/StateFollower/ObjectSource.ts
+++ b/packages/relay/src/lib/follow/StateFollower/ObjectSource.ts
@@ -19,7 +19,7 @@
   /** All objects anew, as a daemon tells them that knows nothing of what came since the revision. */
   | { kind: 'list'; list: ObjectList<Item> }
   /** The store no longer knows what came after the revision: everything must be listed again. */
-  | { kind: 'history-gone' };
+  | { kind: 'history-expired' };
 
 /**
  * One kind of objects in the platform's store.
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.fuzz.test.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.fuzz.test.ts
@@ -54,16 +54,16 @@
       clock: this.clock,
       random: createRandom(seed),
       listener: {
-        onItems: (items, revision) => {
+        onObjects: (items, revision) => {
           this.items = new Map(items);
           this.revisions.push(revision);
         },
         onLost: () => undefined,
-        onRegained: () => undefined,
-        onKept: () => undefined,
+        onReconnected: () => undefined,
+        onRetained: () => undefined,
       },
     });
-    this.follower.setDaemons(seed % 100);
+    this.follower.setDaemonCount(seed % 100);
     this.following = this.follower.run();
   }
 
@@ -87,7 +87,7 @@
         this.store.compact();
         break;
       case 'hint':
-        this.follower.noteChangeElsewhere(this.store.revision);
+        this.follower.recordPeerRevision(this.store.revision);
         break;
       case 'away':
         this.store.isAway = action.isAway;
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
@@ -67,10 +67,10 @@
       random: createRandom(1),
       options: { pace },
       listener: {
-        onItems: (items) => seen.push([...items.keys()].sort()),
+        onObjects: (items) => seen.push([...items.keys()].sort()),
         onLost: () => log.push('lost'),
-        onRegained: () => log.push('regained'),
-        onKept: (name) => log.push(`kept ${name}`),
+        onReconnected: () => log.push('regained'),
+        onRetained: (name) => log.push(`kept ${name}`),
       },
     });
     follower.run().catch((error: unknown) => log.push(String(error)));
@@ -107,16 +107,16 @@
   // Sequence: the connection of a watch goes silent. Cause: nothing was heard but the own watch.
   it('gives a silent watch up when another daemon has heard of a change', async () => {
     const { clock, source, follower, log } = await setUp();
-    follower.setDaemons(74);
+    follower.setDaemonCount(74);
     await source.answer(listOf(5, 'a'));
     clock.advance(500);
-    follower.noteChangeElsewhere(6);
+    follower.recordPeerRevision(6);
     await ScriptedSource.settle();
     // Its answer may still be on its way.
     expect(source.calls).toEqual(['list', 'watch 5']);
     clock.advance(500);
-    follower.noteChangeElsewhere(5);
-    follower.noteChangeElsewhere(6);
+    follower.recordPeerRevision(5);
+    follower.recordPeerRevision(6);
     await ScriptedSource.settle();
     expect(source.calls).toEqual(['list', 'watch 5', 'watch 5']);
     expect(source.waits.at(-1)).toBe(1);
@@ -130,7 +130,7 @@
   it('pauses between lists that lag behind the history', async () => {
     const { clock, source } = await setUp(followOptions.pace);
     await source.answer(listOf(5, 'a'));
-    await source.answer({ kind: 'history-gone' });
+    await source.answer({ kind: 'history-expired' });
     expect(source.calls).toEqual(['list', 'watch 5']);
     clock.advance(followOptions.pace);
     await ScriptedSource.settle();
@@ -139,10 +139,10 @@
 
   it('waits longer where more daemons watch, and never beyond the longest', async () => {
     const { source, follower } = await setUp();
-    follower.setDaemons(8);
+    follower.setDaemonCount(8);
     await source.answer(listOf(5, 'a'));
     expect(source.waits.at(-1)).toBe(followOptions.watchWait);
-    follower.setDaemons(1_800);
+    follower.setDaemonCount(1_800);
     await source.answer(changesOf(6));
     expect(source.waits.at(-1)).toBeGreaterThan(followOptions.longestWait / 2);
     expect(source.waits.at(-1)).toBeLessThanOrEqual(followOptions.longestWait * 1.25);
@@ -153,7 +153,7 @@
   it('lists again when the history is gone, and drops what left in the gap', async () => {
     const { source, seen } = await setUp();
     await source.answer(listOf(5, 'a', 'b'));
-    await source.answer({ kind: 'history-gone' });
+    await source.answer({ kind: 'history-expired' });
     await source.answer(listOf(9, 'b'));
     expect(source.calls).toEqual(['list', 'watch 5', 'list', 'watch 9']);
     expect(seen.at(-1)).toEqual(['b']);
@@ -162,7 +162,7 @@
   it('never goes back to an older state', async () => {
     const { source, seen } = await setUp();
     await source.answer(listOf(5, 'a', 'b'));
-    await source.answer({ kind: 'history-gone' });
+    await source.answer({ kind: 'history-expired' });
     await source.answer(listOf(3, 'a'));
     expect(seen.at(-1)).toEqual(['a', 'b']);
   });
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
@@ -54,11 +54,11 @@
 /** What a follower tells of the objects it follows. */
 export interface FollowListener<Item> {
   /** All objects that are believed to exist, after each change. */
-  onItems(items: ReadonlyMap<string, Item>, revision: number): void;
+  onObjects(items: ReadonlyMap<string, Item>, revision: number): void;
   onLost(error: Error): void;
-  onRegained(after: Milliseconds): void;
+  onReconnected(after: Milliseconds): void;
   /** An object is kept although it was deleted, since the store had been away. */
-  onKept(name: string, until: Milliseconds): void;
+  onRetained(name: string, until: Milliseconds): void;
 }
 
 /** What a follower is made of. */
@@ -138,12 +138,12 @@
   }
 
   /** The revision of the last change, for other daemons. */
-  get lastChange(): number | undefined {
+  get lastChangeRevision(): number | undefined {
     return this.changedAt;
   }
 
   /** The more daemons watch, the longer each may wait. */
-  setDaemons(daemons: number): void {
+  setDaemonCount(daemons: number): void {
     const { watchWait, longestWait } = this.options;
     const wait = (daemons / DAEMONS_PER_SECOND) * SECOND;
     this.wait = Math.min(longestWait, Math.max(watchWait, wait));
@@ -154,7 +154,7 @@
    * went silent tells of nothing until its wait is over, and replicas that leave get requests for as
    * long.
    */
-  noteChangeElsewhere(revision: number): void {
+  recordPeerRevision(revision: number): void {
     const { watching } = this;
     if (this.revision === undefined || revision <= this.revision || watching === undefined) {
       return;
@@ -176,7 +176,7 @@
   }
 
   /** Whether the store answered the last call. */
-  get isReached(): boolean {
+  get isConnected(): boolean {
     return this.revision !== undefined && this.lostAt === undefined;
   }
 
@@ -200,7 +200,7 @@
     if (result === undefined) {
       return false;
     }
-    if (result.kind === 'history-gone') {
+    if (result.kind === 'history-expired') {
       // A list that lags behind the history leads here at once, and without a pause to the next.
       await this.rest(this.listedAt);
       return true;
@@ -211,7 +211,7 @@
     return false;
   }
 
-  private takeResult(result: Exclude<WatchResult<Item>, { kind: 'history-gone' }>): void {
+  private takeResult(result: Exclude<WatchResult<Item>, { kind: 'history-expired' }>): void {
     if (result.kind === 'list') {
       this.takeList(result.list.items, result.list.revision);
     } else if (result.revision >= (this.revision ?? 0)) {
@@ -286,7 +286,7 @@
   private keep(name: string, until: Milliseconds): void {
     const { clock, listener } = this.parts;
     this.kept.set(name, until);
-    listener.onKept(name, until);
+    listener.onRetained(name, until);
     clock.setTimer(until - clock.now(), () => {
       if (this.kept.get(name) === until) {
         this.kept.delete(name);
@@ -298,7 +298,7 @@
 
   private tell(): void {
     if (!this.abort.signal.aborted) {
-      this.parts.listener.onItems(this.items, this.revision ?? 0);
+      this.parts.listener.onObjects(this.items, this.revision ?? 0);
     }
   }
 
@@ -314,7 +314,7 @@
     if (this.lostAt !== undefined) {
       const after = this.parts.clock.now() - this.lostAt;
       this.lostAt = undefined;
-      this.parts.listener.onRegained(after);
+      this.parts.listener.onReconnected(after);
     }
   }
 
--- a/packages/relay/src/lib/http/HttpCaller.test.ts
+++ b/packages/relay/src/lib/http/HttpClient.test.ts
@@ -2,7 +2,7 @@
 import type { RequestListener, Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { setTimeout as wait } from 'node:timers/promises';
-import { HttpCaller } from './HttpCaller.js';
+import { HttpClient } from './HttpClient.js';
 
 const TIMEOUT = 200;
 
@@ -15,7 +15,7 @@
 }
 
 describe('HttpCaller', () => {
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
 
   let server: Server;
 
@@ -26,7 +26,7 @@
     });
     const { port } = server.address() as AddressInfo;
     const address = `127.0.0.1:${port}`;
-    return caller.call({ step: 'read', method: 'GET', address, path: '/', timeout: TIMEOUT });
+    return caller.send({ step: 'read', method: 'GET', address, path: '/', timeout: TIMEOUT });
   }
 
   afterEach(() => {
--- a/packages/relay/src/lib/http/HttpCaller.ts
+++ b/packages/relay/src/lib/http/HttpClient.ts
@@ -6,13 +6,13 @@
 import { Watchdog } from './Watchdog.js';
 
 /** A whole answer. */
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   text: string;
 }
 
 /** A call to the store or to a replica's own interface. */
-export interface HttpCall {
+export interface HttpRequest {
   /** Names the call in errors. */
   step: string;
   method: 'GET' | 'POST' | 'PUT' | 'DELETE';
@@ -49,7 +49,7 @@
  * Calls over HTTP; each ends in a whole answer or in an error, and in time. A call that got no
  * answer takes its connection with it, since that may have gone silent for good.
  */
-export class HttpCaller {
+export class HttpClient {
   private readonly agent = new Agent({
     headersTimeout: 0,
     bodyTimeout: 0,
@@ -59,8 +59,8 @@
   });
 
   /** @throws StepError when no whole answer came in time */
-  async call(call: HttpCall): Promise<HttpAnswer> {
-    const { step, method, address, path, headers, body, timeout, signal } = call;
+  async send(request: HttpRequest): Promise<HttpResponse> {
+    const { step, method, address, path, headers, body, timeout, signal } = request;
     const watchdog = new Watchdog(timeout);
     try {
       const response = await this.agent.request({
--- a/packages/relay/src/lib/observe/RelayEvent.ts
+++ b/packages/relay/src/lib/observe/RelayEvent.ts
@@ -1,4 +1,4 @@
-import type { ConnectionCensus } from '@apricotrill/callers';
+import type { ConnectionCounts } from '@apricotrill/callers';
 import type { DutyEvent } from '@apricotrill/duties';
 import type { Milliseconds } from '@apricotrill/utils';
 import type {
@@ -22,7 +22,7 @@
   | { event: 'listening'; callers: string; status: string }
   | { event: 'reload'; changed: string[] }
   | { event: 'stopping'; signal: string; open: number }
-  | ({ event: 'port-closed'; after: Milliseconds } & ConnectionCensus)
+  | ({ event: 'port-closed'; after: Milliseconds } & ConnectionCounts)
   | { event: 'stopped'; after: Milliseconds; cutOff: number }
   | { event: 'fault'; step: string; error: string }
   | { event: 'dependency-lost'; dependency: string; error: string }
--- a/packages/relay/src/lib/peers/Outbox/Outbox.ts
+++ b/packages/relay/src/lib/peers/Outbox/Outbox.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
-import type { PeerNews } from '../PeerNews.js';
+import type { PeerUpdate } from '../PeerUpdate.js';
 
 /** How news is gathered. */
 export const outboxOptions = {
@@ -16,19 +16,19 @@
 export interface OutboxParts {
   clock: Clock;
   /** Sends news to one daemon; to all that are heard where none is named. */
-  send: (news: PeerNews[], to: string | undefined) => void;
+  send: (news: PeerUpdate[], to: string | undefined) => void;
 }
 
 interface Pending {
-  news: PeerNews[];
+  news: PeerUpdate[];
   timer: Timer | undefined;
 }
 
 /** Others may be choosing by it, or wait for it, right now. */
-function isUrgent({ kind }: PeerNews, to: string | undefined): boolean {
+function isUrgent({ kind }: PeerUpdate, to: string | undefined): boolean {
   switch (kind) {
     case 'placed':
-    case 'broke':
+    case 'attempt-broken':
     case 'crashed':
     case 'cleared':
     case 'quarantined':
@@ -36,11 +36,11 @@
     case 'ask':
     case 'reply':
       return true;
-    case 'answering':
+    case 'first-byte-received':
       // A placer learns from the moment how fast an engine reads.
       return to !== undefined;
     case 'ended':
-    case 'all':
+    case 'attempt-list':
     case 'usage':
     case 'demand':
       return false;
@@ -56,7 +56,7 @@
   constructor(private readonly parts: OutboxParts) {}
 
   /** @param to - the daemon that it is for; undefined for all */
-  add(news: PeerNews, to: string | undefined): void {
+  add(news: PeerUpdate, to: string | undefined): void {
     const pending = this.pending.get(to) ?? { news: [], timer: undefined };
     this.pending.set(to, pending);
     pending.news.push(news);
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
@@ -4,7 +4,7 @@
 import type { SharedAttempt } from '../../decide/messages.js';
 import type { RelayEvent } from '../../observe/RelayEvent.js';
 import type { PeerDirectory, PeerEntry } from '../PeerDirectory.js';
-import type { PeerNews } from '../PeerNews.js';
+import type { PeerUpdate } from '../PeerUpdate.js';
 import { PeerLink, linkOptions } from './PeerLink.js';
 
 /** The platform's entries, in memory. */
@@ -44,7 +44,7 @@
     attempts: ReadonlyMap<string | undefined, SharedAttempt[]> = new Map(),
   ) {
     const fleets: string[][] = [];
-    const heard: PeerNews[] = [];
+    const heard: PeerUpdate[] = [];
     const counts: number[] = [];
     const seen: Readonly<Record<string, number>>[] = [];
     const events: RelayEvent[] = [];
@@ -60,24 +60,24 @@
         wake();
       },
       directory,
-      getRepeated: () => [],
-      getAll: () => attempts,
-      onNews: (_peer, news) => {
+      getPeriodicUpdates: () => [],
+      getSharedAttempts: () => attempts,
+      onUpdate: (_peer, news) => {
         heard.push(news);
         wake();
       },
-      onGone: wake,
-      onFleet: (daemons) => {
+      onPeerLost: wake,
+      onFleetChanged: (daemons) => {
         fleets.push(daemons.map((daemon) => daemon.id));
         wake();
       },
-      getChanges: () => ({ replicas: 7 }),
-      onChanges: (changes) => {
+      getStoreRevisions: () => ({ replicas: 7 }),
+      onStoreRevisions: (changes) => {
         seen.push(changes);
         wake();
       },
-      onTime: () => undefined,
-      onCount: (daemons) => {
+      onClockReading: () => undefined,
+      onDaemonCount: (daemons) => {
         counts.push(daemons);
         wake();
       },
@@ -108,18 +108,18 @@
         until(() => events.some(({ event }) => event === 'peer-found')),
       ),
     );
-    expect(both.map(({ link }) => link.livePeers)).toEqual([1, 1]);
+    expect(both.map(({ link }) => link.livePeerCount)).toEqual([1, 1]);
   });
 
   it('tells news at once, and everything again to make up for what was lost', async () => {
     const directory = new MemoryDirectory();
     const left = await createLink('d-1', directory, new Map([[undefined, [ATTEMPT]]]));
     const right = await createLink('d-2', directory);
-    await left.until(() => left.link.livePeers === 1);
-    left.link.tell({ kind: 'placed', attempt: ATTEMPT });
+    await left.until(() => left.link.livePeerCount === 1);
+    left.link.send({ kind: 'placed', attempt: ATTEMPT });
     await right.until(() => right.heard.some(({ kind }) => kind === 'placed'));
     await right.until(() =>
-      right.heard.some((news) => news.kind === 'all' && news.attempts.length === 1),
+      right.heard.some((news) => news.kind === 'attempt-list' && news.attempts.length === 1),
     );
     expect(right.seen[0]).toEqual({ replicas: 7 });
     expect(right.events.some(({ event }) => event === 'fault')).toBe(false);
@@ -129,9 +129,9 @@
     const directory = new MemoryDirectory();
     const left = await createLink('d-1', directory);
     await createLink('d-2', directory);
-    await left.until(() => left.link.livePeers === 1);
-    await left.link.unlist();
-    left.link.tellGone();
+    await left.until(() => left.link.livePeerCount === 1);
+    await left.link.deregister();
+    left.link.announceDeparture();
     expect([...directory.entries.keys()]).toEqual(['d-2']);
   });
 
@@ -144,7 +144,7 @@
     const attempts = new Map([['d-1', [ATTEMPT]]]);
     const fleet = await Promise.all(names.map((name) => createLink(name, directory, attempts)));
     await Promise.all(
-      fleet.map(({ link, until }) => until(() => link.livePeers === fleet.length - 1)),
+      fleet.map(({ link, until }) => until(() => link.livePeerCount === fleet.length - 1)),
     );
     const [first, second, third] = fleet as [
       (typeof fleet)[0],
@@ -154,18 +154,18 @@
     const seenBefore = third.seen.length;
     for (let index = 0; index < 100; index += 1) {
       const key = `r-${index}/1`;
-      first.link.tell({ kind: 'placed', attempt: { ...ATTEMPT, key } }, 'd-1');
-      first.link.tell({ kind: 'answering', key }, 'd-1');
-      first.link.tell({ kind: 'ended', key }, 'd-1');
+      first.link.send({ kind: 'placed', attempt: { ...ATTEMPT, key } }, 'd-1');
+      first.link.send({ kind: 'first-byte-received', key }, 'd-1');
+      first.link.send({ kind: 'ended', key }, 'd-1');
     }
-    const count = ({ heard }: typeof first, kind: PeerNews['kind']) =>
+    const count = ({ heard }: typeof first, kind: PeerUpdate['kind']) =>
       heard.filter((news) => news.kind === kind).length;
     await second.until(() => count(second, 'placed') === 100 && count(second, 'ended') === 100);
     await third.until(() => third.seen.length > seenBefore);
-    expect(third.heard.filter(({ kind }) => kind !== 'all')).toEqual([]);
-    const all = third.heard.flatMap((news) => (news.kind === 'all' ? news.attempts : []));
+    expect(third.heard.filter(({ kind }) => kind !== 'attempt-list')).toEqual([]);
+    const all = third.heard.flatMap((news) => (news.kind === 'attempt-list' ? news.attempts : []));
     expect(all).toEqual([]);
-    expect(second.heard).toContainEqual({ kind: 'all', attempts: [ATTEMPT] });
+    expect(second.heard).toContainEqual({ kind: 'attempt-list', attempts: [ATTEMPT] });
   });
 
   // Guards against datagrams that grow with the square of the fleet: each of hundreds of daemons told
@@ -189,7 +189,7 @@
     const { link, fleets, until } = await createLink('d-1', directory);
     await until(() => fleets.length > 0);
     socket.close();
-    expect(link.livePeers).toBe(others);
+    expect(link.livePeerCount).toBe(others);
     expect(fleets[0]).toHaveLength(others + 1);
     // One refresh as it starts, and one as it has read the directory.
     expect(arrived).toBeLessThanOrEqual(2 * linkOptions.mostTold);
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
@@ -3,13 +3,13 @@
 import { getHash } from '@apricotrill/utils';
 import type { Clock, Milliseconds, Random, Timer } from '@apricotrill/utils';
 import { fleetOptions } from '../../decide/Fleet/Fleet.js';
-import type { SharedAttempt, SharedNews } from '../../decide/messages.js';
+import type { SharedAttempt, PlacementUpdate } from '../../decide/messages.js';
 import type { RelayLog } from '../../observe/RelayEvent.js';
 import { decodeDatagram, encodeDatagram } from '../datagram/datagram.js';
 import type { Datagram } from '../datagram/datagram.js';
 import { Outbox } from '../Outbox/Outbox.js';
 import type { PeerDirectory, PeerEntry } from '../PeerDirectory.js';
-import type { PeerNews } from '../PeerNews.js';
+import type { PeerUpdate } from '../PeerUpdate.js';
 import { PeerTable } from '../PeerTable/PeerTable.js';
 import { Rotation } from '../Rotation/Rotation.js';
 
@@ -46,21 +46,21 @@
    * What is under way, by the daemon that is to be told of it; undefined stands for those that none
    * is named for.
    */
-  getAll: () => ReadonlyMap<string | undefined, SharedAttempt[]>;
+  getSharedAttempts: () => ReadonlyMap<string | undefined, SharedAttempt[]>;
   /** Returns what each regular message repeats, since datagrams can be lost. */
-  getRepeated: () => SharedNews[];
-  onNews: (peer: string, news: PeerNews) => void;
+  getPeriodicUpdates: () => PlacementUpdate[];
+  onUpdate: (peer: string, news: PeerUpdate) => void;
   /** What another daemon's clock said when it sent a message. */
-  onTime: (peer: string, sentAt: Milliseconds) => void;
-  onGone: (peer: string) => void;
+  onClockReading: (peer: string, sentAt: Milliseconds) => void;
+  onPeerLost: (peer: string) => void;
   /** The daemons that are heard, this one included. */
-  onFleet: (daemons: PeerEntry[]) => void;
+  onFleetChanged: (daemons: PeerEntry[]) => void;
   /** How many daemons there are, this one included; told once the directory is known. */
-  onCount: (daemons: number) => void;
+  onDaemonCount: (daemons: number) => void;
   /** The revisions of the store's last changes that this daemon has heard of, by kind. */
-  getChanges: () => Record<string, number>;
+  getStoreRevisions: () => Record<string, number>;
   /** The same of another daemon. */
-  onChanges: (changes: Readonly<Record<string, number>>) => void;
+  onStoreRevisions: (changes: Readonly<Record<string, number>>) => void;
 }
 
 /** All that is under way, without prompts: these were told of before, and caches are read. */
@@ -69,7 +69,7 @@
   attempts: readonly SharedAttempt[],
 ): Buffer {
   const told = attempts.map((attempt) => ({ ...attempt, prompt: undefined }));
-  return encodeDatagram({ ...header, news: [{ kind: 'all', attempts: told }] });
+  return encodeDatagram({ ...header, news: [{ kind: 'attempt-list', attempts: told }] });
 }
 
 function splitAddress(address: string): { host: string; port: number } {
@@ -131,22 +131,22 @@
   /**
    * Tells one daemon, or all that are heard; what others may be waiting for at once, the rest soon.
    */
-  tell(news: PeerNews, to?: string): void {
-    if (news.kind !== 'broke' || this.mayTellBreak()) {
+  send(news: PeerUpdate, to?: string): void {
+    if (news.kind !== 'attempt-broken' || this.mayTellBreak()) {
       this.outbox.add(news, to);
     }
   }
 
   /** Takes its entry out of the directory; while it still talks, the others know it all the same. */
-  async unlist(): Promise<void> {
+  async deregister(): Promise<void> {
     const { directory, self } = this.parts;
     await directory.remove(self.id).catch((error: unknown) => this.fault('unlist', error));
   }
 
   /** The others need not wait for its silence. */
-  tellGone(): void {
+  announceDeparture(): void {
     const addresses = this.table.ids.flatMap((id) => this.table.getAddresses(id));
-    this.sendTo(addresses, [{ kind: 'all', attempts: [] }]);
+    this.sendTo(addresses, [{ kind: 'attempt-list', attempts: [] }]);
   }
 
   dispose(): void {
@@ -156,13 +156,13 @@
     this.socket.close();
   }
 
-  get livePeers(): number {
+  get livePeerCount(): number {
     return this.table.liveIds.length;
   }
 
   /** Breaks are rare, and others act on them; when everything breaks they say nothing new. */
   private mayTellBreak(): boolean {
-    if (this.livePeers < fleetOptions.mostClose) {
+    if (this.livePeerCount < fleetOptions.maxSmallFleetSize) {
       return true;
     }
     if (this.urgentLeft === 0) {
@@ -187,7 +187,7 @@
     if (this.isOver) {
       return;
     }
-    const { clock, onGone, log } = this.parts;
+    const { clock, onPeerLost: onGone, log } = this.parts;
     this.urgentLeft = linkOptions.mostUrgent;
     this.tellSome();
     const silence = this.roundSpan * SILENT_MESSAGES;
@@ -201,7 +201,7 @@
 
   /** Tells the next others in turn, and those that choose for this daemon. */
   private tellSome(): void {
-    const all = this.parts.getAll();
+    const all = this.parts.getSharedAttempts();
     const named = [...all.keys()].filter((id) => id !== undefined);
     const next = this.rotation.take(this.table.ids, linkOptions.mostTold);
     const told = new Set([...next, ...named, ...this.lastTold]);
@@ -210,9 +210,9 @@
   }
 
   /** Tells what is under way; each daemon what it is to know, and none of it is empty news. */
-  private tellAll(ids: readonly string[], all = this.parts.getAll()): void {
-    const { clock, getRepeated, self } = this.parts;
-    const header = { from: self, changes: this.parts.getChanges(), sentAt: clock.now() };
+  private tellAll(ids: readonly string[], all = this.parts.getSharedAttempts()): void {
+    const { clock, getPeriodicUpdates: getRepeated, self } = this.parts;
+    const header = { from: self, changes: this.parts.getStoreRevisions(), sentAt: clock.now() };
     const common = encodeAll(header, all.get(undefined) ?? []);
     // One datagram per item, to stay below the MTU.
     const repeated = getRepeated().map((news) => encodeDatagram({ from: self, news: [news] }));
@@ -224,7 +224,7 @@
     });
   }
 
-  private sendTo(addresses: readonly string[], news: PeerNews[]): void {
+  private sendTo(addresses: readonly string[], news: PeerUpdate[]): void {
     this.sendBytes(addresses, encodeDatagram({ from: this.parts.self, news }));
   }
 
@@ -238,7 +238,7 @@
 
   /** Tells who is heard, once it has settled. */
   private tellFleet(): void {
-    const { clock, onFleet, self } = this.parts;
+    const { clock, onFleetChanged: onFleet, self } = this.parts;
     this.settling ??= clock.setTimer(linkOptions.settle, () => {
       this.settling = undefined;
       onFleet([self, ...this.table.live]);
@@ -257,7 +257,7 @@
       return;
     }
     const { from, news, changes, sentAt } = datagram;
-    const { clock, log, onNews } = this.parts;
+    const { clock, log, onUpdate: onNews } = this.parts;
     if (this.table.noteHeard(from, clock.now())) {
       log({ event: 'peer-found', peer: from.id, address: from.address });
       if (!this.isLarge) {
@@ -266,11 +266,11 @@
       this.tellFleet();
     }
     if (sentAt !== undefined) {
-      this.parts.onTime(from.id, sentAt);
+      this.parts.onClockReading(from.id, sentAt);
     }
     news.forEach((item) => onNews(from.id, item));
     if (changes !== undefined) {
-      this.parts.onChanges(changes);
+      this.parts.onStoreRevisions(changes);
     }
   }
 
@@ -283,7 +283,7 @@
         this.fault('directory', error);
         return false;
       });
-      this.parts.onCount(this.table.ids.length + 1);
+      this.parts.onDaemonCount(this.table.ids.length + 1);
       const span = isFine ? linkOptions.relist : linkOptions.pause;
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
--- a/packages/relay/src/lib/peers/datagram/datagram.test.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.test.ts
@@ -1,10 +1,10 @@
 import { AttemptEnd } from '../../decide/messages.js';
 import type {
-  PlacementAsk,
+  PlacementQuery,
   QuarantinedRequest,
   SharedAttempt,
   SharedLimit,
-  SharedNews,
+  PlacementUpdate,
 } from '../../decide/messages.js';
 import { limitOptions } from '../../decide/limits/limitOptions.js';
 import { quarantineOptions } from '../../decide/quarantine/quarantineOptions.js';
@@ -21,7 +21,7 @@
   prompt: { model: 'm', inputTokens: 5, outputTokens: 7, parts: [{ id: 'p', tokens: 5 }] },
 };
 
-const ASK: PlacementAsk = {
+const ASK: PlacementQuery = {
   key: 'k',
   wish: {
     service: 'llm',
@@ -51,23 +51,23 @@
       sentAt: 1_770_436_976_235,
       news: [
         { kind: 'placed', attempt: ATTEMPT },
-        { kind: 'answering', key: 'k' },
+        { kind: 'first-byte-received', key: 'k' },
         { kind: 'ended', key: 'k' },
         { kind: 'ended', key: 'k', result: { end: AttemptEnd.Completed, after: 120 } },
-        { kind: 'ask', ask: ASK },
-        { kind: 'ask', ask: { ...ASK, wish: { ...ASK.wish, prompt: undefined } } },
-        { kind: 'reply', reply: { key: 'k' } },
-        { kind: 'reply', reply: { key: 'k', placement: PLACEMENT } },
+        { kind: 'ask', query: ASK },
+        { kind: 'ask', query: { ...ASK, wish: { ...ASK.wish, prompt: undefined } } },
+        { kind: 'reply', response: { key: 'k' } },
+        { kind: 'reply', response: { key: 'k', placement: PLACEMENT } },
         {
           kind: 'reply',
-          reply: { key: 'k', placement: { ...PLACEMENT, fetchFrom: 'i-2', fetchTokens: 900 } },
+          response: { key: 'k', placement: { ...PLACEMENT, fetchFrom: 'i-2', fetchTokens: 900 } },
         },
         {
           kind: 'usage',
           share: { source: 'd-1/17', window: 354_087_399, counts: [['shop', 4]] },
         },
         { kind: 'demand', demand: [{ service: 'llm', tokensPerSecond: 900, running: 3 }] },
-        { kind: 'broke', replica: 'i-1' },
+        { kind: 'attempt-broken', replica: 'i-1' },
         { kind: 'crashed', replica: 'i-1', fingerprints: ['a', 'b'] },
         { kind: 'cleared', fingerprint: 'a' },
         {
@@ -82,7 +82,7 @@
           requests: [{ fingerprint: 'b', remaining: 900_000, replicas: ['i-1', 'i-2'] }],
         },
         {
-          kind: 'all',
+          kind: 'attempt-list',
           attempts: [{ ...ATTEMPT, prompt: undefined, pauseTarget: undefined, isAnswering: false }],
         },
       ],
@@ -93,25 +93,25 @@
 
   it('tells of twenty attempts in what passes in one piece', () => {
     const attempts = Array<SharedAttempt>(20).fill({ ...ATTEMPT, prompt: undefined });
-    const bytes = encodeDatagram({ from: FROM, news: [{ kind: 'all', attempts }] });
+    const bytes = encodeDatagram({ from: FROM, news: [{ kind: 'attempt-list', attempts }] });
     expect(bytes.length).toBeLessThan(1_472);
   });
 
   it('fits crashes and quarantined requests into one unfragmented packet', () => {
     const fingerprint = 'k2h5-9sZ_q0WcV3b';
-    const fingerprints = Array<string>(quarantineOptions.mostFingerprintsPerDatagram).fill(
+    const fingerprints = Array<string>(quarantineOptions.maxFingerprintsPerDatagram).fill(
       fingerprint,
     );
     const replicas = Array<string>(quarantineOptions.crashThreshold).fill(
       'i-c5d157d853@1764763200000',
     );
-    const request = { fingerprint, remaining: quarantineOptions.term, replicas };
-    const requests = Array<QuarantinedRequest>(quarantineOptions.mostRequestsPerDatagram).fill(
+    const request = { fingerprint, remaining: quarantineOptions.duration, replicas };
+    const requests = Array<QuarantinedRequest>(quarantineOptions.maxRequestsPerDatagram).fill(
       request,
     );
     const limit = { replica: 'i-c5d157d853@1764763200000', perSecond: 12.75, age: 10_000 };
-    const limits = Array<SharedLimit>(limitOptions.mostPerDatagram).fill(limit);
-    const news: SharedNews[] = [
+    const limits = Array<SharedLimit>(limitOptions.maxPerDatagram).fill(limit);
+    const news: PlacementUpdate[] = [
       { kind: 'crashed', replica: 'i-c5d157d853@1764763200000', fingerprints },
       { kind: 'quarantined', requests },
       { kind: 'limits', limits },
--- a/packages/relay/src/lib/peers/datagram/datagram.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.ts
@@ -1,14 +1,14 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import * as z from 'zod';
 import { AttemptEnd } from '../../decide/messages.js';
-import type { Placement, PlacementAsk, Prompt, SharedAttempt } from '../../decide/messages.js';
-import type { PeerNews } from '../PeerNews.js';
+import type { Placement, PlacementQuery, Prompt, SharedAttempt } from '../../decide/messages.js';
+import type { PeerUpdate } from '../PeerUpdate.js';
 import type { PeerEntry } from '../PeerDirectory.js';
 
 /** One message between two daemons. */
 export interface Datagram {
   from: PeerEntry;
-  news: PeerNews[];
+  news: PeerUpdate[];
   /** The revisions of the store's last changes that the sender has heard of, by kind. */
   changes?: Record<string, number>;
   /** The sender's clock when it sent this, in Unix milliseconds; absent where it does not say. */
@@ -160,7 +160,7 @@
   };
 }
 
-function encodeAsk({ key, wish, availabilityZone, tried }: PlacementAsk): AskForm {
+function encodeAsk({ key, wish, availabilityZone, tried }: PlacementQuery): AskForm {
   const { service, rank, latencyTarget, pauseTarget, prompt } = wish;
   const promptIn = prompt === undefined ? null : encodePrompt(prompt);
   return [
@@ -184,7 +184,7 @@
   prompt,
   availabilityZone,
   tried,
-]: AskForm): PlacementAsk {
+]: AskForm): PlacementQuery {
   const wish = {
     service,
     rank,
@@ -220,7 +220,7 @@
   return { replica, expected, missingTokens, tokensAhead, copyTime, fetchFrom, fetchTokens };
 }
 
-function encodeNews(news: PeerNews): NewsForm {
+function encodeNews(news: PeerUpdate): NewsForm {
   switch (news.kind) {
     case 'usage': {
       const { source, window, counts } = news.share;
@@ -237,19 +237,19 @@
       ];
     case 'placed':
       return ['p', encodeAttempt(news.attempt)];
-    case 'answering':
+    case 'first-byte-received':
       return ['a', news.key];
     case 'ended':
       return news.result === undefined
         ? ['e', news.key]
         : ['e', news.key, news.result.end, Math.round(news.result.after)];
     case 'ask':
-      return ['q', encodeAsk(news.ask)];
+      return ['q', encodeAsk(news.query)];
     case 'reply': {
-      const { key, placement } = news.reply;
+      const { key, placement } = news.response;
       return ['r', key, placement === undefined ? null : encodePlacement(placement)];
     }
-    case 'broke':
+    case 'attempt-broken':
       return ['b', news.replica];
     case 'limits':
       return [
@@ -273,14 +273,14 @@
           replicas,
         ]),
       ];
-    case 'all':
+    case 'attempt-list':
       return ['l', news.attempts.map(encodeAttempt)];
     default:
       return news satisfies never;
   }
 }
 
-function decodeNews(form: NewsForm): PeerNews {
+function decodeNews(form: NewsForm): PeerUpdate {
   switch (form[0]) {
     case 'u': {
       const [source, window, counts] = form[1];
@@ -298,7 +298,7 @@
     case 'p':
       return { kind: 'placed', attempt: decodeAttempt(form[1]) };
     case 'a':
-      return { kind: 'answering', key: form[1] };
+      return { kind: 'first-byte-received', key: form[1] };
     case 'e': {
       const [, key, end, after] = form;
       return end === undefined || after === undefined
@@ -306,16 +306,16 @@
         : { kind: 'ended', key, result: { end, after } };
     }
     case 'q':
-      return { kind: 'ask', ask: decodeAsk(form[1]) };
+      return { kind: 'ask', query: decodeAsk(form[1]) };
     case 'r': {
       const [, key, placement] = form;
       return {
         kind: 'reply',
-        reply: placement === null ? { key } : { key, placement: decodePlacement(placement) },
+        response: placement === null ? { key } : { key, placement: decodePlacement(placement) },
       };
     }
     case 'b':
-      return { kind: 'broke', replica: form[1] };
+      return { kind: 'attempt-broken', replica: form[1] };
     case 'm':
       return {
         kind: 'limits',
@@ -339,7 +339,7 @@
         })),
       };
     case 'l':
-      return { kind: 'all', attempts: form[1].map(decodeAttempt) };
+      return { kind: 'attempt-list', attempts: form[1].map(decodeAttempt) };
     default:
       return form satisfies never;
   }
--- a/packages/relay/src/lib/protocol/RelayProtocol.ts
+++ b/packages/relay/src/lib/protocol/RelayProtocol.ts
@@ -2,10 +2,10 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { RelayReplica } from '../config/RelayConfiguration.js';
 import type { LoadReport, Prompt, StatedLimit } from '../decide/messages.js';
-import type { AnswerHead } from '../upstream/UpstreamExchange/UpstreamExchange.js';
+import type { ResponseHead } from '../upstream/UpstreamExchange/UpstreamExchange.js';
 
 /** What a caller states about its request beside method, target and body. */
-export interface CallerFields {
+export interface RequestFields {
   /** Unique for each attempt of a caller; absent where it names none. */
   requestId: string | undefined;
   key: string | undefined;
@@ -17,7 +17,7 @@
 }
 
 /** What a replica is told about a request. */
-export interface SendFields {
+export interface UpstreamFields {
   replica: RelayReplica;
   workspace: string | undefined;
   timeLeft: Milliseconds;
@@ -30,7 +30,7 @@
 }
 
 /** What a replica states about its answer. */
-export interface AnswerFields {
+export interface ResponseFields {
   /** The request it answers; absent where it doesn't say. */
   requestId: string | undefined;
   /** The replica vouches for the answer as its own. */
@@ -51,11 +51,11 @@
  * @public
  */
 export interface RelayProtocol {
-  readCaller(headers: IncomingHttpHeaders): CallerFields;
+  readRequest(headers: IncomingHttpHeaders): RequestFields;
   /**
    * @param rawHeaders - the caller's, names and values in turn, without those of one connection
    * @returns what the replica gets
    */
-  getUpstreamHeaders(rawHeaders: readonly string[], fields: SendFields): string[];
-  readAnswer(head: AnswerHead): AnswerFields;
+  getUpstreamHeaders(rawHeaders: readonly string[], fields: UpstreamFields): string[];
+  readResponse(head: ResponseHead): ResponseFields;
 }
--- a/packages/relay/src/lib/readers/ObjectServer/ObjectServer.test.ts
+++ b/packages/relay/src/lib/readers/ObjectServer/ObjectServer.test.ts
@@ -1,8 +1,8 @@
 import { reservePorts } from '@apricotrill/standins';
 import { ManualClock } from '@apricotrill/utils';
 import { Agent } from 'undici';
-import { HttpCaller } from '../../http/HttpCaller.js';
-import { createAskReader } from '../createAskReader.js';
+import { HttpClient } from '../../http/HttpClient.js';
+import { createPeerReader } from '../createPeerReader.js';
 import { SharedObjects } from '../SharedObjects/SharedObjects.js';
 import { OBJECTS_PATH, ObjectServer } from './ObjectServer.js';
 
@@ -19,11 +19,11 @@
 describe('ObjectServer', () => {
   const server = new ObjectServer({
     log: () => undefined,
-    longestWait: 1_000,
-    onAsked: () => undefined,
+    maxWait: 1_000,
+    onRequest: () => undefined,
   });
 
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
 
   const agent = new Agent();
 
@@ -41,7 +41,7 @@
     const [port] = await reservePorts(1);
     await server.listen(HOST, port!);
     const address = `${HOST}:${port}`;
-    const ask = createAskReader(caller, 'configuration');
+    const ask = createPeerReader(caller, 'configuration');
     const peer = { id: 'd-1', address, availabilityZone: 'a' };
     const answer = await ask(peer, { since: '', wait: 0 }, new AbortController().signal);
     expect(answer).toMatchObject({ kind: 'state', state: { revision: 7, isWhole: true } });
--- a/packages/relay/src/lib/readers/ObjectServer/ObjectServer.ts
+++ b/packages/relay/src/lib/readers/ObjectServer/ObjectServer.ts
@@ -13,9 +13,9 @@
 export interface ObjectServerParts {
   log: RelayLog;
   /** The longest that a call may wait. */
-  longestWait: Milliseconds;
+  maxWait: Milliseconds;
   /** Another daemon takes this one for a reader. */
-  onAsked: () => void;
+  onRequest: () => void;
 }
 
 /** Characters from which on an answer is compressed: daemons have slow links and little time. */
@@ -81,7 +81,7 @@
       response.end();
       return;
     }
-    const { longestWait, onAsked } = this.parts;
+    const { maxWait: longestWait, onRequest: onAsked } = this.parts;
     onAsked();
     const state = await objects.ask(query.get('since') ?? '', Math.min(wait, longestWait));
     response.setHeader('content-type', 'application/json');
--- a/packages/relay/src/lib/readers/ReaderChoice/ReaderChoice.test.ts
+++ b/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
 import { readerOptions } from '../readerOptions.js';
-import { ReaderChoice } from './ReaderChoice.js';
+import { ReaderSelector } from '../ReaderSelector/ReaderSelector.js';
 
 function createDaemons(zones: Record<string, number>): PeerEntry[] {
   return Object.entries(zones).flatMap(([availabilityZone, count]) =>
@@ -14,15 +14,15 @@
 }
 
 function createChoice(self: PeerEntry, daemons: PeerEntry[], clock = new ManualClock()) {
-  const choice = new ReaderChoice({ clock, random: createRandom(1), self });
+  const choice = new ReaderSelector({ clock, random: createRandom(1), self });
   choice.setDaemons(daemons);
   return choice;
 }
 
 /** Reads as a daemon does while no reader and no store answers; counts the calls to the store. */
-function countTries(choice: ReaderChoice): number {
+function countTries(choice: ReaderSelector): number {
   let tries = 0;
-  for (let place = choice.choose(); place.kind !== 'nowhere'; place = choice.choose()) {
+  for (let place = choice.choose(); place.kind !== 'no-source'; place = choice.choose()) {
     if (place.kind === 'store') {
       tries += 1;
       choice.noteStoreFailed();
@@ -81,7 +81,7 @@
 
   it('reads the store itself while it hears of nobody', () => {
     const [self] = createDaemons({ a: 1 });
-    const choice = new ReaderChoice({
+    const choice = new ReaderSelector({
       clock: new ManualClock(),
       random: createRandom(1),
       self: self!,
@@ -121,7 +121,7 @@
     const daemons = createDaemons({ a: 20 });
     const self = daemons.find((daemon) => !createChoice(daemon, daemons).isReader)!;
     const choice = createChoice(self, daemons, clock);
-    choice.noteAsked();
+    choice.recordReaderRequest();
     expect(choice.choose()).toEqual({ kind: 'store' });
     clock.advance(readerOptions.dutySpan);
     expect(choice.choose().kind).toBe('daemon');
--- a/packages/relay/src/lib/readers/ReaderChoice/ReaderChoice.ts
+++ b/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.ts
@@ -8,10 +8,10 @@
   | { kind: 'store' }
   | { kind: 'daemon'; daemon: PeerEntry }
   /** No reader reaches the store, and this daemon has tried itself a moment ago. */
-  | { kind: 'nowhere' };
+  | { kind: 'no-source' };
 
 /** What the choice is made of. */
-export interface ReaderChoiceParts {
+export interface ReaderSelectorParts {
   clock: Clock;
   random: Random;
   self: PeerEntry;
@@ -38,7 +38,7 @@
  * choice.choose(); // { kind: 'daemon', daemon: { id: 'edge-7', address: '10.1.0.7:7201' } }
  * ```
  */
-export class ReaderChoice {
+export class ReaderSelector {
   /** The group's reader, and the daemons that stand in for it; none where every daemon reads. */
   private order: PeerEntry[] = [];
 
@@ -51,7 +51,7 @@
   /** While no reader reaches the store, when this daemon tries it again. */
   private storeRetryAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly parts: ReaderChoiceParts) {}
+  constructor(private readonly parts: ReaderSelectorParts) {}
 
   /** Takes over which daemons are heard, this one included. */
   setDaemons(daemons: readonly PeerEntry[]): void {
@@ -70,7 +70,7 @@
     const name = hasOwnReaders ? `readers/${self.availabilityZone}` : 'readers';
     this.groupSize = group.length;
     this.order = getRendezvousOrder(name, [...byId.keys()])
-      .slice(0, readerOptions.mostAsked)
+      .slice(0, readerOptions.maxCandidates)
       .map((id) => byId.get(id)!);
   }
 
@@ -97,11 +97,11 @@
     if (daemon !== undefined) {
       return { kind: 'daemon', daemon };
     }
-    return now < this.storeRetryAt ? { kind: 'nowhere' } : { kind: 'store' };
+    return now < this.storeRetryAt ? { kind: 'no-source' } : { kind: 'store' };
   }
 
   /** Another daemon takes this one for a reader. */
-  noteAsked(): void {
+  recordReaderRequest(): void {
     this.askedUntil = this.parts.clock.now() + readerOptions.dutySpan;
   }
 
--- a/packages/relay/src/lib/readers/SharedSource/SharedSource.test.ts
+++ b/packages/relay/src/lib/readers/SharedSource/SharedSource.test.ts
@@ -2,7 +2,7 @@
 import type { ObjectSource } from '../../follow/StateFollower/ObjectSource.js';
 import type { RelayEvent } from '../../observe/RelayEvent.js';
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
-import { ReaderChoice } from '../ReaderChoice/ReaderChoice.js';
+import { ReaderSelector } from '../ReaderSelector/ReaderSelector.js';
 import { SharedSource } from './SharedSource.js';
 import type { ReaderAnswer } from './SharedSource.js';
 
@@ -21,7 +21,7 @@
     const clock = new ManualClock();
     const daemons = createDaemons(20);
     const choices = daemons.map((self) => {
-      const choice = new ReaderChoice({ clock, random: createRandom(1), self });
+      const choice = new ReaderSelector({ clock, random: createRandom(1), self });
       choice.setDaemons(daemons);
       return choice;
     });
--- a/packages/relay/src/lib/readers/SharedSource/SharedSource.ts
+++ b/packages/relay/src/lib/readers/SharedSource/SharedSource.ts
@@ -7,7 +7,7 @@
 } from '../../follow/StateFollower/ObjectSource.js';
 import type { RelayLog } from '../../observe/RelayEvent.js';
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
-import type { ReaderChoice } from '../ReaderChoice/ReaderChoice.js';
+import type { ReaderSelector } from '../ReaderSelector/ReaderSelector.js';
 import type { SharedState } from '../SharedObjects/SharedObjects.js';
 
 /** What came of a call to a reader. */
@@ -18,7 +18,7 @@
   | { kind: 'silent'; error: Error };
 
 /** Asks another daemon for the objects of one kind. */
-export type AskReader<Item> = (
+export type PeerReader<Item> = (
   daemon: PeerEntry,
   query: { since: string; wait: Milliseconds },
   signal: AbortSignal,
@@ -29,8 +29,8 @@
   /** Names the kind in log lines. */
   dependency: string;
   store: ObjectSource<Item>;
-  choice: ReaderChoice;
-  ask: AskReader<Item>;
+  choice: ReaderSelector;
+  ask: PeerReader<Item>;
   clock: Clock;
   log: RelayLog;
   /** The longest that a call waits where some daemons read for others. */
@@ -76,7 +76,7 @@
       switch (place.kind) {
         case 'store':
           return this.callStore((store) => store.watch(revision, wait, signal));
-        case 'nowhere':
+        case 'no-source':
           throw new StepError('no reader reaches the store', { step: 'read', peer: 'daemons' });
         case 'daemon': {
           // eslint-disable-next-line no-await-in-loop
--- a/packages/relay/src/lib/readers/createAskReader.ts
+++ b/packages/relay/src/lib/readers/createPeerReader.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
-import { parseJson } from '../http/HttpCaller.js';
-import type { HttpCaller } from '../http/HttpCaller.js';
+import { parseJson } from '../http/HttpClient.js';
+import type { HttpClient } from '../http/HttpClient.js';
 import { OBJECTS_PATH } from './ObjectServer/ObjectServer.js';
 import { readerOptions } from './readerOptions.js';
-import type { AskReader } from './SharedSource/SharedSource.js';
+import type { PeerReader } from './SharedSource/SharedSource.js';
 import type { SharedState } from './SharedObjects/SharedObjects.js';
 
 const OK = 200;
@@ -17,11 +17,11 @@
 });
 
 /** Calls to readers for the objects of one kind. */
-export function createAskReader<Item>(caller: HttpCaller, kind: string): AskReader<Item> {
+export function createPeerReader<Item>(caller: HttpClient, kind: string): PeerReader<Item> {
   const step = `read ${kind} of a daemon`;
   return async ({ address }, { since, wait }, signal) => {
     try {
-      const { status, text } = await caller.call({
+      const { status, text } = await caller.send({
         step,
         method: 'GET',
         address,
