--- a/packages/relay/src/lib/readers/readerOptions.ts
+++ b/packages/relay/src/lib/readers/readerOptions.ts
@@ -5,7 +5,7 @@
   /** In a fleet of fewer daemons each reads the store: asking a reader would take more time than it saves. */
   leastFleet: 12,
   /** Daemons that are asked in turn before a daemon reads the store itself. */
-  mostAsked: 3,
+  maxCandidates: 3,
   /** Availability zones with fewer daemons have no readers of their own. */
   leastGroup: 8,
   /**
@@ -14,7 +14,7 @@
    */
   waitShare: 1 / 4,
   /** What a reader knows counts as fresh for so long after the end of a wait at the store. */
-  freshSlack: 500 satisfies Milliseconds,
+  maxStaleness: 500 satisfies Milliseconds,
   /** How much later than its wait an answer may come. */
   answerSlack: 300 satisfies Milliseconds,
   /** A reader that gave no answer isn't asked for so long. */
--- a/packages/relay/src/lib/request/AnswerReader.test.ts
+++ b/packages/relay/src/lib/request/AnswerReader.test.ts
@@ -6,11 +6,11 @@
 
 /** Headers of its own, so that nothing here depends on those of a platform. */
 const PROTOCOL: RelayProtocol = {
-  readCaller: () => {
+  readRequest: () => {
     throw new Error('not used');
   },
   getUpstreamHeaders: () => [],
-  readAnswer: ({ rawHeaders }) => ({
+  readResponse: ({ rawHeaders }) => ({
     requestId: findHeader(rawHeaders, 'request'),
     isSigned: findHeader(rawHeaders, 'signed') !== undefined,
     isRefusal: findHeader(rawHeaders, 'refused') !== undefined,
--- a/packages/relay/src/lib/request/AnswerReader.ts
+++ b/packages/relay/src/lib/request/AnswerReader.ts
@@ -1,17 +1,17 @@
 import { AttemptEnd } from '../decide/messages.js';
 import { findHeader } from '../protocol/connectionHeaders.js';
-import type { AnswerFields, RelayProtocol } from '../protocol/RelayProtocol.js';
+import type { ResponseFields, RelayProtocol } from '../protocol/RelayProtocol.js';
 import { EventSplitter } from '../upstream/EventSplitter/EventSplitter.js';
 import type { StreamEvent } from '../upstream/EventSplitter/EventSplitter.js';
 import { upstreamOptions } from '../upstream/upstreamOptions.js';
 import type {
-  AnswerHead,
+  ResponseHead,
   ExchangeListener,
 } from '../upstream/UpstreamExchange/UpstreamExchange.js';
 
 /** An answer that is whole, or the failure of a replica that is passed on. */
 export interface WholeAnswer {
-  head: AnswerHead;
+  head: ResponseHead;
   body: Buffer;
 }
 
@@ -27,10 +27,10 @@
 /** What a reader tells of one attempt. */
 export interface AnswerListener {
   /** Every answer's own fields, also of refusals. */
-  onFields(fields: AnswerFields): void;
+  onFields(fields: ResponseFields): void;
   onFirstByte(): void;
   /** The head of a stream whose first event is whole. */
-  onStream(head: AnswerHead): void;
+  onStream(head: ResponseHead): void;
   onEvents(events: StreamEvent[]): void;
   /** Bytes after the last whole event of a stream that ended in good order. */
   onRest(bytes: Buffer): void;
@@ -56,7 +56,7 @@
  * replica doesn't vouch for, and one that is cut short must never reach the caller as an answer.
  */
 export class AnswerReader implements ExchangeListener {
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
 
   private isPassedOn = false;
 
@@ -70,10 +70,10 @@
 
   constructor(private readonly parts: AnswerReaderParts) {}
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     const { protocol, listener, requestId, isStream } = this.parts;
     this.head = head;
-    const fields = protocol.readAnswer(head);
+    const fields = protocol.readResponse(head);
     listener.onFields(fields);
     const fault = this.getFault(fields, requestId);
     if (fault !== undefined) {
@@ -110,7 +110,7 @@
     if (this.isOver || this.head === undefined) {
       return;
     }
-    const fields = this.parts.protocol.readAnswer(this.head);
+    const fields = this.parts.protocol.readResponse(this.head);
     if (fields.isMisdirected) {
       this.finish(AttemptEnd.Misdirected, undefined);
     } else if (fields.isRefusal) {
@@ -128,7 +128,7 @@
       return;
     }
     const { head } = this;
-    const fields = head === undefined ? undefined : this.parts.protocol.readAnswer(head);
+    const fields = head === undefined ? undefined : this.parts.protocol.readResponse(head);
     if (!isSent) {
       this.finish(AttemptEnd.NotSent, error.message);
     } else if (fields?.isMisdirected) {
@@ -142,7 +142,7 @@
   }
 
   /** Why what came is no answer to this request; undefined where it is. */
-  private getFault(fields: AnswerFields, requestId: string | undefined): string | undefined {
+  private getFault(fields: ResponseFields, requestId: string | undefined): string | undefined {
     if (requestId !== undefined && fields.requestId !== requestId) {
       return fields.isRefusal || fields.isMisdirected
         ? this.getStrangerFault(fields, requestId)
@@ -159,7 +159,7 @@
 
   /** A refusal may come without the id of what it refuses, but not with another one. */
   // eslint-disable-next-line class-methods-use-this
-  private getStrangerFault(fields: AnswerFields, requestId: string): string | undefined {
+  private getStrangerFault(fields: ResponseFields, requestId: string): string | undefined {
     return fields.requestId === undefined || fields.requestId === requestId
       ? undefined
       : 'the refusal belongs to another request';
--- a/packages/relay/src/lib/request/ReceivedRequest.ts
+++ b/packages/relay/src/lib/request/ReceivedRequest.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RelayRoute, RelayWorkspace } from '../config/RelayConfiguration.js';
-import type { CallerFields } from '../protocol/RelayProtocol.js';
+import type { RequestFields } from '../protocol/RelayProtocol.js';
 
 /** A request that was read whole, with all that admits it. */
 export interface ReceivedRequest {
@@ -14,7 +14,7 @@
   /** As they came, without those of the caller's connection. */
   rawHeaders: string[];
   body: Buffer | undefined;
-  fields: CallerFields;
+  fields: RequestFields;
   route: RelayRoute;
   service: string;
   /** Absent where callers need no keys. */
--- a/packages/relay/src/lib/request/RelayTask.ts
+++ b/packages/relay/src/lib/request/RelayTask.ts
@@ -7,11 +7,11 @@
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { RelayMetrics } from '../observe/RelayMetrics.js';
 import { getEndToEndHeaders } from '../protocol/connectionHeaders.js';
-import type { AnswerFields, RelayProtocol } from '../protocol/RelayProtocol.js';
+import type { ResponseFields, RelayProtocol } from '../protocol/RelayProtocol.js';
 import type { StreamEvent } from '../upstream/EventSplitter/EventSplitter.js';
 import type { UpstreamConnections } from '../upstream/UpstreamConnections/UpstreamConnections.js';
 import { UpstreamExchange } from '../upstream/UpstreamExchange/UpstreamExchange.js';
-import type { AnswerHead } from '../upstream/UpstreamExchange/UpstreamExchange.js';
+import type { ResponseHead } from '../upstream/UpstreamExchange/UpstreamExchange.js';
 import { AnswerReader } from './AnswerReader.js';
 import type { AnswerListener, AttemptResult, WholeAnswer } from './AnswerReader.js';
 import type { ReceivedRequest } from './ReceivedRequest.js';
@@ -106,7 +106,7 @@
       latencyTarget: route.latencyTarget,
       pauseTarget: route.pauseTarget,
       deadline: request.deadline,
-      arrived: request.arrived,
+      arrivedAt: request.arrived,
       prompt: request.fields.prompt,
     };
   }
@@ -240,7 +240,7 @@
     }
   }
 
-  private noteFields(replica: string, sentAt: Milliseconds, fields: AnswerFields): void {
+  private noteFields(replica: string, sentAt: Milliseconds, fields: ResponseFields): void {
     const { request, tell } = this.parts;
     const { load, limit, requestId, isMisdirected, isSigned } = fields;
     if (load !== undefined) {
@@ -257,7 +257,7 @@
     const { clock, log, metrics, request, tell } = this.parts;
     const now = clock.now();
     this.firstByteAt ??= now;
-    tell({ kind: 'answering', id, attempt });
+    tell({ kind: 'first-byte-received', id, attempt });
     log({ event: 'first-byte', id, attempt, replica: replica.id, after: now - startedAt });
     metrics.firstByte.observe(
       { kind: request.route.kind },
@@ -265,7 +265,7 @@
     );
   }
 
-  private startStream(head: AnswerHead): void {
+  private startStream(head: ResponseHead): void {
     const { clock, response } = this.parts;
     this.noteRun(clock.now());
     // A stream that goes on at another replica keeps the head of the first.
--- a/packages/relay/src/lib/upstream/UpstreamExchange/UpstreamExchange.test.ts
+++ b/packages/relay/src/lib/upstream/UpstreamExchange/UpstreamExchange.test.ts
@@ -5,12 +5,12 @@
 import type { RelayReplica } from '../../config/RelayConfiguration.js';
 import { UpstreamConnections } from '../UpstreamConnections/UpstreamConnections.js';
 import { UpstreamExchange } from './UpstreamExchange.js';
-import type { AnswerHead } from './UpstreamExchange.js';
+import type { ResponseHead } from './UpstreamExchange.js';
 
 interface Ending {
   kind: 'end' | 'error';
   isSent: boolean;
-  head: AnswerHead | undefined;
+  head: ResponseHead | undefined;
   body: string;
 }
 
@@ -51,7 +51,7 @@
   function run(port: number, connection = connections.take(createReplica(port))): Promise<Ending> {
     const replica = createReplica(port);
     return new Promise((resolve) => {
-      let head: AnswerHead | undefined;
+      let head: ResponseHead | undefined;
       let body = '';
       const end = (kind: 'end' | 'error', isSent: boolean) => resolve({ kind, isSent, head, body });
       new UpstreamExchange(new SystemClock(), {
--- a/packages/relay/src/lib/upstream/UpstreamExchange/UpstreamExchange.ts
+++ b/packages/relay/src/lib/upstream/UpstreamExchange/UpstreamExchange.ts
@@ -4,7 +4,7 @@
 import type { UpstreamConnection } from '../UpstreamConnections/UpstreamConnections.js';
 
 /** The head of an answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number;
   /** Names and values in turn, as they came. */
   rawHeaders: string[];
@@ -12,7 +12,7 @@
 
 /** What an exchange tells its owner. Nothing follows `onEnd` or `onError`. */
 export interface ExchangeListener {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onBody(bytes: Buffer): void;
   /** The last byte has come. */
   onEnd(): void;
--- a/packages/relay/src/test/CoreHarness.ts
+++ b/packages/relay/src/test/CoreHarness.ts
@@ -36,18 +36,18 @@
   }
 
   /** From now on engines that are asked whether they live answer so, a moment later. */
-  answerQuestions(isAlive: boolean): void {
+  answerLivenessChecks(isAlive: boolean): void {
     this.isAlive = isAlive;
   }
 
   /** Like a daemon, it reports the end of an attempt that it was told to cancel right after. */
   private take(effect: PlacementEffect): void {
     this.effects.push(effect);
-    if (effect.kind === 'question') {
+    if (effect.kind === 'check-liveness') {
       const replica = effect.replica.id;
       const { isAlive } = this;
       this.clock.setTimer(QUESTION_TIME, () =>
-        this.core.handle({ kind: 'questioned', replica, isAlive }),
+        this.core.handle({ kind: 'liveness-checked', replica, isAlive }),
       );
     }
     if (effect.kind === 'cancel' && effect.reason === CancelReason.Silent) {
@@ -60,7 +60,7 @@
     const now = this.clock.now();
     this.core.handle({
       kind: 'submit',
-      request: { ...request, arrived: now, deadline: now + request.deadline },
+      request: { ...request, arrivedAt: now, deadline: now + request.deadline },
     });
   }
 
--- a/packages/relay/src/test/CrashFleet.ts
+++ b/packages/relay/src/test/CrashFleet.ts
@@ -6,7 +6,7 @@
   PlacementEffect,
   QuarantinedRequest,
   SharedAttempt,
-  SharedNews,
+  PlacementUpdate,
 } from '../lib/decide/messages.js';
 import { Rotation } from '../lib/peers/Rotation/Rotation.js';
 import { CoreHarness } from './CoreHarness.js';
@@ -292,7 +292,7 @@
         }
         break;
       case 'share':
-        this.deliver(daemon, effect.to, effect.news);
+        this.deliver(daemon, effect.to, effect.update);
         break;
       case 'probe': {
         const { id } = effect.replica;
@@ -373,20 +373,24 @@
 
   private refresh({ harness, rotation }: Member, index: number): void {
     const shared = harness.core.getSharedAttempts();
-    const repeated = harness.core.getRepeated();
+    const repeated = harness.core.getPeriodicUpdates();
     const peers = this.members.map((_member, peer) => peer).filter((peer) => peer !== index);
     rotation.take(peers, MOST_RECIPIENTS).forEach((peer) => {
       const attempts: SharedAttempt[] = shared.get(`d-${peer}`) ?? shared.get(undefined) ?? [];
       const isLost = this.random.next() < this.options.loss;
-      [{ kind: 'all' as const, attempts }, ...repeated].forEach((news) => {
+      [{ kind: 'attempt-list' as const, attempts }, ...repeated].forEach((news) => {
         if (!isLost) {
-          this.members[peer]!.harness.core.handle({ kind: 'peer-news', peer: `d-${index}`, news });
+          this.members[peer]!.harness.core.handle({
+            kind: 'peer-update',
+            peer: `d-${index}`,
+            update: news,
+          });
         }
       });
     });
   }
 
-  private deliver(from: number, to: string | undefined, news: SharedNews): void {
+  private deliver(from: number, to: string | undefined, news: PlacementUpdate): void {
     this.members.forEach((_member, index) => {
       const isFor = to === undefined || to === `d-${index}`;
       if (index === from || !isFor || this.random.next() < this.options.loss) {
@@ -397,7 +401,7 @@
       for (let time = 0; time < times; time += 1) {
         this.schedule(STEP * (1 + this.random.integer(2)), () => {
           const { core } = this.members[index]!.harness;
-          core.handle({ kind: 'peer-news', peer: `d-${from}`, news });
+          core.handle({ kind: 'peer-update', peer: `d-${from}`, update: news });
         });
       }
     });
--- a/packages/relay/src/test/ModelStore.ts
+++ b/packages/relay/src/test/ModelStore.ts
@@ -104,7 +104,7 @@
 
   private answer(watch: Watch, isOver = false): void {
     if (watch.revision < this.historyStart) {
-      watch.end(() => watch.resolve({ kind: 'history-gone' }));
+      watch.end(() => watch.resolve({ kind: 'history-expired' }));
       return;
     }
     const changes = this.history
--- a/packages/relay/src/test/fixtures.ts
+++ b/packages/relay/src/test/fixtures.ts
@@ -81,7 +81,7 @@
     maxAttempts: 2,
     latencyTarget: 300,
     deadline: 1_500,
-    arrived: 0,
+    arrivedAt: 0,
     ...parts,
   };
 }
--- a/packages/router/src/lib/pipeline/CallerServer.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.ts
@@ -168,7 +168,7 @@
   private handle(request: IncomingMessage, response: ServerResponse, handler: Handler): void {
     const requestId = randomUUID();
     const leave = this.context.runner.enter();
-    this.connections.begin(request, response);
+    this.connections.trackRequest(request, response);
     if (this.closing) {
       response.setHeader('connection', 'close');
     }
@@ -194,7 +194,7 @@
    * answered, they must not become part of its answer, nor pass it off as not run.
    */
   private refuseBytes(error: NodeJS.ErrnoException, socket: Socket): void {
-    if (!this.connections.isAnswering(socket)) {
+    if (!this.connections.isResponding(socket)) {
       refuseConnection(socket, error, getMalformedBody);
     }
   }
