--- a/packages/policy/src/lib/DrainRate/DrainRate.ts
+++ b/packages/policy/src/lib/DrainRate/DrainRate.ts
@@ -1,84 +1,88 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-interface Window {
-  busy: Milliseconds;
+interface ObservationWindow {
+  busyTime: Milliseconds;
   dispatches: number;
 }
 
-/** After this much time without anything waiting, the past says nothing about the next queue. */
-const FORGET_AFTER: Milliseconds = 30_000;
+/** After the queue has been empty for this long, earlier observations are discarded. */
+const RESET_AFTER_IDLE: Milliseconds = 30_000;
 
-const EMPTY: Window = { busy: 0, dispatches: 0 };
+const EMPTY_WINDOW: ObservationWindow = { busyTime: 0, dispatches: 0 };
 
 /**
- * How fast the queue of one class drains: dispatches over the time in which anything of it waited.
- * It contains whatever slows the class down, more urgent tiers and slow replicas alike.
+ * Measures how fast the queue of one class drains: dispatches divided by busy time, which is the time
+ * during which requests of the class were waiting. The rate reflects everything that slows the class
+ * down, such as more urgent tiers and slow replicas.
  *
  * @internal
  */
 export class DrainRate {
-  private readonly window: Milliseconds;
+  private readonly windowLength: Milliseconds;
 
-  private current: Window = EMPTY;
+  private currentWindow: ObservationWindow = EMPTY_WINDOW;
 
-  private previous: Window = EMPTY;
+  private previousWindow: ObservationWindow = EMPTY_WINDOW;
 
   private busySince: Milliseconds | undefined;
 
-  private idleSince: Milliseconds | undefined;
+  private emptySince: Milliseconds | undefined;
 
-  /** @param window - over which busy time the rate is observed */
-  constructor(window: Milliseconds) {
-    this.window = window;
+  /** @param windowLength - the busy time that one observation window covers */
+  constructor(windowLength: Milliseconds) {
+    this.windowLength = windowLength;
   }
 
-  /** Notes whether anything of the class waits. */
+  /** Records whether any requests of the class are waiting. */
   setWaiting(isWaiting: boolean, now: Milliseconds): void {
     if (!isWaiting) {
-      this.settle(now);
-      this.idleSince ??= now;
+      this.addBusyTime(now);
+      this.emptySince ??= now;
       this.busySince = undefined;
       return;
     }
-    if (this.idleSince !== undefined && now - this.idleSince > FORGET_AFTER) {
-      this.current = EMPTY;
-      this.previous = EMPTY;
+    if (this.emptySince !== undefined && now - this.emptySince > RESET_AFTER_IDLE) {
+      this.currentWindow = EMPTY_WINDOW;
+      this.previousWindow = EMPTY_WINDOW;
     }
-    this.idleSince = undefined;
+    this.emptySince = undefined;
     this.busySince ??= now;
   }
 
-  /** Notes a dispatch of a request that had waited. */
-  note(now: Milliseconds): void {
-    this.settle(now);
-    this.current = { ...this.current, dispatches: this.current.dispatches + 1 };
+  /** Records the dispatch of a request that was waiting. */
+  recordDispatch(now: Milliseconds): void {
+    this.addBusyTime(now);
+    this.currentWindow = { ...this.currentWindow, dispatches: this.currentWindow.dispatches + 1 };
   }
 
   /**
-   * Dispatches a millisecond.
+   * Returns the rate in dispatches per millisecond.
    *
-   * @param minBusy - time that must have been observed
-   * @returns undefined while too little was observed
+   * @param minBusyTime - the busy time that must have been observed
+   * @returns undefined if less busy time was observed
    */
-  get(now: Milliseconds, minBusy: Milliseconds): number | undefined {
-    this.settle(now);
-    const busy = this.current.busy + this.previous.busy;
-    if (busy < minBusy) {
+  getRate(now: Milliseconds, minBusyTime: Milliseconds): number | undefined {
+    this.addBusyTime(now);
+    const busyTime = this.currentWindow.busyTime + this.previousWindow.busyTime;
+    if (busyTime < minBusyTime) {
       return undefined;
     }
-    return Math.max(1, this.current.dispatches + this.previous.dispatches) / busy;
+    return Math.max(1, this.currentWindow.dispatches + this.previousWindow.dispatches) / busyTime;
   }
 
-  /** Counts the busy time up to now, and starts a new window when this one is full. */
-  private settle(now: Milliseconds): void {
+  /** Adds the busy time up to now, and starts a new window if the current one is complete. */
+  private addBusyTime(now: Milliseconds): void {
     if (this.busySince === undefined) {
       return;
     }
-    this.current = { ...this.current, busy: this.current.busy + now - this.busySince };
+    this.currentWindow = {
+      ...this.currentWindow,
+      busyTime: this.currentWindow.busyTime + now - this.busySince,
+    };
     this.busySince = now;
-    if (this.current.busy >= this.window) {
-      this.previous = this.current;
-      this.current = EMPTY;
+    if (this.currentWindow.busyTime >= this.windowLength) {
+      this.previousWindow = this.currentWindow;
+      this.currentWindow = EMPTY_WINDOW;
     }
   }
 }
--- a/packages/policy/src/lib/PreemptionList/PreemptionList.ts
+++ b/packages/policy/src/lib/PreemptionList/PreemptionList.ts
@@ -2,33 +2,33 @@
 import { LinkedList } from '../structures/LinkedList.js';
 import type { ListNode } from '../structures/LinkedList.js';
 
-/** Running requests of a tier looked at for one that fits. */
-const MAX_LOOKED_AT = 32;
+/** The maximum number of running requests per tier that are examined in a search. */
+const MAX_CANDIDATES = 32;
 
 /**
- * The running requests of a service that may be stopped for an urgent one, by tier, in the order
- * in which they were dispatched.
+ * The running requests of a service that may be preempted for a more urgent one, by tier and in the
+ * order of their dispatch.
  *
  * @internal
  */
 export class PreemptionList {
   private readonly maxPreemptions: number;
 
-  private readonly tiers: LinkedList<RequestRecord>[] = [];
+  private readonly listsByTier: LinkedList<RequestRecord>[] = [];
 
   private readonly nodes = new Map<RequestRecord, ListNode<RequestRecord>>();
 
-  /** @param maxPreemptions - after which a request is left alone, so that it ends in time */
+  /** @param maxPreemptions - how often a request may be preempted; bounds its total delay */
   constructor(maxPreemptions: number) {
     this.maxPreemptions = maxPreemptions;
   }
 
-  /** Adds a request that was just dispatched, if it may be preempted at all. */
+  /** Adds a request that was just dispatched, if it may be preempted. */
   add(record: RequestRecord): void {
     const { serviceClass } = record.request;
-    if (serviceClass.preemptible && record.canGoOn && record.preemptions < this.maxPreemptions) {
-      const list = this.tiers[record.tier] ?? new LinkedList<RequestRecord>();
-      this.tiers[record.tier] = list;
+    if (serviceClass.preemptible && record.canMove && record.preemptions < this.maxPreemptions) {
+      const list = this.listsByTier[record.tier] ?? new LinkedList<RequestRecord>();
+      this.listsByTier[record.tier] = list;
       this.nodes.set(record, list.append(record));
     }
   }
@@ -37,23 +37,27 @@
     const node = this.nodes.get(record);
     if (node !== undefined) {
       this.nodes.delete(record);
-      this.tiers[record.tier]!.remove(node);
+      this.listsByTier[record.tier]!.remove(node);
     }
   }
 
   /**
-   * The request to stop for an urgent one: of the least urgent tier, which must be strictly less
-   * urgent, the one with least of its answer delivered, since the rest of a long one ends sooner.
-   * Of a tier, those dispatched last are looked at.
+   * Finds the request to preempt for a more urgent one. It is taken from the least urgent tier that
+   * has an eligible request, which must be strictly less urgent. Within the tier, the request with
+   * the fewest delivered tokens is chosen, since requests that have delivered more end sooner. Only
+   * the most recently dispatched requests of a tier are examined.
    *
-   * @param tier - of the urgent request
-   * @param fits - whether its replica could run the urgent request
+   * @param tier - the tier of the more urgent request
+   * @param isEligible - whether preempting this request would let the more urgent one run
    */
-  find(tier: number, fits: (victim: RequestRecord) => boolean): RequestRecord | undefined {
-    for (let lowest = this.tiers.length - 1; lowest > tier; lowest -= 1) {
-      const victim = this.tiers[lowest]?.findLeast(
-        (record) => (record.canGoOn && fits(record) ? record.delivered : undefined),
-        MAX_LOOKED_AT,
+  findVictim(
+    tier: number,
+    isEligible: (victim: RequestRecord) => boolean,
+  ): RequestRecord | undefined {
+    for (let lowerTier = this.listsByTier.length - 1; lowerTier > tier; lowerTier -= 1) {
+      const victim = this.listsByTier[lowerTier]?.findLeast(
+        (record) => (record.canMove && isEligible(record) ? record.deliveredTokens : undefined),
+        MAX_CANDIDATES,
       );
       if (victim !== undefined) {
         return victim;
--- a/packages/policy/src/lib/Reserve/Reserve.ts
+++ b/packages/policy/src/lib/Reserve/Reserve.ts
@@ -1,83 +1,87 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** The part of its share that a daemon gives up last while a reserve has to be kept free. */
-const GUARANTEED_BESIDE_RESERVE = 0.5;
+/** The part of its share that a daemon may always use while slots are reserved. */
+const GUARANTEED_RATIO_WITH_RESERVE = 0.5;
 
 /**
- * How the slots of a replica are to be used by the daemons together.
+ * How all daemons together use the slots of a replica.
  *
  * @internal
  */
 export interface SlotPlan {
-  /** Slots that are divided among the daemons. */
+  /** The number of slots that are divided among the daemons. */
   shared: number;
-  /** How many running requests the loans aim at. */
-  fillable: number;
+  /** The load up to which slots are lent to daemons beyond their shares. */
+  targetLoad: number;
   /** The part of its share that a daemon may always use. */
-  guaranteed: number;
+  guaranteedRatio: number;
 }
 
 /**
- * What decides on the reserve.
+ * Options of the reserve.
  *
  * @internal
  */
-export interface ReserveOptions {
-  /** Tiers up to this one are what slots are kept free for. */
+export interface SlotReserveOptions {
+  /** Slots are reserved for tiers up to this one. */
   preemptingTier: number;
-  /** The part of a replica's slots that is kept free. */
+  /** The fraction of the slots of a replica that is reserved. */
   reserve: number;
-  /** What may wait at a replica, as a part of its slots, while nothing is kept free. */
+  /** The fraction of its slots that may additionally be queued at a replica while none is reserved. */
   ahead: number;
-  /** How long after the last request of either kind the reserve is kept. */
+  /** How long slots stay reserved after the last request of either kind. */
   reserveMemory: Milliseconds;
 }
 
 /**
- * Decides whether a service keeps slots free of less urgent work. Without it long answers fill
- * every slot of an overloaded service, and a short question waits until one of them ends or is
- * stopped, which costs more than the free slot: its prompt is computed twice. The reserve is kept
- * only while requests of both kinds come.
+ * Decides whether a service reserves slots for requests of preempting tiers. Without a reserve, long
+ * responses fill every slot of an overloaded service. A short request then waits until one of them
+ * ends or is preempted, and preemption costs more than a free slot, because the prompt of the
+ * preempted request is computed twice. Slots are reserved only while requests of both kinds arrive.
  *
  * @internal
  */
 export class Reserve {
-  private readonly options: ReserveOptions;
+  private readonly options: SlotReserveOptions;
 
-  private lastQuick: Milliseconds = Number.NEGATIVE_INFINITY;
+  private lastPreemptingAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  private lastSlow: Milliseconds = Number.NEGATIVE_INFINITY;
+  private lastPreemptibleAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  private active = false;
+  private isActive = false;
 
-  constructor(options: ReserveOptions) {
+  constructor(options: SlotReserveOptions) {
     this.options = options;
   }
 
   /**
-   * Notes a request.
+   * Records the arrival of a request.
    *
-   * @returns whether this changed the reserve
+   * @returns whether this activated or deactivated the reserve
    */
-  note(tier: number, now: Milliseconds): boolean {
+  recordRequest(tier: number, now: Milliseconds): boolean {
     if (tier <= this.options.preemptingTier) {
-      this.lastQuick = now;
+      this.lastPreemptingAt = now;
     } else {
-      this.lastSlow = now;
+      this.lastPreemptibleAt = now;
     }
-    const was = this.active;
-    const oldest = Math.min(this.lastQuick, this.lastSlow);
-    this.active = now - oldest <= this.options.reserveMemory;
-    return this.active !== was;
+    const wasActive = this.isActive;
+    const oldest = Math.min(this.lastPreemptingAt, this.lastPreemptibleAt);
+    this.isActive = now - oldest <= this.options.reserveMemory;
+    return this.isActive !== wasActive;
   }
 
-  /** How the slots of a replica are to be used. */
+  /** Returns how the slots of a replica are used. */
   getPlan(slots: number): SlotPlan {
-    if (this.active) {
-      const open = slots - Math.floor(slots * this.options.reserve);
-      return { shared: open, fillable: open, guaranteed: GUARANTEED_BESIDE_RESERVE };
+    if (this.isActive) {
+      const unreservedSlots = slots - Math.floor(slots * this.options.reserve);
+      return {
+        shared: unreservedSlots,
+        targetLoad: unreservedSlots,
+        guaranteedRatio: GUARANTEED_RATIO_WITH_RESERVE,
+      };
     }
-    const ahead = Math.ceil(slots * this.options.ahead);
-    return { shared: slots, fillable: slots + ahead, guaranteed: 1 };
+    const maxQueued = Math.ceil(slots * this.options.ahead);
+    return { shared: slots, targetLoad: slots + maxQueued, guaranteedRatio: 1 };
   }
 }
--- a/packages/policy/src/lib/RetryBudget/RetryBudget.ts
+++ b/packages/policy/src/lib/RetryBudget/RetryBudget.ts
@@ -6,13 +6,13 @@
   'retryRatio' | 'retryBurst' | 'retryTrickle' | 'retryReserve'
 >;
 
-const SECOND: Milliseconds = 1000;
+const ONE_SECOND: Milliseconds = 1000;
 
 /**
- * Bounds the retries of one service. When a service fails as a whole, every request asks for
- * retries, and the daemons would send it several times its load just when it can take least. Each
- * success earns a part of a retry, each retry costs one; the bucket holds a burst, so that the
- * requests of one crashed replica find another.
+ * Limits the retries of one service by a token bucket. When an entire service fails, every request
+ * would be retried, and the daemons would multiply the load of the service when it can handle least.
+ * Each success adds a fraction of a retry, and each retry takes one. The bucket holds a burst, so
+ * that all requests of one crashed replica can be retried at others.
  *
  * @internal
  */
@@ -21,34 +21,35 @@
 
   private tokens: number;
 
-  private filledAt: Milliseconds;
+  private lastRefillAt: Milliseconds;
 
-  /** @param now - the present time; the bucket starts full */
+  /** @param now - the current time; the bucket starts full */
   constructor(options: BudgetOptions, now: Milliseconds) {
     this.options = options;
     this.tokens = options.retryBurst;
-    this.filledAt = now;
+    this.lastRefillAt = now;
   }
 
+  /** The number of retries left. */
   get available(): number {
     return this.tokens;
   }
 
-  /** A request succeeded. */
-  earn(): void {
-    this.fill(this.options.retryRatio);
+  /** Adds the fraction of a retry that a successful request allows. */
+  recordSuccess(): void {
+    this.addTokens(this.options.retryRatio);
   }
 
   /**
-   * Takes one retry.
+   * Takes one retry from the budget.
    *
-   * @param isUrgent - urgent tiers may use the part that is kept for them
-   * @returns false when the budget is spent
+   * @param isUrgent - whether the request may use the part reserved for urgent tiers
+   * @returns false if the budget is exhausted
    */
-  take(now: Milliseconds, isUrgent: boolean): boolean {
+  tryTake(now: Milliseconds, isUrgent: boolean): boolean {
     const { retryTrickle, retryBurst, retryReserve } = this.options;
-    this.fill(((now - this.filledAt) / SECOND) * retryTrickle);
-    this.filledAt = now;
+    this.addTokens(((now - this.lastRefillAt) / ONE_SECOND) * retryTrickle);
+    this.lastRefillAt = now;
     const reserve = isUrgent ? 0 : retryBurst * retryReserve;
     if (this.tokens < 1 + reserve) {
       return false;
@@ -57,7 +58,7 @@
     return true;
   }
 
-  private fill(tokens: number): void {
+  private addTokens(tokens: number): void {
     this.tokens = Math.min(this.options.retryBurst, this.tokens + tokens);
   }
 }
--- a/packages/policy/src/lib/Scheduler/Attempt.ts
+++ b/packages/policy/src/lib/Scheduler/Attempt.ts
@@ -3,11 +3,11 @@
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
 import { Delay } from '../ReplicaChooser/StragglerDetector.js';
 
-/** Tokens over which one gap is averaged, so that a stream doesn't flood the measurements. */
-const GAP_TOKENS = 8;
+/** Tokens averaged into one token gap sample, so that long streams don't dominate the samples. */
+const TOKENS_PER_GAP_SAMPLE = 8;
 
 /**
- * Something measured of an attempt.
+ * A latency measured on an attempt.
  *
  * @internal
  */
@@ -17,7 +17,7 @@
 }
 
 /**
- * One request at one replica.
+ * One send of a request to a replica.
  *
  * @internal
  */
@@ -33,27 +33,27 @@
   readonly tokenGapTimeout: Milliseconds;
 
   /**
-   * The replica seemed to have a free slot. Otherwise its first token says how long it waited
-   * there, and nothing about the replica's speed.
+   * Whether the replica appeared to have a free slot when the attempt was sent. If not, the time to
+   * the first token includes queueing at the replica and says nothing about the replica's speed.
    */
-  readonly hadRoom: boolean;
+  readonly hadFreeSlot: boolean;
 
-  /** When a less urgent request is to be stopped for it, unless it has answered by then. */
+  /** When to preempt a less urgent request for this attempt, unless its first token arrives first. */
   private preemptAt: Milliseconds | undefined;
 
-  /** Why the scheduler cancelled it, if it did. */
+  /** Why the scheduler cancelled the attempt; undefined if it did not. */
   cancelReason: CancelReason | undefined;
 
-  private lastAt: Milliseconds | undefined;
+  private lastTokenAt: Milliseconds | undefined;
 
-  private gapFrom: Milliseconds = 0;
+  private gapSampleStartedAt: Milliseconds = 0;
 
-  private gapTokens = 0;
+  private gapSampleTokens = 0;
 
   constructor(
     parts: Pick<
       Attempt,
-      'number' | 'state' | 'startedAt' | 'firstTokenTimeout' | 'tokenGapTimeout' | 'hadRoom'
+      'number' | 'state' | 'startedAt' | 'firstTokenTimeout' | 'tokenGapTimeout' | 'hadFreeSlot'
     >,
   ) {
     this.number = parts.number;
@@ -61,64 +61,70 @@
     this.startedAt = parts.startedAt;
     this.firstTokenTimeout = parts.firstTokenTimeout;
     this.tokenGapTimeout = parts.tokenGapTimeout;
-    this.hadRoom = parts.hadRoom;
+    this.hadFreeSlot = parts.hadFreeSlot;
   }
 
-  /** When the replica has been silent for too long. */
-  get silentAt(): Milliseconds {
-    return this.lastAt === undefined
+  /** When the attempt times out if no further token arrives. */
+  get timesOutAt(): Milliseconds {
+    return this.lastTokenAt === undefined
       ? this.startedAt + this.firstTokenTimeout
-      : this.lastAt + this.tokenGapTimeout;
+      : this.lastTokenAt + this.tokenGapTimeout;
   }
 
-  /** Whether the scheduler ended it for reasons that say nothing about the replica's answer. */
-  get isOwnCancel(): boolean {
+  /** Whether the scheduler cancelled the attempt for a reason that is not counted as its failure. */
+  get isFaultlessCancel(): boolean {
     return (
       this.cancelReason === CancelReason.Preempted || this.cancelReason === CancelReason.Straggling
     );
   }
 
-  /** Whether the replica has begun to answer, and so has given it a slot. */
-  get hasAnswered(): boolean {
-    return this.lastAt !== undefined;
+  /** Whether the first token has arrived, which means that the attempt holds a slot. */
+  get hasFirstToken(): boolean {
+    return this.lastTokenAt !== undefined;
   }
 
-  /** When to look at it next, counted without the owner's margin. */
-  getNextCheck(margin: Milliseconds): Milliseconds {
-    const silentAt = this.silentAt + margin;
-    return this.hasAnswered ? silentAt : Math.min(silentAt, this.preemptAt ?? silentAt);
+  /**
+   * Returns when the attempt must be checked next.
+   *
+   * @param margin - added to the timeout, so that the owner of the scheduler can act first
+   */
+  getNextCheckAt(margin: Milliseconds): Milliseconds {
+    const timesOutAt = this.timesOutAt + margin;
+    return this.hasFirstToken ? timesOutAt : Math.min(timesOutAt, this.preemptAt ?? timesOutAt);
   }
 
-  preemptLater(at: Milliseconds): void {
+  schedulePreemption(at: Milliseconds): void {
     this.preemptAt = at;
   }
 
-  /** Whether it is time to stop another request for it; true once. */
-  takePreemption(now: Milliseconds): boolean {
-    const isDue = !this.hasAnswered && this.preemptAt !== undefined && now >= this.preemptAt;
+  /** Returns whether the scheduled preemption is due, and clears it if so. */
+  takeDuePreemption(now: Milliseconds): boolean {
+    const isDue = !this.hasFirstToken && this.preemptAt !== undefined && now >= this.preemptAt;
     this.preemptAt = isDue ? undefined : this.preemptAt;
     return isDue;
   }
 
-  cancel(reason: CancelReason): void {
+  markCancelled(reason: CancelReason): void {
     this.cancelReason = reason;
   }
 
-  /** Notes tokens; returns a measurement when one is complete. */
-  progress(tokens: number, now: Milliseconds): Measurement | undefined {
-    const isFirst = this.lastAt === undefined;
-    this.lastAt = now;
+  /** Records delivered tokens. Returns a measurement if these tokens complete one. */
+  recordTokens(tokens: number, now: Milliseconds): Measurement | undefined {
+    const isFirst = this.lastTokenAt === undefined;
+    this.lastTokenAt = now;
     if (isFirst) {
-      this.gapFrom = now;
-      return this.hadRoom ? { delay: Delay.FirstToken, value: now - this.startedAt } : undefined;
+      this.gapSampleStartedAt = now;
+      return this.hadFreeSlot
+        ? { delay: Delay.FirstToken, value: now - this.startedAt }
+        : undefined;
     }
-    this.gapTokens += tokens;
-    if (this.gapTokens < GAP_TOKENS) {
+    this.gapSampleTokens += tokens;
+    if (this.gapSampleTokens < TOKENS_PER_GAP_SAMPLE) {
       return undefined;
     }
-    const value = (now - this.gapFrom) / this.gapTokens;
-    this.gapFrom = now;
-    this.gapTokens = 0;
+    const value = (now - this.gapSampleStartedAt) / this.gapSampleTokens;
+    this.gapSampleStartedAt = now;
+    this.gapSampleTokens = 0;
     return { delay: Delay.TokenGap, value };
   }
 }
--- a/packages/policy/src/lib/Scheduler/AttemptRunner.ts
+++ b/packages/policy/src/lib/Scheduler/AttemptRunner.ts
@@ -11,67 +11,74 @@
 import type { Slot } from './SlotFinder.js';
 
 /**
- * What the runner is made of.
+ * Constructor arguments of an `AttemptRunner`.
  *
  * @internal
  */
-export interface AttemptRunnerParts {
+export interface AttemptRunnerSettings {
   clock: Clock;
   options: PolicyOptions;
   table: ReplicaTable;
   running: RunningRequests;
   emit: (effect: SchedulerEffect) => void;
-  /** A cancelled attempt did not report its end in time. */
-  onCancelled: (record: RequestRecord) => void;
+  /** The end of a cancelled attempt was not reported in time. */
+  onCancelTimeout: (record: RequestRecord) => void;
   /**
-   * An attempt has waited too long for its first token to wait on behind less urgent work.
+   * An attempt has waited so long for its first token that a less urgent request should be
+   * preempted for it.
    *
-   * @returns whether something was stopped for it
+   * @returns whether a request was preempted
    */
-  onLate: (record: RequestRecord) => boolean;
-  /** An attempt has been silent for longer than its owner should have allowed. */
-  onSilent: (record: RequestRecord) => void;
+  onFirstTokenLate: (record: RequestRecord) => boolean;
+  /** An attempt exceeded its token timeout, and the owner did not end it. */
+  onTimeout: (record: RequestRecord) => void;
 }
 
 /**
- * Starts and stops attempts, and keeps count of the slots they take.
+ * Starts and cancels attempts, and tracks the slots they occupy.
  *
  * @internal
  */
 export class AttemptRunner {
-  private readonly parts: AttemptRunnerParts;
+  private readonly settings: AttemptRunnerSettings;
 
-  constructor(parts: AttemptRunnerParts) {
-    this.parts = parts;
+  constructor(settings: AttemptRunnerSettings) {
+    this.settings = settings;
   }
 
   /**
    * Sends a request to a replica.
    *
-   * @param freeSlot - tells the queue that the attempt no longer takes a slot
+   * @param freeSlot - tells the queue that the attempt no longer occupies a slot
    */
   dispatch(record: RequestRecord, slot: Slot, freeSlot: () => void): void {
     const { state, reason, priority } = slot;
-    const { clock, options, emit, running } = this.parts;
+    const { clock, options, emit, running } = this.settings;
     const now = clock.now();
     const timeouts = getTimeouts(record, options, now);
-    const number = record.nextAttempt;
-    const hadRoom = state.getPressure(now) <= 1;
-    const attempt = new Attempt({ number, state, startedAt: now, hadRoom, ...timeouts });
+    const number = record.nextAttemptNumber;
+    const hadFreeSlot = state.getPressure(now) <= 1;
+    const attempt = new Attempt({
+      number,
+      state,
+      startedAt: now,
+      hadFreeSlot,
+      ...timeouts,
+    });
     if (slot.mayPreemptLater) {
-      attempt.preemptLater(now + this.getPatience(record));
+      attempt.schedulePreemption(now + this.getPreemptionDelay(record));
     }
-    record.begin(attempt, freeSlot);
-    record.enter(Phase.Running);
-    this.watch(record, attempt);
+    record.beginAttempt(attempt, freeSlot);
+    record.enterPhase(Phase.Running);
+    this.scheduleCheck(record, attempt);
     running.add(record, state);
-    this.count(record, attempt, 1, now);
+    this.recordSlotChange(record, attempt, 1, now);
     emit({
       kind: 'dispatch',
       id: record.id,
       attempt: number,
       replica: state.replica,
-      resumeAt: record.request.resumable ? record.delivered : 0,
+      resumeAt: record.request.resumable ? record.deliveredTokens : 0,
       ...timeouts,
       priority,
       reason,
@@ -79,35 +86,35 @@
   }
 
   /**
-   * Stops an attempt. Its slot is free at once, but the request goes on only when the end is
-   * reported or overdue: until then the owner may still hand over what it had received, and an
-   * attempt begun in the meantime would hand it over again.
+   * Cancels an attempt. Its slot is free at once, but the request is retried only after the end of
+   * the attempt has been reported or is overdue. Until then the owner may still deliver tokens it
+   * had already received, and a new attempt would deliver them a second time.
    */
   cancel(record: RequestRecord, reason: CancelReason): void {
-    const { clock, options, onCancelled } = this.parts;
+    const { clock, options, onCancelTimeout } = this.settings;
     this.emitCancel(record, reason);
     this.release(record);
-    record.enter(
+    record.enterPhase(
       Phase.Cancelling,
-      clock.setTimer(options.cancelGrace, () => onCancelled(record)),
+      clock.setTimer(options.cancelGrace, () => onCancelTimeout(record)),
     );
   }
 
-  /** Stops an attempt whose caller has left. */
+  /** Cancels an attempt whose caller has disconnected. */
   abandon(record: RequestRecord): void {
     this.emitCancel(record, CancelReason.CallerLeft);
     this.release(record);
   }
 
-  /** Frees the slot of the present attempt. */
+  /** Frees the slot of the current attempt. */
   release(record: RequestRecord): void {
     const attempt = record.attempt!;
-    record.release();
-    this.parts.running.remove(record, attempt.state);
-    this.count(record, attempt, -1, this.parts.clock.now());
+    record.releaseSlot();
+    this.settings.running.remove(record, attempt.state);
+    this.recordSlotChange(record, attempt, -1, this.settings.clock.now());
   }
 
-  private count(
+  private recordSlotChange(
     record: RequestRecord,
     { state }: Attempt,
     change: 1 | -1,
@@ -115,39 +122,41 @@
   ): void {
     state.note(now, record.tier, change);
     record.pool.note(change, now);
-    this.parts.table.refresh(state);
+    this.settings.table.refresh(state);
   }
 
   /**
-   * Looks after an attempt until its end: preempts for it when it waits at the replica for too
-   * long, and ends it when its owner lost track of it; usually the owner is quicker.
+   * Schedules the next check of a running attempt. A check preempts another request when this one
+   * has waited too long at the replica, and ends the attempt when it has timed out. The owner
+   * applies the same timeouts and usually ends the attempt first; this check covers an owner that
+   * lost track of it.
    */
-  private watch(record: RequestRecord, attempt: Attempt): void {
-    const { clock, options, onSilent, onLate } = this.parts;
-    const check = attempt.getNextCheck(options.silenceMargin);
-    const timer = clock.setTimer(check - clock.now(), () => {
+  private scheduleCheck(record: RequestRecord, attempt: Attempt): void {
+    const { clock, options, onTimeout, onFirstTokenLate } = this.settings;
+    const nextCheckAt = attempt.getNextCheckAt(options.silenceMargin);
+    const timer = clock.setTimer(nextCheckAt - clock.now(), () => {
       const now = clock.now();
-      if (now >= attempt.silentAt + options.silenceMargin) {
-        onSilent(record);
+      if (now >= attempt.timesOutAt + options.silenceMargin) {
+        onTimeout(record);
         return;
       }
-      if (attempt.takePreemption(now) && !onLate(record)) {
-        attempt.preemptLater(now + this.getPatience(record));
+      if (attempt.takeDuePreemption(now) && !onFirstTokenLate(record)) {
+        attempt.schedulePreemption(now + this.getPreemptionDelay(record));
       }
-      this.watch(record, attempt);
+      this.scheduleCheck(record, attempt);
     });
-    record.watch(timer);
+    record.setPhaseTimer(timer);
   }
 
-  private getPatience({ request }: RequestRecord): Milliseconds {
-    return this.parts.options.preemptionPatience * request.serviceClass.target.firstToken;
+  private getPreemptionDelay({ request }: RequestRecord): Milliseconds {
+    return this.settings.options.preemptionPatience * request.serviceClass.target.firstToken;
   }
 
   private emitCancel(record: RequestRecord, reason: CancelReason): void {
     const attempt = record.attempt!;
-    attempt.cancel(reason);
+    attempt.markCancelled(reason);
     const { number, state } = attempt;
-    this.parts.emit({
+    this.settings.emit({
       kind: 'cancel',
       id: record.id,
       attempt: number,
--- a/packages/policy/src/lib/Scheduler/RequestRecord.ts
+++ b/packages/policy/src/lib/Scheduler/RequestRecord.ts
@@ -7,14 +7,14 @@
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
 import type { Attempt, Measurement } from './Attempt.js';
 
-/** Where a request stands. */
+/** The phase of a request in its life cycle. */
 export enum Phase {
   /** In the queue. */
   Waiting = 'waiting',
-  /** Out of the queue for a moment, because only replicas that failed it have room. */
+  /** Temporarily out of the queue, because only replicas that failed this request have free slots. */
   Parked = 'parked',
   Running = 'running',
-  /** The scheduler cancelled its attempt, which has not reported its end yet. */
+  /** Its attempt was cancelled, and the end of the attempt has not been reported yet. */
   Cancelling = 'cancelling',
   Over = 'over',
 }
@@ -26,7 +26,7 @@
 }
 
 /**
- * One request from its arrival to its end.
+ * The state of one request, from its arrival to its end.
  *
  * @internal
  */
@@ -37,8 +37,8 @@
 
   readonly isUrgent: boolean;
 
-  /** Replicas that failed this request. */
-  readonly failed = new Set<string>();
+  /** Replicas at which this request failed, or which it left because they were too slow. */
+  readonly failedReplicas = new Set<string>();
 
   private readonly affinityKey: number | undefined;
 
@@ -48,24 +48,24 @@
 
   private attemptCount = 0;
 
-  private deliveredTokens = 0;
+  private deliveredTokenCount = 0;
 
-  private begun = false;
+  private responseStarted = false;
 
-  /** Whether an attempt was sent of which nobody can prove that it did not run. */
-  private mayHaveRun = false;
+  /** Whether an attempt was sent that is not known to have been refused before it ran. */
+  private possiblyRan = false;
 
   private failureCount = 0;
 
   private preemptionCount = 0;
 
-  private parkCount = 0;
+  private parkings = 0;
 
   private moved = false;
 
-  private timer: Timer | undefined;
+  private phaseTimer: Timer | undefined;
 
-  private releaseSlot: (() => void) | undefined;
+  private onSlotReleased: (() => void) | undefined;
 
   constructor(request: ScheduledRequest, pool: ReplicaPool, isUrgent: boolean) {
     this.request = request;
@@ -90,23 +90,26 @@
     return this.currentAttempt;
   }
 
-  get nextAttempt(): number {
+  get nextAttemptNumber(): number {
     return this.attemptCount + 1;
   }
 
-  /** Tokens the caller has. */
-  get delivered(): number {
-    return this.deliveredTokens;
+  /** Tokens delivered to the caller. */
+  get deliveredTokens(): number {
+    return this.deliveredTokenCount;
   }
 
-  /** Whether the caller has any of the answer. */
-  get hasBegun(): boolean {
-    return this.begun;
+  /** Whether any part of the response has been delivered to the caller. */
+  get hasResponseStarted(): boolean {
+    return this.responseStarted;
   }
 
-  /** Whether it was admitted and sent on its way, so that its deadline no longer applies. */
-  get isUnderWay(): boolean {
-    return this.begun || this.preemptionCount > 0;
+  /**
+   * Whether the deadline no longer applies, because the response has started or the request was
+   * preempted after it had been dispatched.
+   */
+  get isExemptFromDeadline(): boolean {
+    return this.responseStarted || this.preemptionCount > 0;
   }
 
   get failures(): number {
@@ -117,25 +120,25 @@
     return this.preemptionCount;
   }
 
-  get parks(): number {
-    return this.parkCount;
+  get parkCount(): number {
+    return this.parkings;
   }
 
   get hasMoved(): boolean {
     return this.moved;
   }
 
-  get hasMaybeRun(): boolean {
-    return this.mayHaveRun;
+  get mayHaveRun(): boolean {
+    return this.possiblyRan;
   }
 
   get deadline(): Milliseconds {
     return this.request.arrivedAt + this.request.serviceClass.deadline;
   }
 
-  /** What its caller may be told if it is given up now. */
+  /** The outcome that the caller may be told if the request is given up now. */
   get outcome(): ExecutionOutcome {
-    if (!this.mayHaveRun) {
+    if (!this.possiblyRan) {
       return ExecutionOutcome.NotRun;
     }
     return this.request.serviceClass.repeatable
@@ -143,15 +146,15 @@
       : ExecutionOutcome.Unknown;
   }
 
-  /** Whether it could go on at another replica without the caller noticing. */
-  get canGoOn(): boolean {
+  /** Whether the request could continue at another replica without the caller noticing. */
+  get canMove(): boolean {
     const { resumable, serviceClass } = this.request;
-    return serviceClass.repeatable && (resumable || !this.begun);
+    return serviceClass.repeatable && (resumable || !this.responseStarted);
   }
 
   getPlace(): QueuePlace {
     const { id, serviceClass, workspace, workspaceWeight } = this.request;
-    const resumed = this.attemptCount > 0 || this.parkCount > 0;
+    const resumed = this.attemptCount > 0 || this.parkings > 0;
     return {
       id,
       serviceClass,
@@ -162,77 +165,78 @@
     };
   }
 
-  getWish(): Wish {
+  getReplicaCriteria(): Wish {
     const mayProbe = this.request.serviceClass.repeatable && !this.isUrgent;
-    const { affinityKey, failed, tier, isUrgent } = this;
+    const { affinityKey, failedReplicas: failed, tier, isUrgent } = this;
     return { affinityKey, failed, mayProbe, tier, isUrgent };
   }
 
-  /** Moves it to another phase; what was timed in the last one is called off. */
-  enter(phase: Phase, timer?: Timer): void {
-    this.timer?.cancel();
-    this.timer = timer;
+  /** Enters a phase, and cancels the timer of the previous one. */
+  enterPhase(phase: Phase, phaseTimer?: Timer): void {
+    this.phaseTimer?.cancel();
+    this.phaseTimer = phaseTimer;
     this.currentPhase = phase;
   }
 
-  /** Replaces the timer of the present phase. */
-  watch(timer: Timer): void {
-    this.timer?.cancel();
-    this.timer = timer;
+  /** Replaces the timer of the current phase. */
+  setPhaseTimer(phaseTimer: Timer): void {
+    this.phaseTimer?.cancel();
+    this.phaseTimer = phaseTimer;
   }
 
   /**
    * Begins an attempt.
    *
-   * @param release - tells the queue that the attempt no longer takes a slot
+   * @param onSlotReleased - tells the queue that the attempt no longer occupies a slot
    */
-  begin(attempt: Attempt, release: () => void): void {
+  beginAttempt(attempt: Attempt, onSlotReleased: () => void): void {
     this.attemptCount = attempt.number;
     this.currentAttempt = attempt;
-    this.releaseSlot = release;
-    this.parkCount = 0;
+    this.onSlotReleased = onSlotReleased;
+    this.parkings = 0;
   }
 
-  release(): void {
-    this.releaseSlot?.();
-    this.releaseSlot = undefined;
+  releaseSlot(): void {
+    this.onSlotReleased?.();
+    this.onSlotReleased = undefined;
   }
 
-  progress(tokens: number, now: Milliseconds): Measurement | undefined {
-    this.begun = true;
-    this.deliveredTokens += tokens;
-    return this.currentAttempt?.progress(tokens, now);
+  recordProgress(tokens: number, now: Milliseconds): Measurement | undefined {
+    this.responseStarted = true;
+    this.deliveredTokenCount += tokens;
+    return this.currentAttempt?.recordTokens(tokens, now);
   }
 
-  /** Notes how the attempt ended. */
-  end(end: AttemptStatus): void {
+  /** Records how the current attempt ended. */
+  endAttempt(status: AttemptStatus): void {
     this.currentAttempt = undefined;
-    if (end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused) {
-      this.mayHaveRun = true;
+    if (status !== AttemptStatus.NotSent && status !== AttemptStatus.Refused) {
+      this.possiblyRan = true;
     }
   }
 
-  fail(replica: string): void {
+  recordFailure(replica: string): void {
     this.failureCount += 1;
-    this.failed.add(replica);
+    this.failedReplicas.add(replica);
   }
 
-  preempt(): void {
+  recordPreemption(): void {
     this.preemptionCount += 1;
   }
 
-  /** It leaves a slow replica for another one; once only. */
-  move(replica: string): void {
+  /** Records that the request is moved away from a straggler, which happens at most once. */
+  recordMove(replica: string): void {
     this.moved = true;
-    this.failed.add(replica);
+    this.failedReplicas.add(replica);
   }
 
-  /** Only replicas that failed it had room; after the pause they may be tried again. */
-  park(): void {
-    this.parkCount += 1;
+  /** Records that only replicas that failed this request had free slots. */
+  recordParking(): void {
+    this.parkings += 1;
   }
 
-  forgive(): void {
-    this.failed.clear();
+  /** Allows the replicas that failed this request to be tried again. */
+  clearFailedReplicas(): void {
+    this.failedReplicas.clear();
   }
 }
--- a/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
@@ -12,14 +12,14 @@
 
 const DAEMONS = ['daemon-1', 'daemon-2', 'daemon-3'];
 
-/** Tells both, and has the oracle check what came of it. */
-function tellBoth(oracle: SchedulerOracle, harness: Harness, message: SchedulerMessage): void {
+/** Sends a message to both, and has the oracle check the resulting effects. */
+function sendToBoth(oracle: SchedulerOracle, harness: Harness, message: SchedulerMessage): void {
   oracle.hear(message);
   harness.tell(message).forEach((effect) => oracle.check(effect, harness.clock.now()));
   oracle.checkRest();
 }
 
-/** Moves time timer by timer, so that each effect is checked at its own time. */
+/** Advances the clock one timer at a time, so that each effect is checked at its own time. */
 function advanceBoth(oracle: SchedulerOracle, harness: Harness, span: Milliseconds): void {
   const until = harness.clock.now() + span;
   let checked = harness.effects.length;
@@ -31,8 +31,8 @@
   harness.clock.advance(until - harness.clock.now());
 }
 
-/** Ends the live attempt of some request. */
-function endLive(
+/** Ends the running attempt of one of the running requests. */
+function endRunningAttempt(
   oracle: SchedulerOracle,
   harness: Harness,
   pick: number,
@@ -44,7 +44,7 @@
   if (story !== undefined) {
     const { number } = oracle.getLive(story, now)!;
     const { id } = story.request;
-    tellBoth(oracle, harness, { kind: 'attempt-ended', id, attempt: number, end });
+    sendToBoth(oracle, harness, { kind: 'attempt-ended', id, attempt: number, end });
   }
 }
 
@@ -55,9 +55,9 @@
   return { check: () => true, run, toString: () => name };
 }
 
-function createTelling(message: SchedulerMessage): SchedulerCommand {
+function createMessageCommand(message: SchedulerMessage): SchedulerCommand {
   return createCommand(JSON.stringify(message), (oracle, harness) =>
-    tellBoth(oracle, harness, message),
+    sendToBoth(oracle, harness, message),
   );
 }
 
@@ -74,7 +74,7 @@
       const arrived = harness.clock.now();
       const rules = { workspace, model, prefixHash, arrived };
       const request = createRequest(id, classes[className], rules);
-      tellBoth(oracle, harness, { kind: 'submit', request });
+      sendToBoth(oracle, harness, { kind: 'submit', request });
     }),
   );
 
@@ -85,12 +85,12 @@
     const story = running[pick % running.length];
     if (story !== undefined) {
       const attempt = oracle.getLive(story, now)!.number;
-      tellBoth(oracle, harness, { kind: 'progress', id: story.request.id, attempt, tokens });
+      sendToBoth(oracle, harness, { kind: 'progress', id: story.request.id, attempt, tokens });
     }
   }),
 );
 
-const end = fc
+const endAttempt = fc
   .tuple(
     fc.nat(),
     fc.constantFrom(
@@ -103,8 +103,10 @@
       AttemptStatus.Cancelled,
     ),
   )
-  .map(([pick, how]) =>
-    createCommand(`end ${pick} ${how}`, (oracle, harness) => endLive(oracle, harness, pick, how)),
+  .map(([pick, status]) =>
+    createCommand(`end ${pick} ${status}`, (oracle, harness) =>
+      endRunningAttempt(oracle, harness, pick, status),
+    ),
   );
 
 const callerLeft = fc.nat().map((pick) =>
@@ -112,7 +114,7 @@
     const open = oracle.getOpen();
     if (open.length > 0) {
       const { id } = open[pick % open.length]!.request;
-      tellBoth(oracle, harness, { kind: 'caller-left', id });
+      sendToBoth(oracle, harness, { kind: 'caller-left', id });
     }
   }),
 );
@@ -129,13 +131,13 @@
     createCommand(`report ${replica} ${load} ${age}`, (oracle, harness) => {
       const measuredAt = harness.clock.now() - age;
       const loadReport = { replica, running: load, waiting: 0, measuredAt };
-      tellBoth(oracle, harness, { kind: 'load-report', report: loadReport });
+      sendToBoth(oracle, harness, { kind: 'load-report', report: loadReport });
     }),
   );
 
 const replicas = fc.subarray(REPLICAS, { minLength: 0 }).chain((ids) =>
   fc.constantFrom<string[]>([], ['laaja@1'], ['nopea@2', 'laaja@1']).map((placement) =>
-    createTelling({
+    createMessageCommand({
       kind: 'replicas',
       replicas: ids.map((id, index) => createReplica(id, { placement, slots: index + 1 })),
     }),
@@ -144,9 +146,9 @@
 
 const daemons = fc
   .subarray(DAEMONS, { minLength: 1 })
-  .map((ids) => createTelling({ kind: 'daemons', self: ids[0]!, daemons: ids }));
+  .map((ids) => createMessageCommand({ kind: 'daemons', self: ids[0]!, daemons: ids }));
 
-const onReplica = fc
+const replicaEvent = fc
   .tuple(
     fc.constantFrom(...REPLICAS),
     fc.constantFrom(
@@ -156,56 +158,56 @@
       'path-silent' as const,
     ),
   )
-  .map(([replica, kind]) => createTelling({ kind, replica }));
+  .map(([replica, kind]) => createMessageCommand({ kind, replica }));
 
-/** Every kind of message and the passing of time, the ordinary ones more often. */
+/** Commands for all messages and for the passing of time; frequent ones are listed repeatedly. */
 const schedulerCommands: fc.Arbitrary<SchedulerCommand>[] = [
   submit,
   submit,
   submit,
   progress,
   progress,
-  end,
-  end,
+  endAttempt,
+  endAttempt,
   callerLeft,
   advance,
   report,
   replicas,
   daemons,
-  onReplica,
-  fc.constant(createTelling({ kind: 'drain' })),
+  replicaEvent,
+  fc.constant(createMessageCommand({ kind: 'drain' })),
 ];
 
-const RUNS = Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 400);
+const NUM_RUNS = Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 400);
 
 const SEED = Number(process.env.APRICOTRILL_FUZZ_SEED ?? 20_260_401);
 
-const RULES = { cancelGrace: 250, maxPreemptions: 2 };
+const OPTIONS = { cancelGrace: 250, maxPreemptions: 2 };
 
-/** Rounds in which everything that runs completes; far more than there can be requests. */
-const ROUNDS = 200;
+/** Rounds in which one running attempt completes each; far more than there can be requests. */
+const MAX_ROUNDS = 200;
 
-function finish(oracle: SchedulerOracle, harness: Harness): void {
-  tellBoth(oracle, harness, { kind: 'replica-returned', replica: 'replica-1' });
-  tellBoth(oracle, harness, { kind: 'replicas', replicas: [createReplica('replica-1')] });
-  for (let round = 0; round < ROUNDS && oracle.getOpen().length > 0; round += 1) {
-    endLive(oracle, harness, round, AttemptStatus.Completed);
+function finishAll(oracle: SchedulerOracle, harness: Harness): void {
+  sendToBoth(oracle, harness, { kind: 'replica-returned', replica: 'replica-1' });
+  sendToBoth(oracle, harness, { kind: 'replicas', replicas: [createReplica('replica-1')] });
+  for (let round = 0; round < MAX_ROUNDS && oracle.getOpen().length > 0; round += 1) {
+    endRunningAttempt(oracle, harness, round, AttemptStatus.Completed);
     advanceBoth(oracle, harness, 100);
   }
 }
 
 describe('Scheduler under arbitrary messages', () => {
-  it('keeps every promise of the oracle and ends every request once', () => {
+  it('satisfies all invariants of the oracle and ends every request exactly once', () => {
     const commands = fc.commands(schedulerCommands, { maxCommands: 120, size: 'max' });
     const property = fc.property(commands, (sequence) => {
-      const oracle = new SchedulerOracle(RULES);
-      const harness = new Harness({ options: { ...RULES, maxWaitingPerClass: 3 }, replicas: 2 });
+      const oracle = new SchedulerOracle(OPTIONS);
+      const harness = new Harness({ options: { ...OPTIONS, maxWaitingPerClass: 3 }, replicas: 2 });
       oracle.listed.add('replica-1').add('replica-2');
       fc.modelRun(() => ({ model: oracle, real: harness }), sequence);
-      finish(oracle, harness);
+      finishAll(oracle, harness);
       expect(oracle.getOpen()).toEqual([]);
       expect(harness.scheduler.getSnapshot()).toMatchObject({ waiting: 0, running: 0 });
     });
-    fc.assert(property, { numRuns: RUNS, seed: SEED });
+    fc.assert(property, { numRuns: NUM_RUNS, seed: SEED });
   });
 });
--- a/packages/policy/src/lib/Scheduler/Scheduler.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.test.ts
@@ -5,7 +5,7 @@
 import { Scheduler } from './Scheduler.js';
 
 describe('Scheduler', () => {
-  it('queues, dispatches, follows and finishes a request', () => {
+  it('queues, dispatches and completes requests', () => {
     const harness = new Harness({ slots: 1 });
     const { scheduler } = harness;
     ['first', 'second'].forEach((id) => harness.submit(createRequest(id, classes.draft)));
@@ -15,9 +15,9 @@
     expect(getBrief(harness.effects)).toEqual(['dispatch first', 'done first', 'dispatch second']);
   });
 
-  it('takes messages from within its effects one after the other', () => {
-    // Symptom: a daemon dies of a full stack when a replica refuses connections. Sequence: each
-    // dispatch is answered before it returns, and so starts the next within itself.
+  it('handles messages sent from within emit without recursion', () => {
+    // Guards against a stack overflow when a replica refuses connections: each attempt ends
+    // synchronously within its dispatch effect, and its end causes the next dispatch.
     const ended: string[] = [];
     const scheduler = new Scheduler({
       clock: new ManualClock(),
--- a/packages/policy/src/lib/Scheduler/Scheduler.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.ts
@@ -13,40 +13,41 @@
 import { TaskQueue } from './TaskQueue.js';
 
 /**
- * What a scheduler is made of.
+ * Constructor arguments of a `Scheduler`.
  *
  * @public
  */
 export interface SchedulerSettings {
   clock: Clock;
   random: Random;
-  /** What differs from the defaults. */
+  /** Overrides of the default options. */
   options?: Partial<PolicyOptions>;
-  /** Does what the scheduler wants; it may call `handle` again. */
+  /** Carries out an effect; may call `handle` again. */
   emit: (effect: SchedulerEffect) => void;
 }
 
 /**
- * The state of a scheduler.
+ * The state of a scheduler at one moment.
  *
  * @public
  */
 export interface SchedulerSnapshot {
-  /** Requests that have not been sent, or wait to go on. */
+  /** Requests that are not running at a replica: not dispatched yet, or waiting to be resumed. */
   waiting: number;
-  /** Requests that run at replicas. */
+  /** Requests that are running at replicas. */
   running: number;
   draining: boolean;
   services: ServiceSnapshot[];
 }
 
 /**
- * Decides which request runs where and when. It does no I/O: messages say what happened, effects
- * say what to do, and time comes from the clock. Each submitted request ends with one `done` or
- * one `give-up`, unless its caller left.
+ * Decides which request runs at which replica, and when. It does no I/O: messages report what
+ * happened, effects request actions, and time comes from the clock. Each submitted request ends
+ * with exactly one `done` or `give-up` effect, unless its caller disconnects first.
  *
- * The owner reports an `attempt-ended` for each dispatch, also for one that it was told to cancel
- * (except for a caller that left); it hands nothing over after a cancel.
+ * The owner of the scheduler must report `attempt-ended` for each dispatch, including cancelled
+ * ones, except those cancelled because the caller disconnected. It must not deliver tokens to the
+ * caller after a cancel.
  *
  * @example
  * ```ts
@@ -63,35 +64,38 @@
 
   private readonly clock: Clock;
 
-  private readonly tasks: TaskQueue;
+  private readonly taskQueue: TaskQueue;
 
-  private readonly limit: SharedLimit;
+  private readonly sharedLimit: SharedLimit;
 
   private readonly records = new Map<string, RequestRecord>();
 
-  private readonly services = new Map<string, ServiceScheduler>();
+  private readonly serviceSchedulers = new Map<string, ServiceScheduler>();
 
-  private readonly serviceOf = new Map<string, string>();
+  private readonly serviceByReplica = new Map<string, string>();
 
-  /** Replicas that are leaving, and when each was last in the list. */
-  private readonly leaving = new Map<string, Milliseconds>();
+  /** Replicas that are shutting down, with the time at which each was last listed. */
+  private readonly leavingReplicas = new Map<string, Milliseconds>();
 
   private isDraining = false;
 
   constructor({ clock, random, options, emit }: SchedulerSettings) {
     this.options = { ...defaultPolicyOptions, ...options };
     this.random = random;
-    this.tasks = new TaskQueue(clock, emit);
-    this.clock = this.tasks.clock;
-    this.limit = new SharedLimit(this.options.subsetSize);
+    this.taskQueue = new TaskQueue(clock, emit);
+    this.clock = this.taskQueue.clock;
+    this.sharedLimit = new SharedLimit(this.options.subsetSize);
   }
 
-  /** Takes a message; the effects are emitted before it returns, unless it was called by one. */
+  /**
+   * Handles a message. Its effects are emitted before this method returns, unless it is called from
+   * within `emit`: then the message is queued.
+   */
   handle(message: SchedulerMessage): void {
-    this.tasks.run(() => this.apply(message));
+    this.taskQueue.run(() => this.processMessage(message));
   }
 
-  /** The state as it is now, for metrics and for people. */
+  /** Returns the current state, for metrics and the admin interface. */
   getSnapshot(): SchedulerSnapshot {
     const phases = [...this.records.values()].map(({ phase }) => phase);
     const running = phases.filter((phase) => phase === Phase.Running).length;
@@ -99,53 +103,55 @@
       waiting: phases.length - running,
       running,
       draining: this.isDraining,
-      services: [...this.services.values()].map((service) => service.getSnapshot()),
+      services: [...this.serviceSchedulers.values()].map((service) => service.getSnapshot()),
     };
   }
 
-  /** Stops all timers; the scheduler must not be used any more. */
+  /** Stops all timers. The scheduler must not be used afterwards. */
   dispose(): void {
-    this.records.forEach((record) => record.enter(Phase.Over));
+    this.records.forEach((record) => record.enterPhase(Phase.Over));
     this.records.clear();
-    this.services.forEach((service) => service.dispose());
+    this.serviceSchedulers.forEach((service) => service.dispose());
   }
 
-  private apply(message: SchedulerMessage): void {
+  private processMessage(message: SchedulerMessage): void {
     switch (message.kind) {
       case 'submit':
         this.submit(message.request);
         return;
       case 'caller-left':
-        this.withRecord(message.id, (record, service) => service.callerLeft(record));
+        this.withRecord(message.id, (record, service) => service.handleCallerLeft(record));
         return;
       case 'progress':
-        this.withAttempt(message, (record, service) => service.progress(record, message.tokens));
+        this.withAttempt(message, (record, service) =>
+          service.handleProgress(record, message.tokens),
+        );
         return;
       case 'attempt-ended':
         this.withAttempt(message, (record, service) =>
-          service.attemptEnded(record, message.end, message.retryAfter),
+          service.handleAttemptEnded(record, message.end, message.retryAfter),
         );
         return;
       case 'load-report':
-        this.getServiceOf(message.report.replica)?.report(message.report);
+        this.getServiceSchedulerOf(message.report.replica)?.handleLoadReport(message.report);
         return;
       case 'replicas':
         this.setReplicas(message.replicas);
         return;
       case 'replica-leaving':
-        this.leaving.set(message.replica, this.clock.now());
-        this.getServiceOf(message.replica)?.setLeaving(message.replica, true);
+        this.leavingReplicas.set(message.replica, this.clock.now());
+        this.getServiceSchedulerOf(message.replica)?.setLeaving(message.replica, true);
         return;
       case 'replica-returned':
-        this.leaving.delete(message.replica);
-        this.getServiceOf(message.replica)?.setLeaving(message.replica, false);
+        this.leavingReplicas.delete(message.replica);
+        this.getServiceSchedulerOf(message.replica)?.setLeaving(message.replica, false);
         return;
       case 'path-silent':
-        this.getServiceOf(message.replica)?.pathSilent(message.replica);
+        this.getServiceSchedulerOf(message.replica)?.handleSilentPath(message.replica);
         return;
       case 'daemons':
-        this.limit.setDaemons(message.self, message.daemons);
-        this.services.forEach((service) => service.updateShares());
+        this.sharedLimit.setDaemons(message.self, message.daemons);
+        this.serviceSchedulers.forEach((service) => service.updateShares());
         return;
       case 'drain':
         this.isDraining = true;
@@ -156,7 +162,7 @@
   }
 
   private submit(request: ScheduledRequest): void {
-    const service = this.services.get(request.service);
+    const service = this.serviceSchedulers.get(request.service);
     if (this.records.has(request.id)) {
       return;
     }
@@ -164,7 +170,7 @@
       service.submit(request);
       return;
     }
-    this.tasks.emit({
+    this.taskQueue.emit({
       kind: 'give-up',
       id: request.id,
       outcome: ExecutionOutcome.NotRun,
@@ -175,26 +181,31 @@
 
   private setReplicas(replicas: readonly Replica[]): void {
     const now = this.clock.now();
-    const byService = new Map<string, Replica[]>();
-    this.serviceOf.clear();
+    const replicasByService = new Map<string, Replica[]>();
+    this.serviceByReplica.clear();
     replicas.forEach((replica) => {
-      this.serviceOf.set(replica.id, replica.service);
-      byService.set(replica.service, [...(byService.get(replica.service) ?? []), replica]);
-      if (this.leaving.has(replica.id)) {
-        this.leaving.set(replica.id, now);
+      this.serviceByReplica.set(replica.id, replica.service);
+      replicasByService.set(replica.service, [
+        ...(replicasByService.get(replica.service) ?? []),
+        replica,
+      ]);
+      if (this.leavingReplicas.has(replica.id)) {
+        this.leavingReplicas.set(replica.id, now);
       }
     });
-    this.leaving.forEach((lastListed, replica) => {
-      if (now - lastListed > this.options.leavingMemory) {
-        this.leaving.delete(replica);
+    this.leavingReplicas.forEach((lastListedAt, replica) => {
+      if (now - lastListedAt > this.options.leavingMemory) {
+        this.leavingReplicas.delete(replica);
       }
     });
-    byService.forEach((_, name) => this.addService(name));
-    this.services.forEach((service, name) => service.setReplicas(byService.get(name) ?? []));
+    replicasByService.forEach((_, name) => this.addServiceScheduler(name));
+    this.serviceSchedulers.forEach((service, name) =>
+      service.setReplicas(replicasByService.get(name) ?? []),
+    );
   }
 
-  private addService(name: string): void {
-    if (this.services.has(name)) {
+  private addServiceScheduler(name: string): void {
+    if (this.serviceSchedulers.has(name)) {
       return;
     }
     const service = new ServiceScheduler({
@@ -202,37 +213,37 @@
       clock: this.clock,
       random: this.random,
       options: this.options,
-      limit: this.limit,
+      limit: this.sharedLimit,
       records: this.records,
-      isLeaving: (replica) => this.leaving.has(replica),
-      emit: (effect) => this.tasks.emit(effect),
+      isLeaving: (replica) => this.leavingReplicas.has(replica),
+      emit: (effect) => this.taskQueue.emit(effect),
     });
-    this.services.set(name, service);
+    this.serviceSchedulers.set(name, service);
   }
 
-  private getServiceOf(replica: string): ServiceScheduler | undefined {
-    const name = this.serviceOf.get(replica);
-    return name === undefined ? undefined : this.services.get(name);
+  private getServiceSchedulerOf(replica: string): ServiceScheduler | undefined {
+    const name = this.serviceByReplica.get(replica);
+    return name === undefined ? undefined : this.serviceSchedulers.get(name);
   }
 
   private withRecord(
     id: string,
-    act: (record: RequestRecord, service: ServiceScheduler) => void,
+    action: (record: RequestRecord, service: ServiceScheduler) => void,
   ): void {
     const record = this.records.get(id);
     if (record !== undefined) {
-      act(record, this.services.get(record.request.service)!);
+      action(record, this.serviceSchedulers.get(record.request.service)!);
     }
   }
 
-  /** Acts only on the attempt that is under way: word of an earlier one says nothing any more. */
+  /** Ignores messages about earlier attempts: only the current attempt of a request counts. */
   private withAttempt(
     { id, attempt }: { id: string; attempt: number },
-    act: (record: RequestRecord, service: ServiceScheduler) => void,
+    action: (record: RequestRecord, service: ServiceScheduler) => void,
   ): void {
     this.withRecord(id, (record, service) => {
       if (record.attempt?.number === attempt) {
-        act(record, service);
+        action(record, service);
       }
     });
   }
--- a/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
+++ b/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
@@ -7,100 +7,103 @@
 import { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
 import { Reserve } from '../Reserve/Reserve.js';
 import { RetryBudget } from '../RetryBudget/RetryBudget.js';
-import { WaitingRoom } from '../WaitingRoom/WaitingRoom.js';
+import { RequestQueue } from '../WaitingRoom/WaitingRoom.js';
 import { AttemptRunner } from './AttemptRunner.js';
 import { getNextStep } from './getNextStep.js';
 import { getServiceSnapshot } from './getServiceSnapshot.js';
 import type { ServiceSnapshot } from './getServiceSnapshot.js';
-import { ReplicaReview } from './ReplicaReview.js';
+import { ReplicaHealth } from './ReplicaHealth.js';
 import { Phase, RequestRecord } from './RequestRecord.js';
 import { RunningRequests } from './RunningRequests.js';
-import type { ServiceSchedulerParts } from './ServiceSchedulerParts.js';
+import type { ServiceSchedulerSettings } from './ServiceSchedulerSettings.js';
 import { SlotFinder } from './SlotFinder.js';
 
-interface GivingUp {
+interface GiveUpDetails {
   reason: GiveUpReason;
-  /** What the caller is told if it is not what the attempts say. */
+  /** Overrides the outcome that follows from the attempts of the request. */
   outcome?: ExecutionOutcome;
   retryAfter?: Milliseconds;
 }
 
 /**
- * Decides for the requests of one service.
+ * Schedules the requests of one service.
  *
  * @internal
  */
 export class ServiceScheduler {
-  private readonly parts: ServiceSchedulerParts;
+  private readonly settings: ServiceSchedulerSettings;
 
   private readonly table: ReplicaTable;
 
-  private readonly room: WaitingRoom;
+  private readonly queue: RequestQueue;
 
   private readonly running: RunningRequests;
 
   private readonly attempts: AttemptRunner;
 
-  private readonly slots: SlotFinder;
+  private readonly slotFinder: SlotFinder;
 
-  private readonly budget: RetryBudget;
+  private readonly retryBudget: RetryBudget;
 
-  private readonly review: ReplicaReview;
+  private readonly replicaHealth: ReplicaHealth;
 
   private readonly reserve: Reserve;
 
-  /** The tier that the request being started goes before, if it owes its turn to a floor. */
-  private overtakes: number | undefined;
+  /**
+   * The more urgent tier that the request being started overtakes, if it was selected because the
+   * guaranteed minimum share (floor) of its class is due.
+   */
+  private overtakenTier: number | undefined;
 
-  constructor(parts: ServiceSchedulerParts) {
-    const { clock, random, options } = parts;
-    this.parts = parts;
+  constructor(settings: ServiceSchedulerSettings) {
+    const { clock, random, options } = settings;
+    this.settings = settings;
     this.reserve = new Reserve(options);
     this.table = new ReplicaTable({
-      ...parts,
+      ...settings,
       reserve: this.reserve,
-      onOpened: () => this.pump(),
+      onOpened: () => this.dispatchWaiting(),
     });
     this.running = new RunningRequests(options.maxPreemptions);
     this.attempts = new AttemptRunner({
-      ...parts,
+      ...settings,
       table: this.table,
       running: this.running,
-      onCancelled: (record) => this.attemptEnded(record, AttemptStatus.Cancelled),
-      onLate: (record) => this.preempt(this.slots.findLateVictim(record)),
-      onSilent: (record) => {
-        this.pathSilent(record.attempt!.state.id);
+      onCancelTimeout: (record) => this.handleAttemptEnded(record, AttemptStatus.Cancelled),
+      onFirstTokenLate: (record) => this.preempt(this.slotFinder.findVictimAtReplica(record)),
+      onTimeout: (record) => {
+        this.handleSilentPath(record.attempt!.state.id);
         this.attempts.cancel(record, CancelReason.Silent);
-        this.pump();
+        this.dispatchWaiting();
       },
     });
-    this.slots = new SlotFinder(
+    this.slotFinder = new SlotFinder(
       new ReplicaChooser(random, options),
       this.running,
       options.preemptingTier,
     );
-    this.budget = new RetryBudget(options, clock.now());
-    this.room = new WaitingRoom({
+    this.retryBudget = new RetryBudget(options, clock.now());
+    this.queue = new RequestQueue({
       clock,
       options,
       random,
       start: (record) => this.start(record),
       onExpired: (record) => this.expire(record),
-      onReturned: () => this.pump(),
+      onRequeued: () => this.dispatchWaiting(),
     });
-    this.review = new ReplicaReview({
+    this.replicaHealth = new ReplicaHealth({
       clock,
       options,
       table: this.table,
       running: this.running,
-      budget: this.budget,
-      cancel: (record) => this.attempts.cancel(record, CancelReason.Straggling),
+      retryBudget: this.retryBudget,
+      cancelAttempt: (record) => this.attempts.cancel(record, CancelReason.Straggling),
     });
   }
 
   submit(request: ScheduledRequest): void {
-    const { options, records, clock } = this.parts;
-    if (this.reserve.note(request.serviceClass.tier, clock.now())) {
+    const { options, records, clock } = this.settings;
+    if (this.reserve.recordRequest(request.serviceClass.tier, clock.now())) {
       this.updateShares();
     }
     const isUrgent = request.serviceClass.tier <= options.urgentTier;
@@ -110,166 +113,189 @@
       this.giveUp(record, { reason: GiveUpReason.NoReplica });
       return;
     }
-    const refusal = this.room.getEarlyRefusal(record);
+    const refusal = this.queue.getEarlyRefusal(record);
     if (refusal !== undefined) {
       this.giveUp(record, refusal);
       return;
     }
-    const loser = this.room.makeRoom(record);
-    if (loser !== undefined) {
-      this.giveUp(records.get(loser)!, { reason: GiveUpReason.Overload });
+    const evictedId = this.queue.evictIfFull(record);
+    if (evictedId !== undefined) {
+      this.giveUp(records.get(evictedId)!, { reason: GiveUpReason.Overload });
     }
-    if (loser !== record.id) {
-      this.join(record);
+    if (evictedId !== record.id) {
+      this.enqueue(record);
     }
   }
 
-  callerLeft(record: RequestRecord): void {
+  handleCallerLeft(record: RequestRecord): void {
     if (record.phase === Phase.Waiting) {
-      this.room.remove(record);
+      this.queue.remove(record);
     }
     if (record.phase === Phase.Running) {
       this.attempts.abandon(record);
     }
-    this.forget(record);
-    this.pump();
+    this.removeRecord(record);
+    this.dispatchWaiting();
   }
 
-  progress(record: RequestRecord, tokens: number): void {
+  handleProgress(record: RequestRecord, tokens: number): void {
     const { state } = record.attempt!;
-    this.review.noteSuccess(state);
-    const measurement = record.progress(tokens, this.parts.clock.now());
-    if (measurement !== undefined && this.review.noteMeasurement(record, state, measurement)) {
-      this.pump();
+    this.replicaHealth.recordSuccess(state);
+    const measurement = record.recordProgress(tokens, this.settings.clock.now());
+    if (
+      measurement !== undefined &&
+      this.replicaHealth.recordMeasurement(record, state, measurement)
+    ) {
+      this.dispatchWaiting();
     }
   }
 
-  attemptEnded(record: RequestRecord, end: AttemptStatus, retryAfter?: Milliseconds): void {
+  handleAttemptEnded(
+    record: RequestRecord,
+    status: AttemptStatus,
+    retryAfter?: Milliseconds,
+  ): void {
     const attempt = record.attempt!;
     if (record.phase === Phase.Running) {
       this.attempts.release(record);
     }
-    record.end(end);
-    if (end === AttemptStatus.Completed) {
-      this.budget.earn();
-      this.review.noteSuccess(attempt.state);
-    } else if (!attempt.isOwnCancel) {
-      record.fail(attempt.state.id);
-      this.review.noteFailure(attempt.state, end, retryAfter);
+    record.endAttempt(status);
+    if (status === AttemptStatus.Completed) {
+      this.retryBudget.recordSuccess();
+      this.replicaHealth.recordSuccess(attempt.state);
+    } else if (!attempt.isFaultlessCancel) {
+      record.recordFailure(attempt.state.id);
+      this.replicaHealth.recordFailure(attempt.state, status, retryAfter);
     }
-    this.goOn(record, end, attempt.isOwnCancel);
-    this.pump();
+    this.applyNextStep(record, status, attempt.isFaultlessCancel);
+    this.dispatchWaiting();
   }
 
-  report(report: LoadReport): void {
-    const state = this.table.get(report.replica);
+  handleLoadReport(loadReport: LoadReport): void {
+    const state = this.table.get(loadReport.replica);
     if (state !== undefined) {
-      state.report(report, this.parts.clock.now(), this.parts.random);
+      state.report(loadReport, this.settings.clock.now(), this.settings.random);
       this.table.refresh(state);
-      this.pump();
+      this.dispatchWaiting();
     }
   }
 
   setReplicas(replicas: readonly Replica[]): void {
     this.table.setReplicas(replicas);
-    this.pump();
+    this.dispatchWaiting();
   }
 
   updateShares(): void {
     this.table.updateShares();
-    this.pump();
+    this.dispatchWaiting();
   }
 
   setLeaving(replica: string, leaving: boolean): void {
     this.table.setLeaving(replica, leaving);
-    this.pump();
+    this.dispatchWaiting();
   }
 
-  pathSilent(replica: string): void {
+  handleSilentPath(replica: string): void {
     const state = this.table.get(replica);
     if (state !== undefined) {
-      this.review.noteSilence(state);
+      this.replicaHealth.recordSilence(state);
     }
   }
 
   getSnapshot(): ServiceSnapshot {
-    const { service, clock } = this.parts;
-    const { room, running, budget, table } = this;
-    return getServiceSnapshot({ service, room, running, budget, table, now: clock.now() });
+    const { service, clock } = this.settings;
+    const { queue, running, retryBudget, table } = this;
+    return getServiceSnapshot({ service, queue, running, retryBudget, table, now: clock.now() });
   }
 
   dispose(): void {
     this.table.dispose();
   }
 
-  /** Starts whatever can run now. */
-  private pump(): void {
-    const { options, clock } = this.parts;
+  /** Starts all waiting requests that can run now. */
+  private dispatchWaiting(): void {
+    const { options, clock } = this.settings;
     const now = clock.now();
     while (
-      this.room.size > 0 &&
-      this.room.startNext(({ className, tier, pool }, isCredited) => {
-        const overtakes = isCredited ? this.room.getOvertaken(className) : undefined;
-        this.overtakes = overtakes;
+      this.queue.size > 0 &&
+      this.queue.startNext(({ className, tier, pool }, isCredited) => {
+        const overtakenTier = isCredited ? this.queue.getOvertakenTier(className) : undefined;
+        this.overtakenTier = overtakenTier;
         const isUrgent = tier <= options.urgentTier;
         const members = this.table.getPool(pool === '' ? undefined : pool);
-        return this.slots.canStart(members, { tier, className, isUrgent, overtakes }, now);
+        return this.slotFinder.canStart(members, { tier, className, isUrgent, overtakenTier }, now);
       })
     );
   }
 
   /**
-   * Lets a newcomer wait, or start if it can. After every message all that waits is known to find
-   * no room, so one more behind it finds none either; in an overload this saves most of the work.
+   * Queues a new request and starts it if it can run. After each message, no request that is still
+   * waiting can start, so neither can a new one that needs the same replicas. Skipping the search
+   * in this case saves most of the work under overload.
    */
-  private join(record: RequestRecord): void {
-    const isBlocked = this.room.isBlocked(record);
-    this.room.add(record);
+  private enqueue(record: RequestRecord): void {
+    const isBlocked = this.queue.isBlocked(record);
+    this.queue.add(record);
     if (!isBlocked) {
-      this.pump();
+      this.dispatchWaiting();
     }
   }
 
   private start(record: RequestRecord): Promise<void> {
-    const { overtakes } = this;
+    const { overtakenTier } = this;
     const className = record.request.serviceClass.name;
-    const entitlement = { tier: record.tier, isUrgent: record.isUrgent, className, overtakes };
-    const slot = this.slots.find(record, entitlement, this.parts.clock.now());
+    const entitlement = {
+      tier: record.tier,
+      isUrgent: record.isUrgent,
+      className,
+      overtakenTier,
+    };
+    const slot = this.slotFinder.find(record, entitlement, this.settings.clock.now());
     if (slot === undefined) {
-      this.room.park(record);
+      this.queue.park(record);
       return Promise.resolve();
     }
     this.preempt(slot.victim);
-    this.room.noteDispatch(className);
+    this.queue.recordDispatch(className);
     return new Promise((resolve) => {
-      this.attempts.dispatch(record, { ...slot, priority: overtakes }, resolve);
+      this.attempts.dispatch(record, { ...slot, priority: overtakenTier }, resolve);
     });
   }
 
   private preempt(victim: RequestRecord | undefined): boolean {
-    victim?.preempt();
+    victim?.recordPreemption();
     if (victim !== undefined) {
       this.attempts.cancel(victim, CancelReason.Preempted);
     }
     return victim !== undefined;
   }
 
-  private goOn(record: RequestRecord, end: AttemptStatus, isOwnCancel: boolean): void {
-    const { clock, options, emit } = this.parts;
+  private applyNextStep(
+    record: RequestRecord,
+    status: AttemptStatus,
+    isFaultlessCancel: boolean,
+  ): void {
+    const { clock, options, emit } = this.settings;
     const now = clock.now();
-    const takeRetry = () => this.budget.take(now, record.isUrgent);
+    const takeRetry = () => this.retryBudget.tryTake(now, record.isUrgent);
     const { maxFailures } = options;
-    const step = getNextStep(record, { end, isOwnCancel, now, maxFailures, takeRetry });
+    const step = getNextStep(record, {
+      status,
+      isFaultlessCancel,
+      now,
+      maxFailures,
+      takeRetry,
+    });
     switch (step.kind) {
       case 'done':
-        this.forget(record);
+        this.removeRecord(record);
         emit({ kind: 'done', id: record.id });
         return;
       case 'give-up':
         this.giveUp(record, step);
         return;
       case 'retry':
-        this.room.add(record);
+        this.queue.add(record);
         return;
       default:
         throw exhaustiveSwitchError(step);
@@ -277,21 +303,21 @@
   }
 
   private expire(record: RequestRecord): void {
-    const isOrphan = record.pool.usable.size === 0;
-    this.giveUp(record, { reason: isOrphan ? GiveUpReason.NoReplica : GiveUpReason.Deadline });
+    const hasNoReplica = record.pool.usable.size === 0;
+    this.giveUp(record, { reason: hasNoReplica ? GiveUpReason.NoReplica : GiveUpReason.Deadline });
   }
 
   private giveUp(
     record: RequestRecord,
-    { reason, outcome = record.outcome, retryAfter }: GivingUp,
+    { reason, outcome = record.outcome, retryAfter }: GiveUpDetails,
   ): void {
-    const wait = retryAfter ?? this.room.getRetryAfter(record);
-    this.forget(record);
-    this.parts.emit({ kind: 'give-up', id: record.id, outcome, reason, retryAfter: wait });
+    const delay = retryAfter ?? this.queue.getRetryAfter(record);
+    this.removeRecord(record);
+    this.settings.emit({ kind: 'give-up', id: record.id, outcome, reason, retryAfter: delay });
   }
 
-  private forget(record: RequestRecord): void {
-    record.enter(Phase.Over);
-    this.parts.records.delete(record.id);
+  private removeRecord(record: RequestRecord): void {
+    record.enterPhase(Phase.Over);
+    this.settings.records.delete(record.id);
   }
 }
--- a/packages/policy/src/lib/Scheduler/ServiceSchedulerParts.ts
+++ b/packages/policy/src/lib/Scheduler/ServiceSchedulerSettings.ts
@@ -5,17 +5,17 @@
 import type { RequestRecord } from './RequestRecord.js';
 
 /**
- * What the scheduler of one service is made of.
+ * Constructor arguments of a `ServiceScheduler`.
  *
  * @internal
  */
-export interface ServiceSchedulerParts {
+export interface ServiceSchedulerSettings {
   service: string;
   clock: Clock;
   random: Random;
   options: PolicyOptions;
   limit: SharedLimit;
-  /** All requests that are not over, of every service. */
+  /** All unfinished requests, of every service. */
   records: Map<string, RequestRecord>;
   isLeaving: (replica: string) => boolean;
   emit: (effect: SchedulerEffect) => void;
--- a/packages/policy/src/lib/Scheduler/SlotFinder.ts
+++ b/packages/policy/src/lib/Scheduler/SlotFinder.ts
@@ -7,21 +7,21 @@
 import type { RunningRequests } from './RunningRequests.js';
 
 /**
- * A place for a request to run.
+ * A replica at which a request can run.
  *
  * @internal
  */
 export interface Slot extends Choice {
-  /** The request that has to be stopped for it. */
+  /** The request that must be preempted first. */
   victim?: RequestRecord;
-  /** It may have to wait there; another may be stopped for it later. */
+  /** Another request may be preempted later, if the request has to wait at the replica. */
   mayPreemptLater?: boolean;
-  /** What the replica is told as the priority, if not the tier. */
+  /** The priority sent to the replica, if it differs from the tier. */
   priority?: number;
 }
 
 /**
- * What entitles a request to a place.
+ * The properties of a request that decide which slots it may use.
  *
  * @internal
  */
@@ -30,22 +30,25 @@
   className: string;
   isUrgent: boolean;
   /**
-   * The tier it goes before, when the floor of its class is due. Replicas are told that tier as its
-   * priority, or it would wait there behind the very work it was put before.
+   * The more urgent tier that the request overtakes when the guaranteed minimum share (floor) of its
+   * class is due. This tier is sent to the replica as the priority of the request. Otherwise the
+   * replica would queue it behind the requests it has just overtaken.
    */
-  overtakes: number | undefined;
+  overtakenTier: number | undefined;
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_REPLICAS: ReadonlySet<string> = new Set();
 
 /**
- * Finds out whether and where a request can run: within the share if there is room, else above it,
- * over less urgent work, since the replica runs it first. Where no slot seems free, an urgent
- * request takes the place of a less urgent one at once; another does so only when it has waited at
- * the replica for a part of its target, because what is stopped has its prompt computed again.
+ * Decides whether and where a request can run. It uses this daemon's share of the slots if there is
+ * room. Otherwise it may exceed the share at a replica that runs less urgent requests, because the
+ * replica runs the more urgent request first. If no slot seems to be free, an urgent request
+ * preempts a less urgent one at once. Other preempting requests do so only after waiting at the
+ * replica for part of their first-token target, because the prompt of a preempted request has to be
+ * computed again.
  *
- * A class whose floor is due and of which nothing runs goes above the share too: urgent traffic
- * that alone fills the share would otherwise starve it.
+ * A class whose floor is due and that has no running request may also exceed the share. Otherwise
+ * urgent traffic that fills the share by itself would starve the class.
  *
  * @internal
  */
@@ -56,8 +59,11 @@
 
   private readonly preemptingTier: number;
 
-  /** What `canStart` found last: in a large fleet a second search may look elsewhere. */
-  private found: ReplicaState | undefined;
+  /**
+   * The replica that the last `canStart` found above the share. In a large fleet only a sample of
+   * replicas is searched, so a second search may not find it again.
+   */
+  private lastFound: ReplicaState | undefined;
 
   constructor(chooser: ReplicaChooser, running: RunningRequests, preemptingTier: number) {
     this.chooser = chooser;
@@ -65,58 +71,65 @@
     this.preemptingTier = preemptingTier;
   }
 
-  /** Whether there is a place, unless it is at a replica that failed the very request. */
+  /**
+   * Returns whether a request with this entitlement can run. Replicas that failed the particular
+   * request are not excluded here, so `find` may still return undefined.
+   */
   canStart(pool: ReplicaPool, entitlement: Entitlement, now: Milliseconds): boolean {
     if (pool.open.size > 0) {
       return true;
     }
     const { tier, isUrgent } = entitlement;
     if (pool.openAbove.size > 0) {
-      this.found = isUrgent ? undefined : this.chooser.findAboveShare(pool, tier, now);
-      if (isUrgent || this.found !== undefined || this.isFloorDue(entitlement)) {
+      this.lastFound = isUrgent ? undefined : this.chooser.findAboveShare(pool, tier, now);
+      if (isUrgent || this.lastFound !== undefined || this.isFloorDue(entitlement)) {
         return true;
       }
     }
-    return this.findAnyVictim(pool, tier, NONE) !== undefined;
+    return this.findAnyVictim(pool, tier, NO_REPLICAS) !== undefined;
   }
 
-  /** The place for a request. */
+  /** Finds a slot for a request. */
   find(record: RequestRecord, entitlement: Entitlement, now: Milliseconds): Slot | undefined {
     const { pool, tier, isUrgent } = record;
-    const within = this.chooser.choose(pool, record.getWish(), now);
-    const isQuick = tier <= this.preemptingTier;
-    if (within !== undefined && (!isQuick || within.state.getPressure(now) <= 1)) {
-      return within;
+    const withinShare = this.chooser.choose(pool, record.getReplicaCriteria(), now);
+    const canPreempt = tier <= this.preemptingTier;
+    if (withinShare !== undefined && (!canPreempt || withinShare.state.getPressure(now) <= 1)) {
+      return withinShare;
     }
-    const above = this.findAbove(record, now);
-    if (above !== undefined && above.state.getPressure(now) <= 1) {
-      return above;
+    const aboveShare = this.findAboveShare(record, now);
+    if (aboveShare !== undefined && aboveShare.state.getPressure(now) <= 1) {
+      return aboveShare;
     }
-    const place = within ?? above;
-    if (place !== undefined && !isUrgent) {
-      return { ...place, mayPreemptLater: isQuick };
+    const choice = withinShare ?? aboveShare;
+    if (choice !== undefined && !isUrgent) {
+      return { ...choice, mayPreemptLater: canPreempt };
     }
-    return this.findByPreemption(record) ?? place ?? this.findForFloor(record, entitlement, now);
+    return this.findByPreemption(record) ?? choice ?? this.findForFloor(record, entitlement, now);
   }
 
-  /** A less urgent request at the replica where a more urgent one has waited for too long. */
-  findLateVictim({ pool, tier, attempt }: RequestRecord): RequestRecord | undefined {
+  /**
+   * Finds a less urgent request to preempt at the replica at which this request has waited too long
+   * for its first token.
+   */
+  findVictimAtReplica({ pool, tier, attempt }: RequestRecord): RequestRecord | undefined {
     const { state } = attempt!;
     return this.findVictim(
       pool,
       tier,
-      (victim) => victim.attempt!.state === state && victim.attempt!.hasAnswered,
+      (victim) => victim.attempt!.state === state && victim.attempt!.hasFirstToken,
     );
   }
 
-  private findAbove(record: RequestRecord, now: Milliseconds): Choice | undefined {
+  private findAboveShare(record: RequestRecord, now: Milliseconds): Choice | undefined {
     const state =
-      this.chooser.chooseAboveShare(record.pool, record.getWish(), now) ?? this.getFound(record);
+      this.chooser.chooseAboveShare(record.pool, record.getReplicaCriteria(), now) ??
+      this.takeLastFound(record);
     return state && { state, reason: ChoiceReason.AboveShare };
   }
 
-  private findByPreemption({ pool, tier, failed }: RequestRecord): Slot | undefined {
-    const victim = this.findAnyVictim(pool, tier, failed);
+  private findByPreemption({ pool, tier, failedReplicas }: RequestRecord): Slot | undefined {
+    const victim = this.findAnyVictim(pool, tier, failedReplicas);
     return victim && { state: victim.attempt!.state, reason: ChoiceReason.Preemption, victim };
   }
 
@@ -126,38 +139,49 @@
     now: Milliseconds,
   ): Slot | undefined {
     const state = this.isFloorDue(entitlement)
-      ? this.chooser.chooseForFloor(record.pool, record.getWish(), now)
+      ? this.chooser.chooseForFloor(record.pool, record.getReplicaCriteria(), now)
       : undefined;
     return state && { state, reason: ChoiceReason.Floor };
   }
 
-  /** One that has begun its answer surely holds a slot; one that has not may be waiting itself. */
-  private findAnyVictim(pool: ReplicaPool, tier: number, failed: ReadonlySet<string>) {
-    const fits = ({ attempt }: RequestRecord) => !failed.has(attempt!.state.id);
+  /**
+   * Prefers requests whose first token has arrived, because these certainly hold a slot. Others may
+   * still be queued at their replica.
+   */
+  private findAnyVictim(pool: ReplicaPool, tier: number, failedReplicas: ReadonlySet<string>) {
+    const isEligible = ({ attempt }: RequestRecord) => !failedReplicas.has(attempt!.state.id);
     return (
-      this.findVictim(pool, tier, (victim) => fits(victim) && victim.attempt!.hasAnswered) ??
-      this.findVictim(pool, tier, fits)
+      this.findVictim(
+        pool,
+        tier,
+        (victim) => isEligible(victim) && victim.attempt!.hasFirstToken,
+      ) ?? this.findVictim(pool, tier, isEligible)
     );
   }
 
-  private findVictim(pool: ReplicaPool, tier: number, fits: (victim: RequestRecord) => boolean) {
+  private findVictim(
+    pool: ReplicaPool,
+    tier: number,
+    isEligible: (victim: RequestRecord) => boolean,
+  ) {
     if (tier > this.preemptingTier) {
       return undefined;
     }
-    return this.running.preemptible.find(
+    return this.running.preemptible.findVictim(
       tier,
-      (victim) => pool.offers(victim.attempt!.state) && fits(victim),
+      (victim) => pool.offers(victim.attempt!.state) && isEligible(victim),
     );
   }
 
-  private getFound({ pool, failed }: RequestRecord): ReplicaState | undefined {
-    const { found } = this;
-    this.found = undefined;
-    const isFit = found !== undefined && pool.openAbove.has(found) && !failed.has(found.id);
-    return isFit ? found : undefined;
+  private takeLastFound({ pool, failedReplicas }: RequestRecord): ReplicaState | undefined {
+    const { lastFound } = this;
+    this.lastFound = undefined;
+    const isUsable =
+      lastFound !== undefined && pool.openAbove.has(lastFound) && !failedReplicas.has(lastFound.id);
+    return isUsable ? lastFound : undefined;
   }
 
-  private isFloorDue({ overtakes, className }: Entitlement): boolean {
-    return overtakes !== undefined && this.running.getOfClass(className) === 0;
+  private isFloorDue({ overtakenTier, className }: Entitlement): boolean {
+    return overtakenTier !== undefined && this.running.getCountOfClass(className) === 0;
   }
 }
--- a/packages/policy/src/lib/Scheduler/TaskQueue.ts
+++ b/packages/policy/src/lib/Scheduler/TaskQueue.ts
@@ -2,14 +2,14 @@
 import type { SchedulerEffect } from '../messages.js';
 
 /**
- * Runs messages and timers one after the other and emits their effects in between. Whoever takes an
- * effect may send the next message at once; without this queue that message would find the state
- * half changed.
+ * Runs message handlers and timer callbacks one at a time, and emits their effects in between. The
+ * receiver of an effect may send the next message synchronously; without this queue, that message
+ * would be handled while the state is only partly updated.
  *
  * @internal
  */
 export class TaskQueue {
-  /** The clock for everything inside: its timers run as tasks. */
+  /** A clock whose timer callbacks run as tasks. The scheduler uses only this clock. */
   readonly clock: Clock;
 
   private readonly tasks: (() => void)[] = [];
@@ -28,12 +28,12 @@
     };
   }
 
-  /** Emits an effect once the present task is over. */
+  /** Emits an effect after the current task has ended. */
   emit(effect: SchedulerEffect): void {
     this.effects.push(effect);
   }
 
-  /** Runs a task, or queues it when one is under way. */
+  /** Runs a task, or queues it if another one is running. */
   run(task: () => void): void {
     this.tasks.push(task);
     if (this.isRunning) {
@@ -41,14 +41,14 @@
     }
     this.isRunning = true;
     try {
-      while (this.step());
+      while (this.runNext());
     } finally {
       this.isRunning = false;
     }
   }
 
-  /** Effects go before further tasks, in the order in which they arose. */
-  private step(): boolean {
+  /** Emits pending effects, in order, before it runs the next task. */
+  private runNext(): boolean {
     const effect = this.effects.shift();
     if (effect !== undefined) {
       this.onEffect(effect);
--- a/packages/policy/src/lib/Scheduler/admission.test.ts
+++ b/packages/policy/src/lib/Scheduler/admission.test.ts
@@ -4,8 +4,8 @@
 
 const NOT_RUN = { kind: 'give-up', outcome: ExecutionOutcome.NotRun };
 
-/** Draws out a queue: one request of the class is served every second. */
-function serveSlowly(harness: Harness, count: number): void {
+/** Completes the last dispatched request once a second, so that the queue drains at that rate. */
+function serveOnePerSecond(harness: Harness, count: number): void {
   for (let index = 0; index < count; index += 1) {
     harness.advance(1000);
     harness.end(harness.getAll('dispatch').at(-1)!.id, AttemptStatus.Completed);
@@ -13,9 +13,8 @@
 }
 
 describe('admission', () => {
-  it('sheds the least urgent that waits, never an urgent request for it', () => {
-    // Symptom: a gate keypad is refused while drafts wait. Sequence: drafts fill the queue, then a
-    // gate check comes. Cause: whoever comes to a full queue is refused.
+  it('evicts the least urgent waiting request and never an urgent one in its place', () => {
+    // Guards against refusing an urgent request because less urgent ones have filled the queue.
     const harness = new Harness({ slots: 1, options: { maxWaitingPerClass: 2, excess: 0 } });
     ['running', 'draft-1', 'draft-2', 'draft-3'].forEach((id) =>
       harness.submit(createRequest(id, classes.draft)),
@@ -35,24 +34,24 @@
     ]);
   });
 
-  it('refuses at once what would wait past its deadline, but nothing urgent on an estimate', () => {
-    // Symptom: callers wait ten seconds to be refused. Sequence: a class drains one request a
-    // second and thirty wait. Cause: refusal only when the deadline has come.
-    const comeLate = (name: 'report' | 'hold') => {
+  it('refuses early on an estimate of the wait, except for urgent tiers', () => {
+    // Guards against callers that wait ten seconds only to be refused at their deadline: the class
+    // drains one request per second while thirty are waiting.
+    const getRefusals = (name: 'report' | 'hold') => {
       const harness = new Harness({ slots: 1, options: { excess: 0 } });
       const submit = (id: string) => harness.submit(createRequest(id, classes[name]));
       Array.from({ length: 12 }, (_, index) => submit(`early-${index}`));
-      serveSlowly(harness, 4);
+      serveOnePerSecond(harness, 4);
       Array.from({ length: 30 }, (_, index) => submit(`more-${index}`));
       return harness.getAll('give-up');
     };
-    const refused = comeLate('report');
+    const refused = getRefusals('report');
     expect(refused[0]).toMatchObject({ ...NOT_RUN, reason: GiveUpReason.Deadline });
     expect(refused.at(-1)!.retryAfter).toBeGreaterThan(500);
-    expect(comeLate('hold')).toEqual([]);
+    expect(getRefusals('hold')).toEqual([]);
   });
 
-  it('gives up what has not started by its deadline, urgent or not', () => {
+  it('gives up requests that have not started by their deadline, urgent ones included', () => {
     const harness = new Harness({ slots: 1, options: { excess: 0 } });
     harness.submit(createRequest('hold', classes.hold));
     harness.submit(createRequest('next', classes.hold));
@@ -65,7 +64,7 @@
     ]);
   });
 
-  it('refuses while no replica is live, and what comes after a drain; finishes the rest', () => {
+  it('refuses requests without live replicas or during a drain, and finishes accepted ones', () => {
     const harness = new Harness({ replicas: 0 });
     const submit = (id: string) => harness.submit(createRequest(id, classes.chat));
     expect(submit('a')).toMatchObject([{ ...NOT_RUN, reason: GiveUpReason.NoReplica }]);
@@ -78,7 +77,7 @@
     expect(getBrief(harness.end('c', AttemptStatus.Completed))).toEqual(['done c']);
   });
 
-  it('cancels upstream for a caller that leaves and forgets it wherever it is', () => {
+  it('cancels the attempt of a caller that disconnects, and removes its request in any phase', () => {
     const harness = new Harness({ slots: 1 });
     ['running', 'waiting', 'next'].forEach((id) =>
       harness.submit(createRequest(id, classes.draft)),
@@ -91,8 +90,8 @@
     expect(harness.advance(600_000)).toEqual([]);
   });
 
-  it('keeps slots free for quick answers while both kinds come', () => {
-    // Symptom: short questions wait behind drafts that fill every slot. Cause: nothing was kept free.
+  it('reserves slots for preempting tiers while requests of both kinds arrive', () => {
+    // Guards against short requests that wait because drafts fill every slot.
     const harness = new Harness({ slots: 10, options: { reserve: 0.2, reserveMemory: 99 } });
     const submit = (id: string, name: keyof typeof classes) =>
       harness.submit(createRequest(id, classes[name]));
@@ -112,9 +111,9 @@
     expect(harness.scheduler.getSnapshot()).toMatchObject({ running: 10 });
   });
 
-  it('runs one request at a time where daemons outnumber the slots', () => {
-    // Symptom: the callers of some daemons wait for ever. Cause: a replica with one slot gives it
-    // to one of three daemons, and the others have no share of anything.
+  it('lets each daemon run one request when there are more daemons than slots', () => {
+    // Guards against callers that wait forever: the only slot is the share of one of three daemons,
+    // and the shares of the other two are empty.
     const daemons = ['daemon-1', 'daemon-2', 'daemon-3'];
     const running = daemons.map((self) => {
       const harness = new Harness({ slots: 1 });
@@ -125,10 +124,10 @@
     expect(running).toEqual([1, 1, 1]);
   });
 
-  it('runs a starving class above the share, as urgent as what it goes before', () => {
-    // Symptom: no draft runs for as long as gate checks fill the replicas. Sequence: gate checks
-    // hold all slots and go above the share; drafts find no room within it. Cause: only the queue
-    // kept the floor, and the draft's place at the engine was behind the gate checks.
+  it('runs a starving class above the share, with the priority of the tier it overtakes', () => {
+    // Guards against a class that never runs while urgent requests fill the replicas above the
+    // share. The floor must apply to slots as well as to the queue, and at the engine the draft must
+    // not be queued behind the urgent requests.
     const harness = new Harness({ slots: 4, options: { excess: 1 } });
     harness.submit(createRequest('draft', { ...classes.draft, floor: 0.2 }));
     for (let index = 0; index < 4; index += 1) {
--- a/packages/policy/src/lib/Scheduler/getNextStep.ts
+++ b/packages/policy/src/lib/Scheduler/getNextStep.ts
@@ -3,7 +3,7 @@
 import type { RequestRecord } from './RequestRecord.js';
 
 /**
- * What follows an attempt that ended.
+ * What happens to a request after one of its attempts has ended.
  *
  * @internal
  */
@@ -13,17 +13,17 @@
   | { kind: 'give-up'; outcome: ExecutionOutcome; reason: GiveUpReason };
 
 /**
- * What the decision rests on besides the request.
+ * The input of the decision, besides the request itself.
  *
  * @internal
  */
 export interface StepContext {
-  end: AttemptStatus;
-  /** The scheduler ended the attempt for reasons of its own: that counts as no failure. */
-  isOwnCancel: boolean;
+  status: AttemptStatus;
+  /** The scheduler cancelled the attempt, to preempt or move it. This is not counted as a failure. */
+  isFaultlessCancel: boolean;
   now: Milliseconds;
   maxFailures: number;
-  /** Takes a retry from the service's budget. */
+  /** Takes a retry from the retry budget of the service; returns false if none is left. */
   takeRetry: () => boolean;
 }
 
@@ -32,36 +32,37 @@
 }
 
 /**
- * Decides what follows an attempt. What may not be repeated is given up as unknown as soon as one
- * attempt may have run: a second one could charge a customer twice. What has begun its answer goes
- * on only if it can be resumed: from the start again, the caller would get its head twice.
+ * Decides what happens to a request after an attempt has ended. A request that is not repeatable is
+ * given up with an unknown outcome as soon as one attempt may have run: a second attempt could, for
+ * example, charge a customer twice. A request whose response has started is retried only if it can
+ * be resumed: a restart would send the beginning of the response to the caller a second time.
  *
- * @param record - the request, after it noted the end
- * @param context - how the attempt ended and what may be spent on another
+ * @param record - the request, with the end of the attempt already recorded
+ * @param context - how the attempt ended, and the limits on further attempts
  * @internal
  */
 export function getNextStep(record: RequestRecord, context: StepContext): NextStep {
-  const { end, isOwnCancel, now, maxFailures, takeRetry } = context;
-  if (end === AttemptStatus.Completed) {
+  const { status, isFaultlessCancel, now, maxFailures, takeRetry } = context;
+  if (status === AttemptStatus.Completed) {
     return { kind: 'done' };
   }
-  if (end === AttemptStatus.Errored) {
+  if (status === AttemptStatus.Errored) {
     return {
       kind: 'give-up',
       outcome: ExecutionOutcome.Failed,
       reason: GiveUpReason.ReplicaFailed,
     };
   }
-  if (record.hasMaybeRun && !record.request.serviceClass.repeatable) {
+  if (record.mayHaveRun && !record.request.serviceClass.repeatable) {
     return giveUp(record, GiveUpReason.MayHaveRun);
   }
-  if (record.hasBegun && !record.canGoOn) {
+  if (record.hasResponseStarted && !record.canMove) {
     return giveUp(record, GiveUpReason.ReplicaFailed);
   }
-  if (isOwnCancel) {
+  if (isFaultlessCancel) {
     return { kind: 'retry' };
   }
-  if (!record.isUnderWay && now >= record.deadline) {
+  if (!record.isExemptFromDeadline && now >= record.deadline) {
     return giveUp(record, GiveUpReason.Deadline);
   }
   if (record.failures >= maxFailures || !takeRetry()) {
--- a/packages/policy/src/lib/Scheduler/getServiceSnapshot.ts
+++ b/packages/policy/src/lib/Scheduler/getServiceSnapshot.ts
@@ -2,27 +2,31 @@
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
 import type { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
 import type { RetryBudget } from '../RetryBudget/RetryBudget.js';
-import type { WaitingRoom } from '../WaitingRoom/WaitingRoom.js';
+import type { RequestQueue } from '../WaitingRoom/WaitingRoom.js';
 import type { RunningRequests } from './RunningRequests.js';
 
 /**
- * What this daemon thinks of a replica.
+ * The state of a replica as seen by this daemon.
  *
  * @public
  */
 export interface ReplicaSnapshot {
   id: string;
-  /** Requests of this daemon that run there. */
+  /** Requests of this daemon that are running at the replica. */
   running: number;
-  /** How many it may have there: its share, and what is lent to it. */
+  /**
+   * The maximum number of requests that this daemon may have running at the replica: its share,
+   * adjusted by load reports.
+   */
   limit: number;
+  /** This daemon's share of the slots of the replica. */
   share: number;
-  /** The load by slots as it probably is, with one more request. */
+  /** The estimated load, with one more request, divided by the number of slots. */
   pressure: number;
   leaving: boolean;
-  /** Failed or silent a moment ago. */
+  /** Temporarily not used, after a failure or timeout. */
   avoided: boolean;
-  /** Much slower than its peers. */
+  /** Marked as a straggler: much slower than the other replicas of its pool. */
   convicted: boolean;
 }
 
@@ -37,9 +41,9 @@
   waiting: Record<string, number>;
   /** Running requests by class. */
   running: Record<string, number>;
-  /** Credits of the floors, by class that waits. */
+  /** Credits towards the guaranteed minimum shares (floors), by waiting class. */
   credits: Record<string, number>;
-  /** Retries that are left. */
+  /** Retries left in the retry budget. */
   retries: number;
   replicas: ReplicaSnapshot[];
 }
@@ -58,21 +62,21 @@
 }
 
 /** @internal */
-export function getServiceSnapshot(parts: {
+export function getServiceSnapshot(sources: {
   service: string;
-  room: WaitingRoom;
+  queue: RequestQueue;
   running: RunningRequests;
-  budget: RetryBudget;
+  retryBudget: RetryBudget;
   table: ReplicaTable;
   now: Milliseconds;
 }): ServiceSnapshot {
-  const { service, room, running, budget, table, now } = parts;
+  const { service, queue, running, retryBudget, table, now } = sources;
   return {
     service,
-    waiting: room.getWaiting(),
-    running: running.getByClass(),
-    credits: room.getCredits(),
-    retries: budget.available,
+    waiting: queue.getWaiting(),
+    running: running.getCountsByClass(),
+    credits: queue.getCredits(),
+    retries: retryBudget.available,
     replicas: [...table.getAll()].map((state) => getReplicaSnapshot(state, now)),
   };
 }
--- a/packages/policy/src/lib/Scheduler/getTimeouts.ts
+++ b/packages/policy/src/lib/Scheduler/getTimeouts.ts
@@ -3,10 +3,11 @@
 import type { RequestRecord } from './RequestRecord.js';
 
 /**
- * How long an attempt may be silent.
+ * Returns how long an attempt may take to its first token, and between tokens.
  *
- * What may be repeated is given up early enough to be tried elsewhere before its deadline. What
- * may not be repeated has no second chance and gets all the time there is.
+ * An attempt of a repeatable request times out early enough to be retried at another replica before
+ * the deadline. A request that is not repeatable can't be retried, so its attempt gets all the time
+ * until the deadline.
  *
  * @param record - the request about to be sent
  * @internal
@@ -17,13 +18,13 @@
   now: Milliseconds,
 ): { firstTokenTimeout: Milliseconds; tokenGapTimeout: Milliseconds } {
   const { target, repeatable } = record.request.serviceClass;
-  const patience = Math.max(
+  const targetTimeout = Math.max(
     options.minFirstTokenTimeout,
     options.firstTokenPatience * target.firstToken,
   );
-  const left = record.isUnderWay ? patience : Math.max(1, record.deadline - now);
+  const timeLeft = record.isExemptFromDeadline ? targetTimeout : Math.max(1, record.deadline - now);
   return {
-    firstTokenTimeout: repeatable ? Math.min(patience, left) : left,
+    firstTokenTimeout: repeatable ? Math.min(targetTimeout, timeLeft) : timeLeft,
     tokenGapTimeout: Math.max(
       options.minTokenGapTimeout,
       options.tokenGapPatience * target.tokenGap,
--- a/packages/policy/src/lib/Scheduler/preemption.test.ts
+++ b/packages/policy/src/lib/Scheduler/preemption.test.ts
@@ -6,8 +6,8 @@
   return getBrief(harness.submit(createRequest(id, classes[name])));
 }
 
-/** A scheduler whose one replica runs these requests and reports itself full. */
-function createFull(...names: (keyof typeof classes)[]): Harness {
+/** Creates a harness whose only replica runs one request per class and reports that it is full. */
+function createFullHarness(...names: (keyof typeof classes)[]): Harness {
   const harness = new Harness({ slots: names.length, options: { reserve: 0, ahead: 0 } });
   names.forEach((name) => {
     submit(harness, name, name);
@@ -20,9 +20,9 @@
 }
 
 describe('preemption', () => {
-  it('stops the least urgent for an urgent request at once, and lets it go on later', () => {
-    // Symptom: a gate check waits for a draft to be written. Sequence: drafts hold all slots.
-    const harness = createFull('draft', 'chat');
+  it('preempts the least urgent request at once for an urgent one, and resumes it later', () => {
+    // Guards against an urgent request that waits for a long response while drafts hold all slots.
+    const harness = createFullHarness('draft', 'chat');
     expect(submit(harness, 'gate', 'gate')).toEqual(['cancel draft', 'dispatch gate']);
     expect(harness.getAll('cancel').at(-1)!.reason).toBe(CancelReason.Preempted);
     harness.end('draft', AttemptStatus.Cancelled);
@@ -33,7 +33,7 @@
     expect(harness.getDispatch('draft').resumeAt).toBe(8);
   });
 
-  it('stops it also when the limit would let the urgent request wait at the replica', () => {
+  it('preempts even if the limit would allow the urgent request to wait at the replica', () => {
     const harness = new Harness({ slots: 2 });
     ['draft-1', 'draft-2'].forEach((id) => submit(harness, id, 'draft'));
     const measuredAt = harness.clock.now();
@@ -42,23 +42,24 @@
     expect(submit(harness, 'gate', 'gate')).toEqual(['cancel draft-2', 'dispatch gate']);
   });
 
-  it('stops nothing of an equal or more urgent tier, and nothing that may not be or can not go on', () => {
-    // Symptom: an order hold is cut off by a gate check, and frozen. Cause: any lower tier would do.
-    const harness = createFull('hold');
+  it('spares equal or more urgent tiers and requests that are not preemptible or resumable', () => {
+    // Guards against choosing victims by their tier alone: an order hold is less urgent than a gate
+    // check, but it can't be resumed.
+    const harness = createFullHarness('hold');
     expect(submit(harness, 'gate', 'gate')).toEqual(['dispatch gate']);
-    const spared = createFull('summary');
-    expect(submit(spared, 'gate', 'gate')).toEqual(['dispatch gate']);
-    const begun = createFull('report');
-    expect(submit(begun, 'gate', 'gate')).toEqual(['dispatch gate']);
-    const equal = createFull('chat');
-    expect(submit(equal, 'other', 'chat')).toEqual([]);
-    expect(equal.advance(3000)).toEqual([]);
+    const unpreemptible = createFullHarness('summary');
+    expect(submit(unpreemptible, 'gate', 'gate')).toEqual(['dispatch gate']);
+    const unresumable = createFullHarness('report');
+    expect(submit(unresumable, 'gate', 'gate')).toEqual(['dispatch gate']);
+    const sameTier = createFullHarness('chat');
+    expect(submit(sameTier, 'other', 'chat')).toEqual([]);
+    expect(sameTier.advance(3000)).toEqual([]);
   });
 
-  it('does not go on before the stopped attempt has ended, and counts what it still gave', () => {
-    // Symptom: the caller gets a token twice. Sequence: a draft is stopped, resumed at once, and
-    // its first attempt still hands over a token that had arrived. Cause: resumed too early.
-    const harness = createFull('draft');
+  it('resumes only after the cancelled attempt has ended, and counts its last tokens', () => {
+    // Guards against delivering a token twice: the cancelled attempt may still deliver tokens that
+    // had already arrived, and an attempt resumed too early would deliver them again.
+    const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
     harness.end('gate', AttemptStatus.Completed);
     harness.progress('draft', 3);
@@ -66,23 +67,23 @@
     expect(harness.getDispatch('draft').resumeAt).toBe(11);
   });
 
-  it('goes on when the owner never reports the end of what it was told to stop', () => {
-    const harness = createFull('draft');
+  it('resumes when the owner does not report the end of the cancelled attempt in time', () => {
+    const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
     harness.end('gate', AttemptStatus.Completed);
     expect(getBrief(harness.advance(249))).toEqual([]);
     expect(getBrief(harness.advance(1))).toEqual(['dispatch draft']);
   });
 
-  it('is done when the whole answer came before the owner could stop it', () => {
-    const harness = createFull('draft');
+  it('completes a request whose response was complete before it could be cancelled', () => {
+    const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
     expect(getBrief(harness.end('draft', AttemptStatus.Completed))).toEqual(['done draft']);
   });
 
-  it('leaves a request alone after its second preemption', () => {
-    // Symptom: a draft never ends. Sequence: each time it runs, the next gate check stops it.
-    const harness = createFull('draft');
+  it('does not preempt a request a third time', () => {
+    // Guards against a draft that never ends because it is preempted each time it runs.
+    const harness = createFullHarness('draft');
     ['gate-1', 'gate-2', 'gate-3'].forEach((gate) => {
       submit(harness, gate, 'gate');
       harness.end(gate, AttemptStatus.Completed);
@@ -91,23 +92,23 @@
     expect(harness.getAll('cancel').length).toBe(2);
   });
 
-  it('stops a draft for a question only when that has waited at the replica', () => {
-    // Symptom: drafts have their prompts computed again and again. Sequence: short questions come
-    // all the time and each stops one at once, though a slot would soon have been free.
-    const harness = createFull('draft', 'report');
+  it('preempts for a request that is not urgent only after it has waited at the replica', () => {
+    // Guards against computing the prompts of drafts again and again: short requests arrive all the
+    // time, and each would preempt a draft although a slot would soon be free.
+    const harness = createFullHarness('draft', 'report');
     expect(submit(harness, 'chat', 'chat')).toEqual(['dispatch chat']);
     expect(harness.advance(374)).toEqual([]);
     expect(getBrief(harness.advance(1))).toEqual(['cancel draft']);
-    // A draft that has not answered may be waiting itself: stopping it would free nothing.
-    const early = new Harness({ slots: 1, options: { reserve: 0, ahead: 0 } });
-    submit(early, 'draft', 'draft');
-    submit(early, 'chat', 'chat');
-    expect(early.advance(600)).toEqual([]);
-    early.progress('draft');
-    expect(getBrief(early.advance(150))).toEqual(['cancel draft']);
-    const answered = createFull('draft');
-    submit(answered, 'chat', 'chat');
-    answered.progress('chat');
-    expect(answered.advance(2000)).toEqual([]);
+    // A draft without a first token may itself be queued at the replica: cancelling it frees no slot.
+    const beforeFirstToken = new Harness({ slots: 1, options: { reserve: 0, ahead: 0 } });
+    submit(beforeFirstToken, 'draft', 'draft');
+    submit(beforeFirstToken, 'chat', 'chat');
+    expect(beforeFirstToken.advance(600)).toEqual([]);
+    beforeFirstToken.progress('draft');
+    expect(getBrief(beforeFirstToken.advance(150))).toEqual(['cancel draft']);
+    const afterFirstToken = createFullHarness('draft');
+    submit(afterFirstToken, 'chat', 'chat');
+    afterFirstToken.progress('chat');
+    expect(afterFirstToken.advance(2000)).toEqual([]);
   });
 });
--- a/packages/policy/src/lib/Scheduler/retries.test.ts
+++ b/packages/policy/src/lib/Scheduler/retries.test.ts
@@ -7,7 +7,7 @@
 }
 
 describe('retries', () => {
-  it('sends what did not run to another replica, also what may not be repeated', () => {
+  it('retries a request that did not run at another replica, even if it is not repeatable', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
     harness.end('hold', AttemptStatus.NotSent);
@@ -16,9 +16,9 @@
     expect(new Set(replicas).size).toBe(3);
   });
 
-  it('never runs twice what may not be repeated, and says that nobody knows', () => {
-    // Symptom: a customer is charged twice. Sequence: the connection breaks after the payment
-    // notice was sent, and it is sent elsewhere. Cause: a broken attempt counted as not run.
+  it('never reruns a request that is not repeatable, and reports an unknown outcome', () => {
+    // Guards against charging a customer twice: the connection breaks after a payment request was
+    // sent, so it may have run and must not be sent to another replica.
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
     harness.end('hold', AttemptStatus.NotSent);
@@ -27,10 +27,10 @@
     ]);
   });
 
-  it('says not-run only if no attempt may have run', () => {
-    // Symptom: a refused caller asks again and the request runs a second time. Sequence: one
-    // attempt breaks, the others are refused. Cause: only the last attempt was looked at.
-    const refuse = (first: AttemptStatus) => {
+  it('reports not-run only if no attempt may have run', () => {
+    // Guards against running a request twice: one attempt breaks and the later ones are refused. A
+    // not-run outcome based on the last attempt alone would make the caller retry.
+    const getLastEffect = (first: AttemptStatus) => {
       const harness = new Harness({ replicas: 9 });
       submit(harness, 'report', 'report');
       harness.end('report', first);
@@ -38,33 +38,32 @@
       return ends.at(-1)![0];
     };
     const reason = GiveUpReason.RetriesSpent;
-    expect(refuse(AttemptStatus.Refused)).toMatchObject({
+    expect(getLastEffect(AttemptStatus.Refused)).toMatchObject({
       reason,
       outcome: ExecutionOutcome.NotRun,
     });
-    expect(refuse(AttemptStatus.Broken)).toMatchObject({
+    expect(getLastEffect(AttemptStatus.Broken)).toMatchObject({
       reason,
       outcome: ExecutionOutcome.Failed,
     });
   });
 
-  it('goes on at the delivered token, and drops word of an earlier attempt', () => {
-    // Symptom: the caller gets a token twice. Sequence: the stream breaks, goes on elsewhere, and
-    // late word of the first attempt counts for the second. Cause: messages were told apart by
-    // request alone.
+  it('resumes after the last delivered token and ignores messages of earlier attempts', () => {
+    // Guards against delivering a token twice: a stream breaks and continues elsewhere, and late
+    // messages of the first attempt must not be attributed to the second.
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
     harness.progress('chat', 5);
     harness.end('chat', AttemptStatus.Broken);
     harness.tell({ kind: 'progress', id: 'chat', attempt: 1, tokens: 7 });
-    const late = { kind: 'attempt-ended' as const, id: 'chat', attempt: 1 };
-    expect(harness.tell({ ...late, end: AttemptStatus.Completed })).toEqual([]);
+    const lateMessage = { kind: 'attempt-ended' as const, id: 'chat', attempt: 1 };
+    expect(harness.tell({ ...lateMessage, end: AttemptStatus.Completed })).toEqual([]);
     harness.progress('chat', 2);
     harness.end('chat', AttemptStatus.Broken);
     expect(harness.getAll('dispatch').map(({ resumeAt }) => resumeAt)).toEqual([0, 5, 7]);
   });
 
-  it('does not begin an answer twice that cannot be resumed', () => {
+  it('does not restart a response that cannot be resumed', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'report', 'report');
     harness.progress('report');
@@ -73,7 +72,7 @@
     ]);
   });
 
-  it('does not repeat what a replica ran and failed', () => {
+  it('does not retry a request that ran and failed', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
     expect(harness.end('chat', AttemptStatus.Errored)).toMatchObject([
@@ -81,9 +80,9 @@
     ]);
   });
 
-  it('does not multiply the load of a service that fails', () => {
-    // Symptom: a service that breaks gets four times its load. Sequence: all its answers break,
-    // and each is tried again. Cause: no budget over all requests together.
+  it('does not multiply the load of a failing service', () => {
+    // Guards against four times the load on a failing service: every response breaks, and without a
+    // common retry budget each request would be retried separately.
     const options = { retryBurst: 5, retryReserve: 0, retryTrickle: 0 };
     const harness = new Harness({ replicas: 9, options });
     for (let index = 0; index < 40; index += 1) {
@@ -96,7 +95,7 @@
     expect(harness.getAll('dispatch').length).toBe(45);
   });
 
-  it('comes back to a replica that failed it when there is no other, after a pause', () => {
+  it('retries at the replica that failed a request after a backoff if there is no other', () => {
     const harness = new Harness({ replicas: 1 });
     submit(harness, 'chat', 'chat');
     expect(harness.end('chat', AttemptStatus.NotSent)).toEqual([]);
@@ -104,9 +103,9 @@
     expect(harness.advance(2000)).toMatchObject([{ kind: 'dispatch', attempt: 2 }]);
   });
 
-  it('is not waiting for a slot when only replicas that failed it have one', () => {
-    // Symptom: one request that was refused holds up all behind it. Cause: the head of the queue
-    // waits for a replica that it may use, and nobody passes it.
+  it('does not block the queue when only replicas that failed the request have free slots', () => {
+    // Guards against a refused request that blocks all requests behind it while it waits at the head
+    // of the queue for another replica.
     const harness = new Harness({ replicas: 1, slots: 1 });
     submit(harness, 'first', 'chat');
     submit(harness, 'second', 'chat');
--- a/packages/policy/src/lib/SharedLimit/SharedLimit.ts
+++ b/packages/policy/src/lib/SharedLimit/SharedLimit.ts
@@ -2,16 +2,16 @@
 import { getMixedScore } from '../getMixedScore.js';
 
 /**
- * One daemon's part of a replica's slots.
+ * One daemon's share of the slots of a replica.
  *
  * @internal
  */
 export interface Share {
-  /** Whether this daemon sends to the replica at all. */
+  /** Whether this daemon sends requests to the replica at all. */
   isIn: boolean;
-  /** How many requests it may have running there; may be zero when slots are fewer than daemons. */
+  /** The number of slots; may be zero if the replica has fewer slots than daemons. */
   slots: number;
-  /** Among how many daemons the slots are divided. */
+  /** The number of daemons that share the slots. */
   contenders: number;
 }
 
@@ -21,14 +21,14 @@
 }
 
 /**
- * Divides the slots of each replica among the daemons without agreement: every daemon that knows
- * the same members computes the same rendezvous order of daemons for a replica, and the first
- * `contenders` of it divide the slots evenly, the earlier ones taking the remainder. The parts of
- * a replica add up to its slots exactly, so daemons that see the same members never exceed them
- * by their shares. Daemons that for a while see different members may.
+ * Divides the slots of each replica among the daemons without coordination. Daemons with the same
+ * member list compute the same order of daemons for a replica by rendezvous hashing. The first
+ * `daemonCount` daemons in this order divide the slots evenly, and the earlier ones get the
+ * remainder. The shares of a replica add up to exactly its slots, so daemons with the same member
+ * list never exceed the slots by their shares. Daemons whose member lists differ for a while may.
  *
- * In a large fleet each replica is divided among just so many daemons that a daemon has
- * `subsetSize` replicas of the service on average; every replica has takers.
+ * In a large fleet, each replica is shared by only as many daemons as are needed for a daemon to use
+ * `subsetSize` replicas of the service on average. Every replica is used by at least one daemon.
  *
  * @internal
  */
@@ -39,12 +39,12 @@
 
   private others: Daemon[] = [];
 
-  /** @param subsetSize - replicas of a service for each daemon, on average */
+  /** @param subsetSize - the average number of replicas of a service that a daemon uses */
   constructor(subsetSize: number) {
     this.subsetSize = subsetSize;
   }
 
-  /** Takes the live daemons, this one among them. */
+  /** Sets the list of live daemons, which includes this one. */
   setDaemons(self: string, daemons: readonly string[]): void {
     this.self = { id: self, hash: getHash(self) };
     this.others = [...new Set(daemons)]
@@ -53,26 +53,26 @@
   }
 
   /**
-   * This daemon's part of a replica.
+   * Returns this daemon's share of a replica.
    *
-   * @param replica - its id
-   * @param slots - how many requests it runs at once
-   * @param replicaCount - how many replicas the service has
+   * @param replica - the id of the replica
+   * @param slots - how many requests the replica runs at once
+   * @param replicaCount - the number of replicas that the daemons are spread over
    */
   getShare(replica: string, slots: number, replicaCount: number): Share {
     const daemons = this.others.length + 1;
-    const wanted = Math.ceil((this.subsetSize * daemons) / Math.max(1, replicaCount));
-    const contenders = Math.min(daemons, wanted);
-    const rank = this.getRank(getHash(replica), contenders);
-    if (rank >= contenders) {
-      return { isIn: false, slots: 0, contenders };
+    const wantedCount = Math.ceil((this.subsetSize * daemons) / Math.max(1, replicaCount));
+    const daemonCount = Math.min(daemons, wantedCount);
+    const rank = this.getRank(getHash(replica), daemonCount);
+    if (rank >= daemonCount) {
+      return { isIn: false, slots: 0, contenders: daemonCount };
     }
-    const remainder = slots % contenders;
-    const part = Math.floor(slots / contenders) + (rank < remainder ? 1 : 0);
-    return { isIn: true, slots: part, contenders };
+    const remainder = slots % daemonCount;
+    const ownSlots = Math.floor(slots / daemonCount) + (rank < remainder ? 1 : 0);
+    return { isIn: true, slots: ownSlots, contenders: daemonCount };
   }
 
-  /** How many daemons the replica prefers to this one, counted up to the limit. */
+  /** Counts the daemons that precede this one in the order of the replica, up to a limit. */
   private getRank(replica: number, limit: number): number {
     const own = getMixedScore(replica, this.self.hash);
     let rank = 0;
--- a/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
+++ b/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
@@ -5,74 +5,79 @@
 const NO_SHARE: Share = { isIn: false, slots: 0, contenders: 1 };
 
 /**
- * What a load report says, corrected by what this daemon did since.
+ * The load of a replica: its last load report, corrected for what this daemon sent since.
  *
  * @internal
  */
 export interface ObservedLoad {
   load: number;
-  /** How much of it is this daemon's. */
+  /** The part of the load that comes from this daemon. */
   own: number;
   measuredAt: Milliseconds;
 }
 
 /**
- * How many requests one daemon may have running at one replica. Without load reports that is its
- * share. A report that shows free slots lends each daemon its part of them; one that shows more
- * than the slots calls back a part of what each uses: down to its share, or to half of it where
- * slots are kept free and the replica is overloaded all the same. Adding the same for all and
- * taking back in proportion lets those that use most give back most, as TCP's congestion control
- * does (Chiu and Jain, 1989). Parts are rounded at random, so that they add up on average.
+ * The number of requests that one daemon may have running at one replica. Without load reports this
+ * is the daemon's share. When a report shows free slots, each daemon may use an equal part of them in
+ * addition. When a report shows an overload, each daemon reduces its limit in proportion to what it
+ * uses: down to its share, or down to half of it if the replica is overloaded although slots are
+ * reserved. Equal increases and proportional decreases make the heaviest users give back most, as in
+ * the congestion control of TCP (additive increase, multiplicative decrease; Chiu and Jain, 1989).
+ * Fractions are rounded at random, so that the parts add up correctly on average.
  *
- * The parts that daemons are lent never exceed what a report shows free. As reports lag, a replica
- * may for the time of the lag get what was lent and what its owners take back at once: by their
- * shares they could use their slots all along.
+ * Before rounding, the additional slots of all daemons together never exceed the free slots of a
+ * report. Reports lag, however: for the length of the lag, a replica may run requests in lent slots
+ * while the daemons that own these slots use them again, which their shares always allow.
  *
  * @internal
  */
 export class SlotAllowance {
-  private readonly maxAge: Milliseconds;
+  private readonly maxReportAge: Milliseconds;
 
-  private part: Share = NO_SHARE;
+  private currentShare: Share = NO_SHARE;
 
-  private plan: SlotPlan = { shared: 0, fillable: 0, guaranteed: 1 };
+  private plan: SlotPlan = { shared: 0, targetLoad: 0, guaranteedRatio: 1 };
 
-  private allowed: { slots: number; at: Milliseconds } | undefined;
+  private adjustedLimit: { slots: number; at: Milliseconds } | undefined;
 
-  /** @param maxAge - how long the last change counts without a further report */
-  constructor(maxAge: Milliseconds) {
-    this.maxAge = maxAge;
+  /** @param maxReportAge - how long an adjusted limit is valid without a further report */
+  constructor(maxReportAge: Milliseconds) {
+    this.maxReportAge = maxReportAge;
   }
 
   get share(): Share {
-    return this.part;
+    return this.currentShare;
   }
 
-  /** Takes this daemon's part, and how all of them use the slots. */
+  /** Sets this daemon's share, and the plan by which all daemons use the slots. */
   setShare(share: Share, plan: SlotPlan): void {
-    this.part = share;
+    this.currentShare = share;
     this.plan = plan;
   }
 
-  /** Never below what is guaranteed, also when the share grew since the last report. */
+  /**
+   * Returns the current limit. It is never below the guaranteed part of the share, even if the share
+   * has grown since the last report.
+   */
   getLimit(now: Milliseconds): number {
-    const { allowed, part } = this;
-    return allowed === undefined || now - allowed.at > this.maxAge
-      ? part.slots
-      : Math.max(Math.ceil(part.slots * this.plan.guaranteed), allowed.slots);
+    const { adjustedLimit, currentShare } = this;
+    return adjustedLimit === undefined || now - adjustedLimit.at > this.maxReportAge
+      ? currentShare.slots
+      : Math.max(Math.ceil(currentShare.slots * this.plan.guaranteedRatio), adjustedLimit.slots);
   }
 
   /**
-   * Adjusts the limit. A report that was measured before the last change took effect changes
-   * nothing: each daemon would take the same free slot again with every report until the first
-   * that shows it taken.
+   * Adjusts the limit to a load report. Reports measured before the last adjustment are ignored:
+   * otherwise each daemon would claim the same free slots again with every report, until a report
+   * shows them in use.
    */
   report({ load, own, measuredAt }: ObservedLoad, now: Milliseconds, random: Random): void {
-    if (this.allowed !== undefined && measuredAt < this.allowed.at) {
+    if (this.adjustedLimit !== undefined && measuredAt < this.adjustedLimit.at) {
       return;
     }
-    const free = this.plan.fillable - load;
-    const change = free >= 0 ? free / this.part.contenders : (free * own) / load;
-    this.allowed = { slots: own + Math.floor(change + random.next()), at: now };
+    const freeSlots = this.plan.targetLoad - load;
+    const change =
+      freeSlots >= 0 ? freeSlots / this.currentShare.contenders : (freeSlots * own) / load;
+    this.adjustedLimit = { slots: own + Math.floor(change + random.next()), at: now };
   }
 }
--- a/packages/policy/src/lib/WaitingRoom/WaitingRoom.ts
+++ b/packages/policy/src/lib/WaitingRoom/WaitingRoom.ts
@@ -10,7 +10,7 @@
 import type { RequestRecord } from '../Scheduler/RequestRecord.js';
 
 /**
- * Why a request can't wait here, and when asking again makes sense.
+ * Why a request is not queued, and when the caller should retry.
  *
  * @internal
  */
@@ -20,156 +20,164 @@
 }
 
 /**
- * What the room is made of.
+ * Constructor arguments of a `RequestQueue`.
  *
  * @internal
  */
-export interface WaitingRoomParts {
+export interface RequestQueueSettings {
   clock: Clock;
   options: PolicyOptions;
   random: Random;
   /** Starts a request; the promise settles when its slot is free again. */
   start: (record: RequestRecord) => Promise<void>;
-  /** A request waited for too long and is out of the queue. */
+  /** A request waited too long and was removed from the queue. */
   onExpired: (record: RequestRecord) => void;
-  /** A parked request is back in the queue. */
-  onReturned: () => void;
+  /** A parked request was put back into the queue. */
+  onRequeued: () => void;
 }
 
-function createQueue(fair: ClassFairQueue): PQueue<ClassFairQueue, QueuePlace> {
-  // p-queue creates its queue itself; a constructor that returns an object gives it ours.
-  function getFair(): ClassFairQueue {
-    return fair;
+function createPQueue(classQueue: ClassFairQueue): PQueue<ClassFairQueue, QueuePlace> {
+  // p-queue calls `new queueClass()` itself. A constructor may return an existing object, so this
+  // makes p-queue use our queue.
+  function getClassQueue(): ClassFairQueue {
+    return classQueue;
   }
-  const queueClass = getFair as unknown as new () => ClassFairQueue;
+  const queueClass = getClassQueue as unknown as new () => ClassFairQueue;
   return new PQueue<ClassFairQueue, QueuePlace>({ queueClass, autoStart: false });
 }
 
 /**
- * Where the requests of one service wait: a p-queue over a `ClassFairQueue`, and the rules on who
- * may join it.
+ * The queue of waiting requests of one service: a p-queue on top of a `ClassFairQueue`, with rules
+ * for admission, eviction and expiry.
  *
- * p-queue frees a slot in a microtask after a task's promise settled. A state machine decides
- * while it handles a message and at no other time, or two runs of the same messages would differ.
- * So the queue is paused except for the moment in which `startNext` lets it start one task.
+ * p-queue frees a slot in a microtask after the promise of a task has settled. The scheduler must
+ * make decisions only while it handles a message or timer, or two runs with the same messages could
+ * differ. The p-queue is therefore paused except while `startNext` lets it start one task.
  *
  * @internal
  */
-export class WaitingRoom {
-  private readonly parts: WaitingRoomParts;
+export class RequestQueue {
+  private readonly settings: RequestQueueSettings;
 
-  private readonly fair: ClassFairQueue;
+  private readonly classQueue: ClassFairQueue;
 
   private readonly queue: PQueue<ClassFairQueue, QueuePlace>;
 
-  private readonly rates = new Map<string, DrainRate>();
+  private readonly drainRates = new Map<string, DrainRate>();
 
-  constructor(parts: WaitingRoomParts) {
-    this.parts = parts;
-    this.fair = new ClassFairQueue(parts.options);
-    this.queue = createQueue(this.fair);
+  constructor(settings: RequestQueueSettings) {
+    this.settings = settings;
+    this.classQueue = new ClassFairQueue(settings.options);
+    this.queue = createPQueue(this.classQueue);
   }
 
   get size(): number {
-    return this.fair.size;
+    return this.classQueue.size;
   }
 
   /**
-   * Whether a request would wait in vain. Judged from how fast its class has been draining: a
-   * caller that is refused now can still go elsewhere, one that is refused at its deadline can't.
-   * Urgent tiers are not refused on an estimate, only when their deadline has come.
+   * Returns a refusal if the request would probably still be waiting at its deadline, estimated
+   * from the drain rate of its class. A caller that is refused at once can still go elsewhere; one
+   * that is refused at its deadline can't. Requests of urgent tiers are never refused on an
+   * estimate, only when their deadline has passed.
    */
   getEarlyRefusal(record: RequestRecord): Refusal | undefined {
-    const now = this.parts.clock.now();
-    const left = record.deadline - now;
-    if (left <= 0) {
+    const now = this.settings.clock.now();
+    const timeLeft = record.deadline - now;
+    if (timeLeft <= 0) {
       return { reason: GiveUpReason.Deadline, retryAfter: this.getRetryAfter(record) };
     }
-    const rate = this.getRate(record.request.serviceClass.name, now);
+    const rate = this.getObservedRate(record.request.serviceClass.name, now);
     const place = record.getPlace();
     if (
       record.isUrgent ||
       rate === undefined ||
-      this.fair.getWaiting(place.serviceClass.name) === 0
+      this.classQueue.getWaiting(place.serviceClass.name) === 0
     ) {
       return undefined;
     }
-    const wait = this.fair.getAhead(place) / rate;
-    return wait <= left * this.parts.options.refusalMargin
+    const expectedWait = this.classQueue.getAhead(place) / rate;
+    return expectedWait <= timeLeft * this.settings.options.refusalMargin
       ? undefined
-      : { reason: GiveUpReason.Deadline, retryAfter: this.spread(wait - left) };
+      : { reason: GiveUpReason.Deadline, retryAfter: this.addJitter(expectedWait - timeLeft) };
   }
 
   /**
-   * Makes room for a newcomer when the queue of its class is full.
+   * Evicts a request if the queue of the class of a new request is full.
    *
-   * @returns the id of the request that gives way, which may be the newcomer itself; undefined
-   *   when nobody has to
+   * @returns the id of the evicted request, which may be the new request itself; undefined if the
+   *   queue is not full
    */
-  makeRoom(record: RequestRecord): string | undefined {
+  evictIfFull(record: RequestRecord): string | undefined {
     const place = record.getPlace();
-    if (this.fair.getWaiting(place.serviceClass.name) < this.parts.options.maxWaitingPerClass) {
+    if (
+      this.classQueue.getWaiting(place.serviceClass.name) < this.settings.options.maxWaitingPerClass
+    ) {
       return undefined;
     }
-    const evicted = this.fair.evictFor(place);
-    this.rates.forEach((_, name) => this.noteLeft(name));
-    return evicted ?? record.id;
+    const evictedId = this.classQueue.evictFor(place);
+    this.drainRates.forEach((_, name) => this.recordDeparture(name));
+    return evictedId ?? record.id;
   }
 
   /**
-   * Lets a request wait: until its deadline, or, if it is under way already, as long as its caller
-   * can be expected to wait for the rest.
+   * Adds a request to the queue. It expires at its deadline or, if the deadline no longer applies to
+   * it, after the time for which a caller can be expected to wait for the rest of a response.
    */
   add(record: RequestRecord): void {
-    const { clock, options } = this.parts;
+    const { clock, options } = this.settings;
     const now = clock.now();
-    const until = record.isUnderWay ? now + options.resumePatience : record.deadline;
-    const timer = clock.setTimer(until - now, () => {
+    const expiresAt = record.isExemptFromDeadline ? now + options.resumePatience : record.deadline;
+    const timer = clock.setTimer(expiresAt - now, () => {
       this.remove(record);
-      this.parts.onExpired(record);
+      this.settings.onExpired(record);
     });
-    record.enter(Phase.Waiting, timer);
-    this.queue.add(() => this.parts.start(record), record.getPlace());
+    record.enterPhase(Phase.Waiting, timer);
+    this.queue.add(() => this.settings.start(record), record.getPlace());
     this.getDrainRate(record.request.serviceClass.name).setWaiting(true, now);
   }
 
-  /** Whether requests wait that could run wherever this one could, and can't. */
+  /**
+   * Returns whether requests of the same class already wait for the same replicas. If they can't
+   * run now, neither can this one.
+   */
   isBlocked(record: RequestRecord): boolean {
-    return this.fair.hasLane(record.getPlace());
+    return this.classQueue.hasLane(record.getPlace());
   }
 
   /**
-   * Takes a request aside for a moment: only replicas that failed it have room, and it must not
-   * hold up those behind it. After the pause those replicas may be tried again.
+   * Takes a request out of the queue for a backoff period, because only replicas that failed it have
+   * free slots and it must not block the requests behind it. After the backoff these replicas may be
+   * tried again.
    */
   park(record: RequestRecord): void {
-    const { clock, options } = this.parts;
-    const growth = record.isUrgent ? 1 : 2 ** record.parks;
-    const pause = Math.min(options.maxRetryBackoff, options.retryBackoff * growth);
-    const left = record.isUnderWay ? pause : record.deadline - clock.now();
-    const timer = clock.setTimer(Math.min(pause, left), () => {
-      record.forgive();
+    const { clock, options } = this.settings;
+    const factor = record.isUrgent ? 1 : 2 ** record.parkCount;
+    const pause = Math.min(options.maxRetryBackoff, options.retryBackoff * factor);
+    const timeLeft = record.isExemptFromDeadline ? pause : record.deadline - clock.now();
+    const timer = clock.setTimer(Math.min(pause, timeLeft), () => {
+      record.clearFailedReplicas();
       this.add(record);
-      this.parts.onReturned();
+      this.settings.onRequeued();
     });
-    record.park();
-    record.enter(Phase.Parked, timer);
-    this.noteLeft(record.request.serviceClass.name);
+    record.recordParking();
+    record.enterPhase(Phase.Parked, timer);
+    this.recordDeparture(record.request.serviceClass.name);
   }
 
   remove(record: RequestRecord): void {
-    this.fair.remove(record.id);
-    this.noteLeft(record.request.serviceClass.name);
+    this.classQueue.remove(record.id);
+    this.recordDeparture(record.request.serviceClass.name);
   }
 
   /**
    * Starts the next request that can run.
    *
-   * @param gate - whether a lane's next request could run now
-   * @returns false when none can
+   * @param gate - tells whether the next request of a lane could run now
+   * @returns false if no request can run
    */
   startNext(gate: LaneGate): boolean {
-    if (!this.fair.select(gate)) {
+    if (!this.classQueue.select(gate)) {
       return false;
     }
     this.queue.concurrency = this.queue.pending + 1;
@@ -178,54 +186,62 @@
     return true;
   }
 
-  /** Notes that a request of the class left the queue for a replica. */
-  noteDispatch(className: string): void {
-    this.getDrainRate(className).note(this.parts.clock.now());
-    this.noteLeft(className);
+  /** Records that a request of the class was dispatched to a replica. */
+  recordDispatch(className: string): void {
+    this.getDrainRate(className).recordDispatch(this.settings.clock.now());
+    this.recordDeparture(className);
   }
 
-  /** When a refused caller should ask again: once what waits before it has probably drained. */
+  /**
+   * Returns how long a refused caller should wait before it retries: until the requests ahead of it
+   * have probably been dispatched.
+   */
   getRetryAfter(record: RequestRecord): Milliseconds {
-    const now = this.parts.clock.now();
-    const rate = this.getRate(record.request.serviceClass.name, now);
-    return this.spread(rate === undefined ? 0 : this.fair.getAhead(record.getPlace()) / rate);
+    const now = this.settings.clock.now();
+    const rate = this.getObservedRate(record.request.serviceClass.name, now);
+    return this.addJitter(
+      rate === undefined ? 0 : this.classQueue.getAhead(record.getPlace()) / rate,
+    );
   }
 
-  /** Waiting requests by class. */
+  /** Returns the number of waiting requests of each class. */
   getWaiting(): Record<string, number> {
-    const names = [...this.rates.keys()];
-    return Object.fromEntries(names.map((name) => [name, this.fair.getWaiting(name)]));
+    const names = [...this.drainRates.keys()];
+    return Object.fromEntries(names.map((name) => [name, this.classQueue.getWaiting(name)]));
   }
 
-  /** The tier that a class goes before when its floor is due. */
-  getOvertaken(className: string): number | undefined {
-    return this.fair.getOvertaken(className);
+  /**
+   * Returns the more urgent tier that a class overtakes when its guaranteed minimum share (floor) is
+   * due.
+   */
+  getOvertakenTier(className: string): number | undefined {
+    return this.classQueue.getOvertaken(className);
   }
 
   getCredits(): Record<string, number> {
-    return this.fair.getCredits();
+    return this.classQueue.getCredits();
   }
 
-  /** Notes that a request of the class left the queue, wherever to. */
-  private noteLeft(className: string): void {
-    const isWaiting = this.fair.getWaiting(className) > 0;
-    this.getDrainRate(className).setWaiting(isWaiting, this.parts.clock.now());
+  /** Records that a request of the class left the queue, for whatever reason. */
+  private recordDeparture(className: string): void {
+    const isWaiting = this.classQueue.getWaiting(className) > 0;
+    this.getDrainRate(className).setWaiting(isWaiting, this.settings.clock.now());
   }
 
   private getDrainRate(className: string): DrainRate {
-    const rate = this.rates.get(className) ?? new DrainRate(this.parts.options.drainWindow);
-    this.rates.set(className, rate);
+    const rate = this.drainRates.get(className) ?? new DrainRate(this.settings.options.drainWindow);
+    this.drainRates.set(className, rate);
     return rate;
   }
 
-  private getRate(className: string, now: Milliseconds): number | undefined {
-    return this.rates.get(className)?.get(now, this.parts.options.minDrainObservation);
+  private getObservedRate(className: string, now: Milliseconds): number | undefined {
+    return this.drainRates.get(className)?.getRate(now, this.settings.options.minDrainObservation);
   }
 
-  /** Spread over half the time again, or all that were refused come back at once. */
-  private spread(wait: Milliseconds): Milliseconds {
-    const { minRetryAfter, maxRetryAfter } = this.parts.options;
-    const base = Math.min(maxRetryAfter, Math.max(minRetryAfter, wait));
-    return Math.ceil(base * (1 + this.parts.random.next() / 2));
+  /** Adds up to 50 % of random jitter, so that refused callers do not all retry at the same time. */
+  private addJitter(delay: Milliseconds): Milliseconds {
+    const { minRetryAfter, maxRetryAfter } = this.settings.options;
+    const base = Math.min(maxRetryAfter, Math.max(minRetryAfter, delay));
+    return Math.ceil(base * (1 + this.settings.random.next() / 2));
   }
 }
