--- a/packages/mesh/src/lib/KeyProvider/KeyProvider.test.ts
+++ b/packages/mesh/src/lib/KeyProvider/KeyProvider.test.ts
@@ -53,7 +53,7 @@
     const other = await CertificateAuthority.create('theirs');
     const beta = await createMesh('beta', new TestKeys(await authority.issue('beta')));
     const ownAuthority = (await authority.issue('alpha')).caCertificate;
-    const forged = { ...(await other.issue('alpha')), authority: ownAuthority };
+    const forged = { ...(await other.issue('alpha')), caCertificate: ownAuthority };
     const stranger = await createMesh('alpha', new TestKeys(forged));
     const plain = await createMesh('alpha');
     await expect(stranger.mesh.call(beta.address, 'echo', 1)).rejects.toThrow();
--- a/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
@@ -71,8 +71,8 @@
   .map(({ className, workspace, model, prefixHash }) =>
     createCommand(`submit ${className} ${workspace} ${model}`, (oracle, harness) => {
       const id = `${className}-${oracle.stories.size + 1}`;
-      const arrived = harness.clock.now();
-      const rules = { workspace, model, prefixHash, arrived };
+      const arrivedAt = harness.clock.now();
+      const rules = { workspace, model, prefixHash, arrivedAt };
       const request = createRequest(id, classes[className], rules);
       sendToBoth(oracle, harness, { kind: 'submit', request });
     }),
