--- a/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.test.ts
+++ b/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.test.ts
@@ -4,32 +4,35 @@
 import type { LaneGate } from './ClassFairQueue.js';
 import type { QueuePlace } from './QueuePlace.js';
 
-const RUNS = { numRuns: Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 200), seed: 20_260_402 };
+const PROPERTY_OPTIONS = {
+  numRuns: Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 200),
+  seed: 20_260_402,
+};
 
 const OPTIONS = { minFloor: 0.01, maxFloorSum: 0.5 };
 
-const open: LaneGate = () => true;
+const allowAll: LaneGate = () => true;
 
-interface Waiting extends Partial<Omit<QueuePlace, 'serviceClass'>> {
+interface WaitingRequest extends Partial<Omit<QueuePlace, 'serviceClass'>> {
   id: string;
   tier?: number;
   floor?: number;
   className?: string;
 }
 
-/** A queue whose tasks note what was served. */
-class Line {
+/** A queue whose tasks record the order of service. */
+class FairQueueHarness {
   readonly queue = new ClassFairQueue(OPTIONS);
 
   readonly served: string[] = [];
 
-  add({ tier = 2, floor = 0, className = `tier-${tier}`, ...place }: Waiting): void {
+  add({ tier = 2, floor = 0, className = `tier-${tier}`, ...place }: WaitingRequest): void {
     const serviceClass = { name: className, tier, floor };
     const rest = { workspace: 'painotalo', weight: 1, pool: '', ...place };
     this.queue.enqueue(async () => this.served.push(place.id), { ...rest, serviceClass });
   }
 
-  serve(gate: LaneGate = open): string | undefined {
+  serveNext(gate: LaneGate = allowAll): string | undefined {
     if (!this.queue.select(gate)) {
       return undefined;
     }
@@ -38,96 +41,100 @@
   }
 
   serveAll(): string[] {
-    while (this.serve() !== undefined);
+    while (this.serveNext() !== undefined);
     return this.served;
   }
 }
 
 describe('ClassFairQueue', () => {
-  it('serves the most urgent tier first, and one workspace in order of arrival', () => {
-    const line = new Line();
-    line.add({ id: 'draft', tier: 5 });
-    line.add({ id: 'first', tier: 0 });
-    line.add({ id: 'second', tier: 0 });
-    expect(line.serveAll()).toEqual(['first', 'second', 'draft']);
+  it('serves the most urgent tier first and requests of one workspace in order of arrival', () => {
+    const harness = new FairQueueHarness();
+    harness.add({ id: 'draft', tier: 5 });
+    harness.add({ id: 'first', tier: 0 });
+    harness.add({ id: 'second', tier: 0 });
+    expect(harness.serveAll()).toEqual(['first', 'second', 'draft']);
   });
 
-  it('shares a tier among workspaces by weight, whoever came first', () => {
-    // Symptom: one print shop's hundred quotes make all others wait. Sequence: it sends them at
-    // once, then two others send theirs. Cause: a tier served in order of arrival.
-    const line = new Line();
+  it('shares a tier among workspaces by weight, regardless of arrival order', () => {
+    // Guards against serving a tier in order of arrival: one workspace sends a hundred requests at
+    // once, and those that two other workspaces send afterwards would wait for all of them.
+    const harness = new FairQueueHarness();
     for (let index = 0; index < 100; index += 1) {
-      line.add({ id: `flood-${index}`, workspace: 'flood' });
+      harness.add({ id: `flood-${index}`, workspace: 'flood' });
     }
     for (let index = 0; index < 20; index += 1) {
-      line.add({ id: `light-${index}`, workspace: 'light' });
-      line.add({ id: `heavy-${index}`, workspace: 'heavy', weight: 2 });
+      harness.add({ id: `light-${index}`, workspace: 'light' });
+      harness.add({ id: `heavy-${index}`, workspace: 'heavy', weight: 2 });
     }
-    const first = Array.from({ length: 40 }, () => line.serve()!.split('-')[0]!);
+    const first = Array.from({ length: 40 }, () => harness.serveNext()!.split('-')[0]!);
     const count = (name: string) => first.filter((each) => each === name).length;
     expect([count('flood'), count('light'), count('heavy')]).toEqual([10, 10, 20]);
   });
 
-  it('does not let one pool without room hold up another, nor lose what leaves', () => {
-    const line = new Line();
-    line.add({ id: 'stuck', pool: 'laaja' });
-    line.add({ id: 'left', pool: 'nopea' });
-    line.add({ id: 'free', pool: 'nopea' });
-    line.queue.remove('left');
+  it('serves a pool with room while another is full, and skips removed requests', () => {
+    const harness = new FairQueueHarness();
+    harness.add({ id: 'stuck', pool: 'laaja' });
+    harness.add({ id: 'left', pool: 'nopea' });
+    harness.add({ id: 'free', pool: 'nopea' });
+    harness.queue.remove('left');
     const gate: LaneGate = ({ pool }) => pool === 'nopea';
-    expect([line.serve(gate), line.serve(gate), line.queue.size]).toEqual(['free', undefined, 1]);
-    expect(line.serve()).toBe('stuck');
+    expect([harness.serveNext(gate), harness.serveNext(gate), harness.queue.size]).toEqual([
+      'free',
+      undefined,
+      1,
+    ]);
+    expect(harness.serveNext()).toBe('stuck');
   });
 
-  it('serves what was dispatched before ahead of its lane and charges it once', () => {
-    const line = new Line();
-    line.add({ id: 'fresh', workspace: 'offset' });
-    line.add({ id: 'resumed', resumed: true });
-    line.add({ id: 'next' });
-    expect(line.serveAll()).toEqual(['resumed', 'fresh', 'next']);
+  it('serves resumed requests ahead of their lane and charges them once', () => {
+    const harness = new FairQueueHarness();
+    harness.add({ id: 'fresh', workspace: 'offset' });
+    harness.add({ id: 'resumed', resumed: true });
+    harness.add({ id: 'next' });
+    expect(harness.serveAll()).toEqual(['resumed', 'fresh', 'next']);
   });
 
-  it('has the newest of the workspace with most give way, in the least urgent tier', () => {
-    // Symptom: a full queue refuses a gate check while lease summaries keep their places. Cause:
-    // the newcomer is refused, whoever it is.
-    const line = new Line();
-    ['a', 'b', 'c'].forEach((id) => line.add({ id, tier: 4, workspace: 'large' }));
-    line.add({ id: 'd', tier: 4, workspace: 'small' });
-    line.add({ id: 'resumed', tier: 5, resumed: true });
+  it('evicts the newest request of the largest backlog in the least urgent tier', () => {
+    // Guards against a full queue refusing every new request: an urgent one would be refused while
+    // requests of less urgent tiers keep their places.
+    const harness = new FairQueueHarness();
+    ['a', 'b', 'c'].forEach((id) => harness.add({ id, tier: 4, workspace: 'large' }));
+    harness.add({ id: 'd', tier: 4, workspace: 'small' });
+    harness.add({ id: 'resumed', tier: 5, resumed: true });
     const serviceClass = { name: 'tier-4', tier: 4, floor: 0 };
     const place = { id: 'x', pool: '', weight: 1, serviceClass };
-    expect(line.queue.evictFor({ ...place, workspace: 'small' })).toBe('c');
-    expect(line.queue.evictFor({ ...place, workspace: 'large' })).toBeUndefined();
+    expect(harness.queue.evictFor({ ...place, workspace: 'small' })).toBe('c');
+    expect(harness.queue.evictFor({ ...place, workspace: 'large' })).toBeUndefined();
     const urgent = { ...serviceClass, name: 'tier-0', tier: 0 };
-    expect(line.queue.evictFor({ ...place, workspace: 'x', serviceClass: urgent })).toBe('b');
-    expect(line.queue.size).toBe(3);
+    expect(harness.queue.evictFor({ ...place, workspace: 'x', serviceClass: urgent })).toBe('b');
+    expect(harness.queue.size).toBe(3);
   });
 
-  it('has nothing urgent give way to a newcomer whose own class is full', () => {
-    const line = new Line();
-    line.add({ id: 'resumed', tier: 4, resumed: true });
-    line.add({ id: 'gate', tier: 0 });
+  it('evicts no urgent request for a new one whose own class is full', () => {
+    const harness = new FairQueueHarness();
+    harness.add({ id: 'resumed', tier: 4, resumed: true });
+    harness.add({ id: 'gate', tier: 0 });
     const serviceClass = { name: 'tier-4', tier: 4, floor: 0 };
-    const newcomer = { id: 'x', pool: '', weight: 1, workspace: 'x', serviceClass };
-    expect(line.queue.evictFor(newcomer)).toBeUndefined();
+    const newRequest = { id: 'x', pool: '', weight: 1, workspace: 'x', serviceClass };
+    expect(harness.queue.evictFor(newRequest)).toBeUndefined();
   });
 
-  it('lets a class without room save up no more than one turn', () => {
-    // Symptom: gate checks wait for five drafts in a row. Sequence: the drafts' replicas are full
-    // for a minute, then get free together. Cause: the floor was earned all that time.
-    const line = new Line();
+  it('lets a class without room accumulate at most one credit', () => {
+    // Guards against unbounded credit: the replicas of a less urgent class are full for a minute
+    // and become free together, and an urgent request waits for five of that class in a row.
+    const harness = new FairQueueHarness();
     for (let index = 0; index < 60; index += 1) {
-      line.add({ id: `gate-${index}`, tier: 0 });
-      line.add({ id: `draft-${index}`, tier: 5, floor: 0.2, pool: 'laaja' });
+      harness.add({ id: `gate-${index}`, tier: 0 });
+      harness.add({ id: `draft-${index}`, tier: 5, floor: 0.2, pool: 'laaja' });
     }
     for (let index = 0; index < 40; index += 1) {
-      line.serve(({ pool }) => pool !== 'laaja');
+      harness.serveNext(({ pool }) => pool !== 'laaja');
     }
-    const next = Array.from({ length: 4 }, () => line.serve()!.split('-')[0]);
+    const next = Array.from({ length: 4 }, () => harness.serveNext()!.split('-')[0]);
     expect(next).toEqual(['draft', 'gate', 'gate', 'gate']);
   });
 
-  it('works as the queue class of p-queue, with priorities, filters and removal', async () => {
+  it('works as the queue class of p-queue with priorities, filters and removal', async () => {
     const fair = new ClassFairQueue(OPTIONS);
     function create() {
       return fair;
@@ -167,39 +174,39 @@
 
 const toFloor = (percent: number) => percent / 100;
 
-describe('the bounds of ClassFairQueue', () => {
-  it('delays an urgent request by no more than the floors may take', () => {
+describe('bounds of ClassFairQueue', () => {
+  it('delays an urgent request by no more than the share of the floors', () => {
     const property = fc.property(lowClasses, fc.nat(12), fc.nat(60), (low, ahead, before) => {
-      const line = new Line();
+      const harness = new FairQueueHarness();
       low.forEach(({ tier, floor }, index) => {
         for (let each = 0; each < 100; each += 1) {
           const className = `low-${index}`;
-          line.add({ id: `${className}-${each}`, tier, className, floor: toFloor(floor) });
+          harness.add({ id: `${className}-${each}`, tier, className, floor: toFloor(floor) });
         }
       });
       for (let index = 0; index < before; index += 1) {
-        line.add({ id: `before-${index}`, tier: 0 });
-        while (line.serve() !== `before-${index}`);
+        harness.add({ id: `before-${index}`, tier: 0 });
+        while (harness.serveNext() !== `before-${index}`);
       }
       for (let index = 0; index <= ahead; index += 1) {
-        line.add({ id: `urgent-${index}`, tier: 0 });
+        harness.add({ id: `urgent-${index}`, tier: 0 });
       }
       const bound = Math.ceil((ahead + 1 + low.length) / (1 - OPTIONS.maxFloorSum));
-      const next = Array.from({ length: bound }, () => line.serve());
+      const next = Array.from({ length: bound }, () => harness.serveNext());
       expect(next).toContain(`urgent-${ahead}`);
     });
-    fc.assert(property, RUNS);
+    fc.assert(property, PROPERTY_OPTIONS);
   });
 
-  it('starves no class, whatever urgent work keeps coming', () => {
-    // Symptom: a lease summary is never written. Sequence: gate checks come faster than replicas
-    // get free. Cause: the most urgent tier always goes first.
+  it('starves no class while urgent requests keep arriving', () => {
+    // Guards against strict priority: urgent requests arrive faster than replicas become free, and
+    // a less urgent class is never served.
     const property = fc.property(lowClasses, fc.nat(20), (low, pick) => {
-      const line = new Line();
+      const harness = new FairQueueHarness();
       low.forEach(({ tier, floor }, index) => {
         const className = `low-${index}`;
         for (let each = 0; each < 400; each += 1) {
-          line.add({ id: `${className}-${each}`, tier, className, floor: toFloor(floor) });
+          harness.add({ id: `${className}-${each}`, tier, className, floor: toFloor(floor) });
         }
       });
       const floors = low.map(({ floor }) => Math.max(OPTIONS.minFloor, toFloor(floor)));
@@ -209,12 +216,12 @@
       const bound = Math.ceil(1 / floor - 1e-9) + low.length;
       for (let round = 0; round < 3; round += 1) {
         const next = Array.from({ length: bound }, () => {
-          line.add({ id: `urgent-${line.served.length}`, tier: 0 });
-          return line.serve();
+          harness.add({ id: `urgent-${harness.served.length}`, tier: 0 });
+          return harness.serveNext();
         });
         expect(next.some((id) => id!.startsWith(`low-${index}-`))).toBe(true);
       }
     });
-    fc.assert(property, { ...RUNS, numRuns: Math.ceil(RUNS.numRuns / 4) });
+    fc.assert(property, { ...PROPERTY_OPTIONS, numRuns: Math.ceil(PROPERTY_OPTIONS.numRuns / 4) });
   });
 });
--- a/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
+++ b/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
@@ -7,28 +7,31 @@
 import type { WaitingItem } from './WaitingItem.js';
 
 /**
- * Says whether a lane's next request could run now.
+ * Decides whether the next request of a lane could run now.
  *
- * @param lane - a class and a pool of replicas
- * @param credited - whether the class's floor puts it first
+ * @param lane - the requests of one class for one pool of replicas
+ * @param credited - whether the class goes first because its floor is due
  * @internal
  */
 export type LaneGate = (lane: Lane, credited: boolean) => boolean;
 
 /**
- * The queue of one service, in the form that p-queue takes as its `queueClass`.
+ * The queue of one service, with the interface that p-queue expects of its `queueClass`.
  *
- * Order: first a class whose floor is due (see `FloorCredits`), then the most urgent tier; within
- * a tier workspaces share by weight (see `TierQueue`); within a workspace the oldest first.
+ * A class whose floor is due goes first (see `FloorCredits`), then the most urgent tier. Within a
+ * tier, workspaces share by weight (see `TierQueue`); within a workspace, the oldest request goes
+ * first.
  *
- * Bounds, counted in dispatches made while a pool has room. Let `C` be the number of waiting
- * classes of less urgent tiers and `S` the sum of their floors, at most `maxFloorSum`:
+ * The queue guarantees two bounds, counted in dispatches made while a pool has room. Let `C` be the
+ * number of less urgent classes with waiting requests and `S` the sum of their floors, at most
+ * `maxFloorSum`:
  *
- * - An urgent request with `k` requests of its tier before it is dispatched within
- *   `ceil((k + 1 + C) / (1 - S))` dispatches: of `n` dispatches in a row the floors take at most
- *   `C + S * n`, because each class starts with at most one credit and earns its floor each time.
+ * - An urgent request with `k` requests of its tier ahead of it is dispatched within
+ *   `ceil((k + 1 + C) / (1 - S))` dispatches: of `n` consecutive dispatches the floors take at most
+ *   `C + S * n`, because each class starts with at most one credit and earns its floor with each
+ *   dispatch.
  * - A class with floor `f` (after scaling) is served within `ceil(1 / f) + C` dispatches: it
- *   earns a whole credit in `ceil(1 / f)`, and at most the other classes stand before it then.
+ *   earns a whole credit in `ceil(1 / f)`, and at most the other classes are ahead of it then.
  *
  * @public
  */
@@ -43,7 +46,7 @@
 
   private sequence = 0;
 
-  /** @param options - how floors are kept */
+  /** @param options - the bounds of the floors */
   constructor(options: FloorOptions) {
     this.credits = new FloorCredits(options);
   }
@@ -63,39 +66,45 @@
     this.getTier(place.serviceClass.tier).add(item);
   }
 
-  /** Part of p-queue's interface: takes what `select` chose, or would choose with all gates open. */
+  /**
+   * Part of p-queue's interface. Takes the request chosen by `select`, or the next one without a
+   * gate if nothing is selected.
+   */
   dequeue(): RunFunction | undefined {
-    const lane = this.selected?.lane ?? this.findLane(() => true);
+    const lane = this.selected?.lane ?? this.selectLane(() => true);
     this.selected = undefined;
     if (lane === undefined) {
       return undefined;
     }
-    const item = this.getTier(lane.tier).serve(lane);
+    const item = this.getTier(lane.tier).dequeue(lane);
     this.items.delete(item.place.id);
-    this.credits.serve(item.place.serviceClass.name);
+    this.credits.recordDispatch(item.place.serviceClass.name);
     this.credits.remove(item.place.serviceClass.name);
     return item.run;
   }
 
-  /** Part of p-queue's interface: the waiting requests of a tier, whose priority is its negative. */
+  /**
+   * Part of p-queue's interface: the waiting requests of a tier, whose priority is the negated
+   * tier.
+   */
   filter({ priority }: Readonly<Partial<QueuePlace>>): RunFunction[] {
     return [...this.items.values()]
       .filter(({ place }) => -place.serviceClass.tier === priority)
       .map(({ run }) => run);
   }
 
-  /** Part of p-queue's interface: moves a request to the tier that is the negative priority. */
+  /** Part of p-queue's interface: moves a request to the tier that is the negated priority. */
   setPriority(id: string, priority: number): void {
     const item = this.items.get(id);
     if (item === undefined) {
-      throw new ReferenceError(`no request ${id} waits`);
+      throw new ReferenceError(`request ${id} is not waiting`);
     }
     this.remove(id);
     const serviceClass = { ...item.place.serviceClass, tier: -priority };
     this.enqueue(item.run, { ...item.place, serviceClass });
   }
 
-  /** Takes a request out whose caller has left. */
+  /** Removes a request, as when its caller has left. */
   remove(id: string): void {
     const item = this.items.get(id);
     if (item === undefined) {
@@ -108,51 +117,53 @@
   }
 
   /**
-   * Chooses what the next `dequeue` takes.
+   * Chooses the request that the next `dequeue` takes.
    *
-   * @param gate - whether a lane's next request could run now
-   * @returns false when nothing that waits can run
+   * @param gate - whether the next request of a lane could run now
+   * @returns false if no waiting request can run
    */
   select(gate: LaneGate): boolean {
-    const lane = this.findLane(gate);
+    const lane = this.selectLane(gate);
     this.selected = lane && { lane };
     return lane !== undefined;
   }
 
   /**
-   * Takes out the request that has to give way to a newcomer: the newest of the workspace with
-   * most waiting, in the least urgent tier below the newcomer's; failing that in its own tier, if
-   * that workspace has more waiting by weight than the newcomer's.
+   * Evicts a request to make room for a new one: the newest request of the workspace with the
+   * largest backlog in the least urgent tier below the new request's. If there is no such tier, a
+   * request of the same tier is evicted, provided that its workspace has a larger backlog by weight
+   * than the new request's.
    *
-   * @returns its id, or undefined when the newcomer itself has to give way
+   * @returns the id of the evicted request, or undefined if the new request itself has to be
+   * refused
    */
   evictFor({ serviceClass, workspace, weight }: QueuePlace): string | undefined {
     const { tier } = serviceClass;
-    const lowest = this.tiers.findLast((each) => each?.heaviest !== undefined);
-    if (lowest === undefined || lowest.tier < tier) {
+    const leastUrgent = this.tiers.findLast((each) => each?.heaviest !== undefined);
+    if (leastUrgent === undefined || leastUrgent.tier < tier) {
       return undefined;
     }
-    const { heaviest } = lowest;
-    if (lowest.tier === tier) {
-      const own = (lowest.getFresh(workspace) + 1) / weight;
-      if (heaviest!.getBacklog() <= own) {
+    const { heaviest } = leastUrgent;
+    if (leastUrgent.tier === tier) {
+      const newBacklog = (leastUrgent.getUndispatchedCount(workspace) + 1) / weight;
+      if (heaviest!.getBacklog() <= newBacklog) {
         return undefined;
       }
     }
-    const { id } = heaviest!.getNewestFresh()!.place;
+    const { id } = heaviest!.getNewestUndispatched()!.place;
     this.remove(id);
     return id;
   }
 
   /**
-   * How many requests of its class would probably go before a newcomer: all that wait, or fewer
-   * when other workspaces hold most of the queue.
+   * Estimates how many requests of its class would be dispatched before a new request: all that
+   * wait, or fewer if other workspaces hold most of the queue.
    */
   getAhead({ serviceClass, workspace, weight }: QueuePlace): number {
     const tier = this.getTier(serviceClass.tier);
     const waiting = this.credits.getWaiting(serviceClass.name);
-    const own = tier.getFresh(workspace) + 1;
-    return Math.min(waiting, (own * (tier.activeWeight + weight)) / weight);
+    const ownCount = tier.getUndispatchedCount(workspace) + 1;
+    return Math.min(waiting, (ownCount * (tier.activeWeight + weight)) / weight);
   }
 
   /** Whether any request of the same class waits for the same pool. */
@@ -160,26 +171,26 @@
     return this.getTier(place.serviceClass.tier).hasLane(place);
   }
 
-  /** How many requests of a class wait. */
+  /** The number of waiting requests of a class. */
   getWaiting(className: string): number {
     return this.credits.getWaiting(className);
   }
 
-  /** The tier that a class goes before when its floor is due. */
+  /** The tier that a class overtakes when its floor is due. */
   getOvertaken(className: string): number | undefined {
-    return this.credits.getOvertaken(className);
+    return this.credits.getOvertakenTier(className);
   }
 
-  /** Credits by class that waits. */
+  /** The credits of all classes with waiting requests. */
   getCredits(): Record<string, number> {
     return this.credits.getCredits();
   }
 
-  private findLane(gate: LaneGate): Lane | undefined {
-    return this.findCredited(gate) ?? this.findByTier(gate);
+  private selectLane(gate: LaneGate): Lane | undefined {
+    return this.selectCreditedLane(gate) ?? this.selectLaneByTier(gate);
   }
 
-  private findCredited(gate: LaneGate): Lane | undefined {
+  private selectCreditedLane(gate: LaneGate): Lane | undefined {
     let found: Lane | undefined;
     Array.from(this.credits.getCredited()).some((className) => {
       this.tiers.some((tier) => {
@@ -191,7 +202,7 @@
     return found;
   }
 
-  private findByTier(gate: LaneGate): Lane | undefined {
+  private selectLaneByTier(gate: LaneGate): Lane | undefined {
     let found: Lane | undefined;
     this.tiers.some((tier) => {
       found = tier.select((lane) => gate(lane, false));
--- a/packages/policy/src/lib/ClassFairQueue/FloorCredits.ts
+++ b/packages/policy/src/lib/ClassFairQueue/FloorCredits.ts
@@ -1,17 +1,20 @@
 import type { QueuePlace } from './QueuePlace.js';
 
-/** Sums of fractions miss one by a little; a credit this close counts as whole. */
-const ROUNDING = 1e-9;
+/** Rounding tolerance: sums of fractions can fall slightly short of one. */
+const ROUNDING_TOLERANCE = 1e-9;
 
 /**
- * How floors are kept.
+ * The bounds of the floors.
  *
  * @internal
  */
 export interface FloorOptions {
-  /** The share every class has at least, so that a class without a floor does not starve. */
+  /** Minimum share of every class, so that a class without a floor does not starve. */
   minFloor: number;
-  /** What all floors together may take from more urgent tiers; beyond it they are scaled down. */
+  /**
+   * Maximum share that all floors together may take from more urgent tiers. Floors that exceed it
+   * in sum are scaled down.
+   */
   maxFloorSum: number;
 }
 
@@ -21,16 +24,17 @@
   floor: number;
   waiting: number;
   credit: number;
-  /** The most urgent tier whose dispatches earned the credit. */
-  overtakes: number;
+  /** The most urgent tier whose dispatches contributed to the credit. */
+  overtakenTier: number;
 }
 
 /**
- * A deficit counter for each class that waits: a dispatch of another class earns it its floor, a
- * dispatch of its own costs one, and from a credit of one on it goes first, in the order in which
- * the classes got there. Credit never exceeds one, so that a class can't save up a burst.
+ * Enforces the floors of the classes with a deficit counter for each class that has requests
+ * waiting. A dispatch of another class adds the floor to the credit of a class, a dispatch of its
+ * own subtracts one. Classes with a credit of one go first, in the order in which they reached it.
+ * Credit never exceeds one, so that a class cannot accumulate a burst.
  *
- * The most urgent tier that waits earns nothing: it goes first anyway.
+ * The most urgent waiting tier earns no credit, since it goes first anyway.
  *
  * @internal
  */
@@ -39,23 +43,30 @@
 
   private readonly classes = new Map<string, WaitingClass>();
 
-  /** Classes with a whole credit, the one that has had it longest first. */
+  /** Classes with a whole credit, in the order in which they reached it. */
   private readonly credited = new Set<string>();
 
   constructor(options: FloorOptions) {
     this.options = options;
   }
 
-  /** Notes that a request of the class waits. */
+  /** Records that another request of the class is waiting. */
   add({ serviceClass: { name, tier, floor } }: QueuePlace): void {
-    const effective = Math.max(floor, this.options.minFloor);
+    const effectiveFloor = Math.max(floor, this.options.minFloor);
     const known = this.classes.get(name);
     const waiting = (known?.waiting ?? 0) + 1;
-    const { credit, overtakes } = known ?? { credit: 0, overtakes: tier };
-    this.classes.set(name, { name, tier, floor: effective, waiting, credit, overtakes });
+    const { credit, overtakenTier } = known ?? { credit: 0, overtakenTier: tier };
+    this.classes.set(name, {
+      name,
+      tier,
+      floor: effectiveFloor,
+      waiting,
+      credit,
+      overtakenTier,
+    });
   }
 
-  /** Notes that one request of the class no longer waits. */
+  /** Records that a request of the class is no longer waiting. */
   remove(name: string): void {
     const known = this.classes.get(name)!;
     known.waiting -= 1;
@@ -65,20 +76,20 @@
     }
   }
 
-  /** Counts a dispatch; call it while the request that is served still counts as waiting. */
-  serve(served: string): void {
-    const urgent = this.getMostUrgent();
-    const earning = [...this.classes.values()].filter(({ tier }) => tier > urgent);
-    const sum = earning.reduce((total, { floor }) => total + floor, 0);
+  /** Records a dispatch. To be called while the dispatched request still counts as waiting. */
+  recordDispatch(served: string): void {
+    const mostUrgentTier = this.getMostUrgentTier();
+    const earningClasses = [...this.classes.values()].filter(({ tier }) => tier > mostUrgentTier);
+    const sum = earningClasses.reduce((total, { floor }) => total + floor, 0);
     const scale = Math.min(1, this.options.maxFloorSum / sum);
-    earning.forEach((each) => {
-      const overtakes = Math.min(each.overtakes, urgent);
-      Object.assign(each, { overtakes });
+    earningClasses.forEach((each) => {
+      const overtakenTier = Math.min(each.overtakenTier, mostUrgentTier);
+      Object.assign(each, { overtakenTier });
       this.changeCredit(each, each.floor * scale);
     });
-    const own = this.classes.get(served)!;
-    own.overtakes = own.tier;
-    this.changeCredit(own, -1);
+    const servedClass = this.classes.get(served)!;
+    servedClass.overtakenTier = servedClass.tier;
+    this.changeCredit(servedClass, -1);
   }
 
   /** The classes that go before all others, in order. */
@@ -86,28 +97,28 @@
     return this.credited;
   }
 
-  /** The tier that a class goes before when its floor is due. */
-  getOvertaken(name: string): number | undefined {
-    return this.classes.get(name)?.overtakes;
+  /** The tier that a class overtakes when its floor is due. */
+  getOvertakenTier(name: string): number | undefined {
+    return this.classes.get(name)?.overtakenTier;
   }
 
   getWaiting(name: string): number {
     return this.classes.get(name)?.waiting ?? 0;
   }
 
-  /** Credits by class, for the snapshot. */
+  /** The credits by class, for the snapshot. */
   getCredits(): Record<string, number> {
     return Object.fromEntries([...this.classes.values()].map((each) => [each.name, each.credit]));
   }
 
-  private getMostUrgent(): number {
+  private getMostUrgentTier(): number {
     return [...this.classes.values()].reduce((least, { tier }) => Math.min(least, tier), Infinity);
   }
 
   private changeCredit(waiting: WaitingClass, change: number): void {
     const credit = Math.min(1, Math.max(0, waiting.credit + change));
     Object.assign(waiting, { credit });
-    if (credit >= 1 - ROUNDING) {
+    if (credit >= 1 - ROUNDING_TOLERANCE) {
       this.credited.add(waiting.name);
     } else {
       this.credited.delete(waiting.name);
--- a/packages/policy/src/lib/ClassFairQueue/Lane.ts
+++ b/packages/policy/src/lib/ClassFairQueue/Lane.ts
@@ -4,13 +4,13 @@
 import type { WaitingItem } from './WaitingItem.js';
 import type { WorkspaceQueue } from './WorkspaceQueue.js';
 
-function compareQueues(left: WorkspaceQueue, right: WorkspaceQueue): number {
-  return left.start - right.start || left.head!.sequence - right.head!.sequence;
+function compareWorkspaceQueues(left: WorkspaceQueue, right: WorkspaceQueue): number {
+  return left.startTag - right.startTag || left.head!.sequence - right.head!.sequence;
 }
 
 /**
- * The waiting requests of one class for one pool of replicas: those that were dispatched before,
- * and the others by workspace.
+ * The waiting requests of one class for one pool of replicas. Requests that were dispatched before
+ * are kept apart from the others, which are queued by workspace.
  *
  * @internal
  */
@@ -21,16 +21,16 @@
 
   readonly pool: string;
 
-  /** Workspaces that wait here, the one to serve next on top. */
-  readonly queues = new Heap<WorkspaceQueue>(compareQueues);
+  /** The queues of the workspaces, with the one to serve next on top. */
+  readonly workspaceQueues = new Heap<WorkspaceQueue>(compareWorkspaceQueues);
 
   /**
-   * Requests that were dispatched before, in the order in which they came back. Their workspaces
-   * were charged then, and what they have computed so far is lost if they are given up.
+   * Requests that were dispatched before, in the order of their return. Their workspaces have
+   * already been charged, and the work done for them is lost if they are given up.
    */
   private readonly resumed = new LinkedList<WaitingItem>();
 
-  private readonly nodes = new Map<WaitingItem, ListNode<WaitingItem>>();
+  private readonly resumedNodes = new Map<WaitingItem, ListNode<WaitingItem>>();
 
   constructor(className: string, tier: number, pool: string) {
     this.className = className;
@@ -39,30 +39,30 @@
   }
 
   get isEmpty(): boolean {
-    return this.queues.size === 0 && this.resumed.size === 0;
+    return this.workspaceQueues.size === 0 && this.resumed.size === 0;
   }
 
-  /** The next request that was dispatched before. */
+  /** The next request among those that were dispatched before. */
   get nextResumed(): WaitingItem | undefined {
     return this.resumed.head;
   }
 
   addResumed(item: WaitingItem): void {
-    this.nodes.set(item, this.resumed.append(item));
+    this.resumedNodes.set(item, this.resumed.append(item));
   }
 
   removeResumed(item: WaitingItem): void {
-    this.resumed.remove(this.nodes.get(item)!);
-    this.nodes.delete(item);
+    this.resumed.remove(this.resumedNodes.get(item)!);
+    this.resumedNodes.delete(item);
   }
 
-  /** Whether this lane's next request goes before another's of the same tier. */
+  /** Whether the next request of this lane goes before that of another lane of the same tier. */
   isBefore(other: Lane): boolean {
     const own = this.nextResumed;
     const others = other.nextResumed;
     if (own !== undefined || others !== undefined) {
       return others === undefined || (own !== undefined && own.sequence < others.sequence);
     }
-    return compareQueues(this.queues.peek()!, other.queues.peek()!) < 0;
+    return compareWorkspaceQueues(this.workspaceQueues.peek()!, other.workspaceQueues.peek()!) < 0;
   }
 }
--- a/packages/policy/src/lib/ClassFairQueue/QueuePlace.ts
+++ b/packages/policy/src/lib/ClassFairQueue/QueuePlace.ts
@@ -2,7 +2,8 @@
 import type { QueueAddOptions } from 'p-queue';
 
 /**
- * Where a request stands in the queue of its service; the options given to `PQueue.add`.
+ * The options that determine the place of a request in the queue of its service, as passed to
+ * `PQueue.add`.
  *
  * @public
  */
@@ -10,10 +11,13 @@
   id: string;
   serviceClass: Pick<ServiceClass, 'name' | 'tier' | 'floor'>;
   workspace: string;
-  /** The workspace's share against others of its tier. */
+  /** The weight of the workspace relative to others in its tier. */
   weight: number;
-  /** Names the replicas that can run it: requests of one pool compete for the same slots. */
+  /** The pool of replicas that can run the request; requests of a pool compete for its slots. */
   pool: string;
-  /** It was dispatched before: it goes ahead of its lane's others and is not charged again. */
+  /**
+   * Whether the request was dispatched before. It then goes ahead of the others in its lane and is
+   * not charged again.
+   */
   resumed?: boolean;
 }
--- a/packages/policy/src/lib/ClassFairQueue/RunFunction.ts
+++ b/packages/policy/src/lib/ClassFairQueue/RunFunction.ts
@@ -1,5 +1,5 @@
 /**
- * What p-queue keeps in its queue: starts a task and settles when the task ends.
+ * An entry of p-queue's queue: starts a task and settles when the task ends.
  *
  * @public
  */
--- a/packages/policy/src/lib/ClassFairQueue/TierQueue.ts
+++ b/packages/policy/src/lib/ClassFairQueue/TierQueue.ts
@@ -5,19 +5,23 @@
 import { WorkspaceAccount } from './WorkspaceAccount.js';
 import { WorkspaceQueue } from './WorkspaceQueue.js';
 
-/** Accounts kept before idle ones are swept; the limit doubles with those that remain. */
-const IDLE_ACCOUNTS = 128;
+/**
+ * Number of accounts from which idle ones are evicted. After each sweep the threshold is raised to
+ * this number plus twice the number of remaining accounts.
+ */
+const MIN_ACCOUNTS_BEFORE_SWEEP = 128;
 
 function getLaneKey({ serviceClass, pool }: QueuePlace): string {
   return `${serviceClass.name}\n${pool}`;
 }
 
 /**
- * The waiting requests of one tier, shared among workspaces by weight with start-time fair
- * queueing (Goyal, Vin and Cheng, 1996): each workspace's next request carries a start tag in
- * virtual time, the smallest goes first, and a dispatch moves the workspace's next tag by one over
- * its weight. A workspace that was idle starts at the present virtual time, so that it gains
- * nothing by having waited. Each operation costs the logarithm of the workspaces that wait.
+ * The waiting requests of one tier. Workspaces share the tier by weight with start-time fair
+ * queueing (Goyal, Vin and Cheng, 1996): the next request of each workspace has a start tag in
+ * virtual time, the smallest tag goes first, and each dispatch advances the tag of its workspace
+ * by the inverse of the weight. A workspace that was idle starts at the current virtual time, so
+ * that idling earns no advantage. Each operation takes time logarithmic in the number of waiting
+ * workspaces.
  *
  * @internal
  */
@@ -34,75 +38,75 @@
 
   private readonly lanes = new Map<string, Lane>();
 
-  private count = 0;
+  private waitingCount = 0;
 
-  private weights = 0;
+  private totalWeight = 0;
 
-  /** How many accounts there may be before idle ones are swept. */
-  private sweepAt = IDLE_ACCOUNTS;
+  /** Maximum number of accounts before idle ones are evicted. */
+  private maxAccounts = MIN_ACCOUNTS_BEFORE_SWEEP;
 
   constructor(tier: number) {
     this.tier = tier;
   }
 
   get size(): number {
-    return this.count;
+    return this.waitingCount;
   }
 
-  /** The sum of the weights of the workspaces that wait. */
+  /** The sum of the weights of the workspaces with requests that were not dispatched yet. */
   get activeWeight(): number {
-    return this.weights;
+    return this.totalWeight;
   }
 
-  /** The workspace with the most requests by weight that may give way. */
+  /** The workspace with the largest backlog of evictable requests by weight. */
   get heaviest(): WorkspaceAccount | undefined {
     const account = this.backlogs.peek();
-    return account !== undefined && account.fresh > 0 ? account : undefined;
+    return account !== undefined && account.undispatchedCount > 0 ? account : undefined;
   }
 
   add(item: WaitingItem): void {
     const lane = this.getLane(item);
-    this.count += 1;
+    this.waitingCount += 1;
     if (item.place.resumed) {
       lane.addResumed(item);
     } else {
-      this.addFresh(item, lane);
+      this.addUndispatched(item, lane);
     }
   }
 
   remove(item: WaitingItem): void {
     const lane = this.getLane(item);
-    this.count -= 1;
+    this.waitingCount -= 1;
     if (item.place.resumed) {
       lane.removeResumed(item);
     } else {
-      this.removeFresh(item, lane);
+      this.removeUndispatched(item, lane);
     }
     if (lane.isEmpty) {
       this.lanes.delete(getLaneKey(item.place));
     }
-    this.forgetIdle();
+    this.clearIdle();
   }
 
-  /** Takes out the next request of a lane and charges its workspace. */
-  serve(lane: Lane): WaitingItem {
-    const queue = lane.queues.peek();
+  /** Removes the next request of a lane and charges its workspace. */
+  dequeue(lane: Lane): WaitingItem {
+    const queue = lane.workspaceQueues.peek();
     const item = lane.nextResumed ?? queue!.head!;
     if (!item.place.resumed) {
-      const { account, start } = queue!;
-      this.virtualTime = Math.max(this.virtualTime, start);
-      account.charge(start);
-      this.restart(account);
+      const { account, startTag } = queue!;
+      this.virtualTime = Math.max(this.virtualTime, startTag);
+      account.charge(startTag);
+      this.updateStartTags(account);
     }
     this.remove(item);
     return item;
   }
 
-  /** The lane to serve next among those that pass. */
-  select(passes: (lane: Lane) => boolean): Lane | undefined {
+  /** The lane to serve next among those that can run. */
+  select(canRun: (lane: Lane) => boolean): Lane | undefined {
     let best: Lane | undefined;
     this.lanes.forEach((lane) => {
-      if ((best === undefined || lane.isBefore(best)) && passes(lane)) {
+      if ((best === undefined || lane.isBefore(best)) && canRun(lane)) {
         best = lane;
       }
     });
@@ -114,9 +118,9 @@
     return this.lanes.has(getLaneKey(place));
   }
 
-  /** Waiting requests of a workspace that were never dispatched. */
-  getFresh(workspace: string): number {
-    return this.accounts.get(workspace)?.fresh ?? 0;
+  /** The number of waiting requests of a workspace that were never dispatched. */
+  getUndispatchedCount(workspace: string): number {
+    return this.accounts.get(workspace)?.undispatchedCount ?? 0;
   }
 
   private getAccount(workspace: string): WorkspaceAccount {
@@ -141,40 +145,40 @@
     return lane;
   }
 
-  private addFresh(item: WaitingItem, lane: Lane): void {
+  private addUndispatched(item: WaitingItem, lane: Lane): void {
     const account = this.getAccount(item.place.workspace);
-    this.weights -= account.fresh > 0 ? account.share : 0;
+    this.totalWeight -= account.undispatchedCount > 0 ? account.weight : 0;
     account.setWeight(item.place.weight);
-    this.weights += account.share;
+    this.totalWeight += account.weight;
     const queue = account.queues.get(lane) ?? new WorkspaceQueue(account);
     queue.add(item);
     if (queue.size === 1) {
-      queue.startAt(Math.max(this.virtualTime, account.finish));
+      queue.setStartTag(Math.max(this.virtualTime, account.finishTag));
       account.queues.set(lane, queue);
-      lane.queues.push(queue);
+      lane.workspaceQueues.push(queue);
     }
-    this.changeFresh(account, 1);
+    this.changeUndispatchedCount(account, 1);
   }
 
-  private removeFresh(item: WaitingItem, lane: Lane): void {
+  private removeUndispatched(item: WaitingItem, lane: Lane): void {
     const account = this.accounts.get(item.place.workspace)!;
     const queue = account.queues.get(lane)!;
-    // The heap orders by heads: an emptied queue leaves it while it still has one.
+    // The heap compares the heads of queues, so a queue is removed before it becomes empty.
     if (queue.size === 1) {
-      lane.queues.remove(queue);
+      lane.workspaceQueues.remove(queue);
       account.queues.delete(lane);
     }
     queue.remove(item);
-    lane.queues.update(queue);
-    this.changeFresh(account, -1);
-    if (account.fresh === 0) {
-      this.weights -= account.share;
+    lane.workspaceQueues.update(queue);
+    this.changeUndispatchedCount(account, -1);
+    if (account.undispatchedCount === 0) {
+      this.totalWeight -= account.weight;
       this.backlogs.remove(account);
     }
   }
 
-  private changeFresh(account: WorkspaceAccount, change: number): void {
-    account.changeFresh(change);
+  private changeUndispatchedCount(account: WorkspaceAccount, change: number): void {
+    account.changeUndispatchedCount(change);
     if (this.backlogs.has(account)) {
       this.backlogs.update(account);
     } else {
@@ -182,32 +186,32 @@
     }
   }
 
-  /** Moves the workspace's start tags after a charge, in every lane where it waits. */
-  private restart(account: WorkspaceAccount): void {
+  /** Updates the start tags of a workspace in all of its lanes after a charge. */
+  private updateStartTags(account: WorkspaceAccount): void {
     account.queues.forEach((queue, lane) => {
-      queue.startAt(Math.max(this.virtualTime, account.finish));
-      lane.queues.update(queue);
+      queue.setStartTag(Math.max(this.virtualTime, account.finishTag));
+      lane.workspaceQueues.update(queue);
     });
   }
 
-  /** Forgets what an idle tier, or an idle workspace, no longer needs. */
-  private forgetIdle(): void {
-    if (this.count === 0) {
+  /** Resets the tier if it is idle, and evicts accounts of idle workspaces if there are many. */
+  private clearIdle(): void {
+    if (this.waitingCount === 0) {
       this.accounts.clear();
       this.virtualTime = 0;
-      this.weights = 0;
-    } else if (this.accounts.size > this.sweepAt) {
-      this.sweep();
+      this.totalWeight = 0;
+    } else if (this.accounts.size > this.maxAccounts) {
+      this.evictIdleAccounts();
     }
   }
 
-  /** An idle workspace whose share lies in the past would start afresh anyway. */
-  private sweep(): void {
+  /** An idle workspace whose finish tag has passed would start at the current virtual time anyway. */
+  private evictIdleAccounts(): void {
     this.accounts.forEach((account, workspace) => {
-      if (account.fresh === 0 && account.finish <= this.virtualTime) {
+      if (account.undispatchedCount === 0 && account.finishTag <= this.virtualTime) {
         this.accounts.delete(workspace);
       }
     });
-    this.sweepAt = 2 * this.accounts.size + IDLE_ACCOUNTS;
+    this.maxAccounts = 2 * this.accounts.size + MIN_ACCOUNTS_BEFORE_SWEEP;
   }
 }
--- a/packages/policy/src/lib/ClassFairQueue/WaitingItem.ts
+++ b/packages/policy/src/lib/ClassFairQueue/WaitingItem.ts
@@ -2,13 +2,13 @@
 import type { QueuePlace } from './QueuePlace.js';
 
 /**
- * A request that waits.
+ * A waiting request.
  *
  * @internal
  */
 export interface WaitingItem {
   run: RunFunction;
   place: QueuePlace;
-  /** Order of arrival. */
+  /** The position in the order of arrival. */
   sequence: number;
 }
--- a/packages/policy/src/lib/ClassFairQueue/WorkspaceAccount.ts
+++ b/packages/policy/src/lib/ClassFairQueue/WorkspaceAccount.ts
@@ -3,57 +3,60 @@
 import type { WorkspaceQueue } from './WorkspaceQueue.js';
 
 /**
- * What one workspace has used of a tier, and what it has waiting there.
+ * The usage and the waiting requests of one workspace in a tier.
  *
  * @internal
  */
 export class WorkspaceAccount {
   readonly workspace: string;
 
-  /** Virtual time up to which it has used its share. */
-  finish = 0;
+  /** The virtual time up to which the workspace has used its share. */
+  finishTag = 0;
 
-  /** Its queue in each lane where it waits. */
+  /** The queues of the workspace by lane. */
   readonly queues = new Map<Lane, WorkspaceQueue>();
 
-  private freshCount = 0;
+  private undispatched = 0;
 
-  private weight = 1;
+  private currentWeight = 1;
 
   constructor(workspace: string) {
     this.workspace = workspace;
   }
 
-  /** Its waiting requests that were never dispatched: only these may have to give way. */
-  get fresh(): number {
-    return this.freshCount;
+  /** The number of waiting requests that were never dispatched; only these may be evicted. */
+  get undispatchedCount(): number {
+    return this.undispatched;
   }
 
-  get share(): number {
-    return this.weight;
+  get weight(): number {
+    return this.currentWeight;
   }
 
-  /** Takes the weight that the newest request states; a weight of zero would stop its clock. */
-  setWeight(weight: number): void {
-    this.weight = weight > 0 ? weight : 1;
+  /**
+   * Sets the weight given by the newest request. A weight of zero counts as one, as it would
+   * otherwise make the finish tag infinite.
+   */
+  setWeight(newWeight: number): void {
+    this.currentWeight = newWeight > 0 ? newWeight : 1;
   }
 
-  /** Waiting requests by weight: who has most gives way first. */
+  /** The number of evictable requests by weight; the largest backlog is evicted from first. */
   getBacklog(): number {
-    return this.freshCount / this.weight;
+    return this.undispatched / this.currentWeight;
   }
 
-  changeFresh(change: number): void {
-    this.freshCount += change;
+  changeUndispatchedCount(change: number): void {
+    this.undispatched += change;
   }
 
-  /** Charges one dispatch that started at the given virtual time. */
-  charge(start: number): void {
-    this.finish = start + 1 / this.weight;
+  /** Charges one dispatch with the given start tag. */
+  charge(startTag: number): void {
+    this.finishTag = startTag + 1 / this.currentWeight;
   }
 
-  /** Its newest request that was never dispatched. */
-  getNewestFresh(): WaitingItem | undefined {
+  /** The newest request that was never dispatched. */
+  getNewestUndispatched(): WaitingItem | undefined {
     let newest: WaitingItem | undefined;
     this.queues.forEach((queue) => {
       const candidate = queue.newest;
--- a/packages/policy/src/lib/ClassFairQueue/WorkspaceQueue.ts
+++ b/packages/policy/src/lib/ClassFairQueue/WorkspaceQueue.ts
@@ -4,14 +4,14 @@
 import type { WorkspaceAccount } from './WorkspaceAccount.js';
 
 /**
- * The waiting requests of one workspace in one lane that were not dispatched yet, the oldest first.
+ * The waiting requests of one workspace in one lane that were never dispatched, oldest first.
  *
  * @internal
  */
 export class WorkspaceQueue {
   readonly account: WorkspaceAccount;
 
-  private startTime = 0;
+  private currentStartTag = 0;
 
   private readonly items = new LinkedList<WaitingItem>();
 
@@ -21,9 +21,9 @@
     this.account = account;
   }
 
-  /** Virtual time at which its head may start; the lane serves the smallest first. */
-  get start(): number {
-    return this.startTime;
+  /** The virtual time at which the head may start; the lane serves the smallest tag first. */
+  get startTag(): number {
+    return this.currentStartTag;
   }
 
   get size(): number {
@@ -38,8 +38,8 @@
     return this.items.tail;
   }
 
-  startAt(virtualTime: number): void {
-    this.startTime = virtualTime;
+  setStartTag(virtualTime: number): void {
+    this.currentStartTag = virtualTime;
   }
 
   add(item: WaitingItem): void {
--- a/packages/policy/src/lib/ReplicaChooser/LatencyWindow.ts
+++ b/packages/policy/src/lib/ReplicaChooser/LatencyWindow.ts
@@ -1,11 +1,11 @@
-/** The median of some numbers; zero when there are none. */
+/** The median of the values; zero if there are none. */
 export function getMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
 /**
- * The last few measurements of something, and their median: one odd value can't move it.
+ * A sliding window of measurements and their median, which a single outlier does not move.
  *
  * @internal
  */
@@ -14,21 +14,22 @@
 
   private values: number[] = [];
 
-  private next = 0;
+  private nextPosition = 0;
 
-  private cached: number | undefined;
+  private cachedMedian: number | undefined;
 
-  private addedSince = 0;
+  private addedSinceMedian = 0;
 
-  private readonly tolerance: number;
+  private readonly maxAddedSinceMedian: number;
 
   /**
-   * @param capacity - how many values are kept
-   * @param tolerance - how many values may come before the median is computed anew
+   * @param capacity - maximum number of values in the window
+   * @param maxAddedSinceMedian - how many values may be added before the median is
+   *   recomputed
    */
-  constructor(capacity: number, tolerance = 0) {
+  constructor(capacity: number, maxAddedSinceMedian = 0) {
     this.capacity = capacity;
-    this.tolerance = tolerance;
+    this.maxAddedSinceMedian = maxAddedSinceMedian;
   }
 
   get size(): number {
@@ -36,33 +37,33 @@
   }
 
   add(value: number): void {
-    this.values[this.next] = value;
-    this.next = (this.next + 1) % this.capacity;
-    this.addedSince += 1;
+    this.values[this.nextPosition] = value;
+    this.nextPosition = (this.nextPosition + 1) % this.capacity;
+    this.addedSinceMedian += 1;
   }
 
   clear(): void {
     this.values = [];
-    this.next = 0;
-    this.cached = undefined;
+    this.nextPosition = 0;
+    this.cachedMedian = undefined;
   }
 
-  /** The median of the last few; zero when there is nothing. */
+  /** The median of the last `count` values; zero if there are none. */
   getRecentMedian(count: number): number {
     const size = Math.min(count, this.values.length);
     const recent = Array.from({ length: size }, (_, index) => {
-      const position = (this.next - 1 - index + this.capacity) % this.capacity;
+      const position = (this.nextPosition - 1 - index + this.capacity) % this.capacity;
       return this.values[position]!;
     });
     return getMedian(recent);
   }
 
-  /** The median; zero when there is nothing. */
+  /** The median of the window, possibly cached; zero if it is empty. */
   getMedian(): number {
-    if (this.cached === undefined || this.addedSince > this.tolerance) {
-      this.cached = getMedian(this.values);
-      this.addedSince = 0;
+    if (this.cachedMedian === undefined || this.addedSinceMedian > this.maxAddedSinceMedian) {
+      this.cachedMedian = getMedian(this.values);
+      this.addedSinceMedian = 0;
     }
-    return this.cached;
+    return this.cachedMedian;
   }
 }
--- a/packages/policy/src/lib/ReplicaChooser/PrefixAffinity.ts
+++ b/packages/policy/src/lib/ReplicaChooser/PrefixAffinity.ts
@@ -1,59 +1,62 @@
 import { getMixedScore } from '../getMixedScore.js';
 import type { ReplicaState } from './ReplicaState.js';
 
-/** About how many replicas are scored one by one. */
-const GROUP_SIZE = 32;
+/** Approximate number of replicas in a group. */
+const TARGET_GROUP_SIZE = 32;
 
-interface Group {
+interface ReplicaGroup {
   hash: number;
   members: ReplicaState[];
 }
 
-function getBest<Candidate extends { hash: number }>(
+function getHighestScored<Candidate extends { hash: number }>(
   key: number,
   candidates: readonly Candidate[],
-  except?: Candidate,
+  excluded?: Candidate,
 ): Candidate | undefined {
   let best: Candidate | undefined;
-  let highest = -1;
+  let highestScore = -1;
   candidates.forEach((candidate) => {
     const score = getMixedScore(key, candidate.hash);
-    if (score > highest && candidate !== except) {
+    if (score > highestScore && candidate !== excluded) {
       best = candidate;
-      highest = score;
+      highestScore = score;
     }
   });
   return best;
 }
 
 /**
- * Which replicas a prompt's head prefers, by rendezvous hashing: every daemon sends the same head
- * to the same replica, where its prefix is cached, without agreement. Replicas stand in groups by
- * their hash; the group is chosen first, then the replica in it, so that the cost grows with the
- * square root of the replicas at most.
+ * Assigns prompt prefixes to replicas by rendezvous hashing: without coordination, every daemon
+ * sends the same prefix to the same replica, where it is cached. Replicas are grouped by their
+ * hash. The group is chosen first, then the replica within it, so that the cost grows at most with
+ * the square root of the number of replicas.
  *
  * @internal
  */
 export class PrefixAffinity {
-  private groups: Group[] = [];
+  private groups: ReplicaGroup[] = [];
 
-  /** Takes the replicas that may be preferred. */
+  /** Sets the replicas that may be preferred. */
   setMembers(members: readonly ReplicaState[]): void {
-    const count = 2 ** Math.max(0, Math.round(Math.log2(members.length / GROUP_SIZE)));
-    const groups = Array.from({ length: count }, (_, hash): Group => ({ hash, members: [] }));
+    const count = 2 ** Math.max(0, Math.round(Math.log2(members.length / TARGET_GROUP_SIZE)));
+    const groups = Array.from({ length: count }, (_, hash): ReplicaGroup => ({
+      hash,
+      members: [],
+    }));
     members.forEach((member) => groups[member.hash % count]!.members.push(member));
     this.groups = groups.filter((group) => group.members.length > 0);
   }
 
   /**
-   * The first and the second choice of a key.
+   * The first and the second choice for a key.
    *
-   * @param key - hash of service, model, workspace and prompt head
+   * @param key - hash of service, model, workspace and prompt prefix
    */
   getPreferred(key: number): ReplicaState[] {
-    const members = getBest(key, this.groups)?.members ?? [];
-    const first = getBest(key, members);
-    const second = getBest(key, members, first);
+    const members = getHighestScored(key, this.groups)?.members ?? [];
+    const first = getHighestScored(key, members);
+    const second = getHighestScored(key, members, first);
     return [first, second].filter((state) => state !== undefined);
   }
 }
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
@@ -4,24 +4,24 @@
 import type { ReplicaPool } from './ReplicaPool.js';
 import type { ReplicaState } from './ReplicaState.js';
 
-/** Why a replica was chosen; goes into the decision log. */
+/** Why a replica was chosen; written to the decision log. */
 export enum ChoiceReason {
-  /** It has the prompt's head cached, as far as hashing tells. */
+  /** According to rendezvous hashing, the replica has the prompt's prefix cached. */
   Affinity = 'affinity',
-  /** The less loaded of two drawn at random. */
+  /** The replica is the less loaded one of two drawn at random. */
   TwoChoices = 'two-choices',
-  /** It was convicted of being slow and may have recovered. */
+  /** The replica was marked as a straggler and may have recovered. */
   Probe = 'probe',
-  /** Above the share, over less urgent work. */
+  /** The request goes above the share, ahead of less urgent work. */
   AboveShare = 'above-share',
-  /** In place of a preempted request. */
+  /** The request takes the place of a preempted one. */
   Preemption = 'preemption',
-  /** Above the share, because the class's floor is due. */
+  /** The request goes above the share because the floor of its class is due. */
   Floor = 'floor',
 }
 
 /**
- * A replica for a request.
+ * The replica chosen for a request.
  *
  * @internal
  */
@@ -31,48 +31,49 @@
 }
 
 /**
- * What a request wishes of its replica.
+ * The criteria of a request for choosing its replica.
  *
  * @internal
  */
 export interface Wish {
-  /** Hash of service, model, workspace and prompt head; absent when nothing is cached. */
+  /** Hash of service, model, workspace and prompt prefix; undefined if there is no prefix. */
   affinityKey: number | undefined;
-  /** Replicas that failed this request. */
+  /** Ids of the replicas that failed this request. */
   failed: ReadonlySet<string>;
-  /** Whether it may be sent to a replica under suspicion. */
+  /** Whether the request may be sent to a straggler as a probe. */
   mayProbe: boolean;
   tier: number;
   isUrgent: boolean;
 }
 
-/** Draws before the set is searched for one that fits. */
-const MAX_DRAWS = 4;
+/** Random draws before the set is searched for a suitable replica. */
+const MAX_RANDOM_DRAWS = 4;
 
 /**
- * Replicas looked at for room over less urgent work. A saturated large fleet has little of it, and
- * looking everywhere with every message would cost more than it finds.
+ * Maximum number of replicas examined for room ahead of less urgent work. A large saturated fleet
+ * has little room, and examining every replica for every message would cost more than it gains.
  */
-const MAX_LOOKED_AT = 16;
+const MAX_EXAMINED = 16;
 
-/** Convicted replicas looked at for a probe. */
-const MAX_PROBES = 8;
+/** Maximum number of stragglers examined for a probe. */
+const MAX_PROBE_CANDIDATES = 8;
 
-function findProbe(pool: ReplicaPool, { failed }: Wish, now: Milliseconds) {
-  const due = pool.convicted
+function findProbeCandidate(pool: ReplicaPool, { failed }: Wish, now: Milliseconds) {
+  const candidate = pool.stragglers
     .getAll()
-    .slice(0, MAX_PROBES)
+    .slice(0, MAX_PROBE_CANDIDATES)
     .find(
       (state) =>
-        now >= state.probeAt && state.load.own < state.getLimit(now) && !failed.has(state.id),
+        now >= state.nextProbeAt && state.load.own < state.getLimit(now) && !failed.has(state.id),
     );
-  due?.postponeProbe(now);
-  return due;
+  candidate?.postponeProbe(now);
+  return candidate;
 }
 
 /**
- * Chooses a replica. The less loaded of two random ones is nearly as good as the least loaded of
- * all and doesn't send every daemon to the same one when a stale report makes it look idle.
+ * Chooses a replica for each request. The less loaded of two random replicas is nearly as good as
+ * the least loaded of all, and it prevents all daemons from choosing the same replica when a stale
+ * report makes it look idle.
  *
  * @internal
  */
@@ -86,60 +87,60 @@
     this.options = options;
   }
 
-  /** Chooses among the replicas with room within their limit. */
-  choose(pool: ReplicaPool, wish: Wish, now: Milliseconds): Choice | undefined {
-    const probe = wish.mayProbe ? findProbe(pool, wish, now) : undefined;
+  /** Chooses among the replicas with room within this daemon's limit. */
+  choose(pool: ReplicaPool, criteria: Wish, now: Milliseconds): Choice | undefined {
+    const probe = criteria.mayProbe ? findProbeCandidate(pool, criteria, now) : undefined;
     if (probe !== undefined) {
       return { state: probe, reason: ChoiceReason.Probe };
     }
-    const drawn = this.drawTwo(pool.open, ({ id }) => !wish.failed.has(id));
-    const preferred = this.findPreferred(pool, wish, drawn, now);
-    if (preferred !== undefined) {
-      return { state: preferred, reason: ChoiceReason.Affinity };
+    const drawn = this.drawTwo(pool.open, ({ id }) => !criteria.failed.has(id));
+    const affine = this.findAffine(pool, criteria, drawn, now);
+    if (affine !== undefined) {
+      return { state: affine, reason: ChoiceReason.Affinity };
     }
     const state = this.getLessLoaded(drawn, now);
     return state && { state, reason: ChoiceReason.TwoChoices };
   }
 
   /**
-   * Chooses among the replicas with room above the share: for urgent tiers any, for others those
-   * where they find room when less urgent work doesn't count.
+   * Chooses among the replicas with room above the share. Urgent tiers may use any of them; other
+   * tiers only those that have room when less urgent work is not counted.
    */
-  chooseAboveShare(pool: ReplicaPool, wish: Wish, now: Milliseconds): ReplicaState | undefined {
-    const { failed, isUrgent, tier } = wish;
+  chooseAboveShare(pool: ReplicaPool, criteria: Wish, now: Milliseconds): ReplicaState | undefined {
+    const { failed, isUrgent, tier } = criteria;
     const fits = (state: ReplicaState) =>
-      !failed.has(state.id) && (isUrgent || pool.hasRoomOver(state, tier, now));
-    const drawn = this.drawTwo(pool.openAbove, fits, MAX_LOOKED_AT);
-    return this.getLessLoaded(drawn, now);
+      !failed.has(state.id) && (isUrgent || pool.hasRoomForTier(state, tier, now));
+    const candidates = this.drawTwo(pool.openAbove, fits, MAX_EXAMINED);
+    return this.getLessLoaded(candidates, now);
   }
 
-  /** Any replica where a tier finds room above the share. */
+  /** Finds any replica where a tier has room above the share. */
   findAboveShare(pool: ReplicaPool, tier: number, now: Milliseconds): ReplicaState | undefined {
-    const fits = (state: ReplicaState) => pool.hasRoomOver(state, tier, now);
-    return this.draw(pool.openAbove, fits, MAX_LOOKED_AT);
+    const fits = (state: ReplicaState) => pool.hasRoomForTier(state, tier, now);
+    return this.draw(pool.openAbove, fits, MAX_EXAMINED);
   }
 
   /** Chooses among the replicas with room above the share for a class whose floor is due. */
   chooseForFloor(pool: ReplicaPool, { failed }: Wish, now: Milliseconds): ReplicaState | undefined {
-    const drawn = this.drawTwo(pool.openAbove, ({ id }) => !failed.has(id));
-    return this.getLessLoaded(drawn, now);
+    const candidates = this.drawTwo(pool.openAbove, ({ id }) => !failed.has(id));
+    return this.getLessLoaded(candidates, now);
   }
 
   /**
-   * The cached replica, or the second choice, unless that has more than its part: hashing with
-   * bounded loads, the mean taken from the two that were drawn.
+   * The replica that prefers the prefix, or the second choice, unless its load exceeds the bound.
+   * This is hashing with bounded loads, with the mean load taken from the two drawn replicas.
    */
-  private findPreferred(pool: ReplicaPool, wish: Wish, drawn: ReplicaState[], now: Milliseconds) {
-    if (wish.affinityKey === undefined || drawn.length === 0) {
+  private findAffine(pool: ReplicaPool, criteria: Wish, drawn: ReplicaState[], now: Milliseconds) {
+    if (criteria.affinityKey === undefined || drawn.length === 0) {
       return undefined;
     }
     const pressures = drawn.map((state) => state.getPressure(now));
     const mean = pressures.reduce((sum, pressure) => sum + pressure, 0) / drawn.length;
-    return pool.affinity.getPreferred(wish.affinityKey).find((state) => {
+    return pool.affinity.getPreferred(criteria.affinityKey).find((state) => {
       const { slots } = state.replica;
       const bound = Math.ceil(this.options.affinityBound * mean * slots);
-      const isOpen = pool.open.has(state) && !wish.failed.has(state.id);
-      return isOpen && state.getPressure(now) * slots <= bound;
+      const hasRoom = pool.open.has(state) && !criteria.failed.has(state.id);
+      return hasRoom && state.getPressure(now) * slots <= bound;
     });
   }
 
@@ -154,7 +155,7 @@
     return difference < 0 ? first : second;
   }
 
-  /** Two different replicas at random, or as many as there are. */
+  /** Draws two different replicas at random, or fewer if there are not enough. */
   private drawTwo(
     candidates: SampledSet<ReplicaState>,
     fits: (state: ReplicaState) => boolean,
@@ -173,10 +174,10 @@
     fits: (state: ReplicaState) => boolean,
     limit?: number,
   ): ReplicaState | undefined {
-    for (let draws = 0; draws < MAX_DRAWS; draws += 1) {
-      const drawn = candidates.draw(this.random);
-      if (drawn === undefined || fits(drawn)) {
-        return drawn;
+    for (let draws = 0; draws < MAX_RANDOM_DRAWS; draws += 1) {
+      const candidate = candidates.drawRandom(this.random);
+      if (candidate === undefined || fits(candidate)) {
+        return candidate;
       }
     }
     return candidates.find(this.random, fits, limit);
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
@@ -4,8 +4,8 @@
 import type { ReplicaState } from './ReplicaState.js';
 
 /**
- * The replicas that can run the same requests: those of a service that hold a model, or all of
- * them for a plain service or a model that none is said to hold.
+ * The replicas that can run the same requests: those of a service on which a model is placed, or
+ * all of its replicas if it is a plain service or the model is placed on none of them.
  *
  * @internal
  */
@@ -14,37 +14,37 @@
 
   readonly affinity = new PrefixAffinity();
 
-  /** Replicas that may be sent something. */
+  /** Replicas to which requests may be sent at all. */
   readonly usable = new SampledSet<ReplicaState>();
 
-  /** Replicas with room within their limit. */
+  /** Replicas with room within this daemon's limit. */
   readonly open = new SampledSet<ReplicaState>();
 
   /** Replicas with room above the share. */
   readonly openAbove = new SampledSet<ReplicaState>();
 
-  readonly convicted = new SampledSet<ReplicaState>();
+  readonly stragglers = new SampledSet<ReplicaState>();
 
   private members: readonly ReplicaState[] = [];
 
-  /** Usable replicas that are neither avoided nor convicted. */
-  private readonly sound = new SampledSet<ReplicaState>();
+  /** Eligible replicas that are neither in cooldown nor stragglers. */
+  private readonly healthy = new SampledSet<ReplicaState>();
 
-  /** This daemon's slots at sound replicas, and how many each counts with. */
-  private slots = 0;
+  /** This daemon's slots at healthy replicas: their sum, and the slots of each replica. */
+  private healthySlots = 0;
 
-  private readonly counted = new Map<ReplicaState, number>();
+  private readonly slotsByReplica = new Map<ReplicaState, number>();
 
-  private running = 0;
+  private ownRunning = 0;
 
-  /** No replica is sound: those that are avoided are better than none. */
-  private isDesperate = true;
+  /** Whether unhealthy replicas are used because no replica is healthy. */
+  private usesUnhealthy = true;
 
   /**
-   * This daemon has no slot of its own here, as when daemons outnumber slots. It may still run one
-   * request at a time, or its callers would wait for ever.
+   * Whether this daemon may run one request although it has no slot of its own, as when daemons
+   * outnumber slots. Otherwise its callers would wait forever.
    */
-  private hasLoan = true;
+  private hasFallbackSlot = true;
 
   private readonly preemptingTier: number;
 
@@ -57,41 +57,41 @@
     return this.members.length;
   }
 
-  /** Takes all replicas of the service and picks out those that belong here. */
+  /** Selects the members of this pool from all replicas of the service. */
   setReplicas(replicas: readonly ReplicaState[], now: Milliseconds): void {
-    this.members.forEach((state) => this.forget(state));
+    this.members.forEach((state) => this.removeReplica(state));
     const { model } = this;
     const listed = replicas.filter(({ isListed }) => isListed);
-    const holding = listed.filter((state) => model !== undefined && state.getModels().has(model));
-    this.members = holding.length > 0 ? holding : listed;
+    const withModel = listed.filter((state) => model !== undefined && state.getModels().has(model));
+    this.members = withModel.length > 0 ? withModel : listed;
     this.affinity.setMembers(this.members.filter(({ share }) => share.isIn));
     this.members.forEach((state) => this.update(state, now));
-    this.updateMode(now);
+    this.updateFallbacks(now);
   }
 
-  /** Looks again at a replica whose state changed. */
+  /** Updates the pool after the state of a replica changed. */
   refresh(state: ReplicaState, now: Milliseconds): void {
-    if (this.counted.has(state)) {
+    if (this.slotsByReplica.has(state)) {
       this.update(state, now);
-      this.updateMode(now);
+      this.updateFallbacks(now);
     }
   }
 
-  /** Notes that a request of this pool was sent (1) or ended (-1). */
+  /** Records that a request of this pool was sent (1) or ended (-1). */
   note(change: 1 | -1, now: Milliseconds): void {
-    this.running += change;
-    this.updateMode(now);
+    this.ownRunning += change;
+    this.updateFallbacks(now);
   }
 
-  /** Whether new work may go to the replica, room apart. */
+  /** Whether new requests may be sent to the replica, regardless of its room. */
   offers(state: ReplicaState): boolean {
-    return this.sound.has(state) || (this.isDesperate && this.usable.has(state));
+    return this.healthy.has(state) || (this.usesUnhealthy && this.usable.has(state));
   }
 
-  /** Whether there is room at the replica if only as urgent or more urgent work counts. */
-  hasRoomOver(state: ReplicaState, tier: number, now: Milliseconds): boolean {
+  /** Whether the replica has room when only work of this tier or more urgent tiers is counted. */
+  hasRoomForTier(state: ReplicaState, tier: number, now: Milliseconds): boolean {
     const limit =
-      tier <= this.preemptingTier ? this.getUpperLimit(state, now) : this.getLimit(state, now);
+      tier <= this.preemptingTier ? this.getLimitAboveShare(state, now) : this.getLimit(state, now);
     return state.getRunningUpTo(tier) < limit;
   }
 
@@ -100,47 +100,47 @@
   }
 
   private getLimit(state: ReplicaState, now: Milliseconds): number {
-    return Math.max(state.getLimit(now), this.hasLoan ? 1 : 0);
+    return Math.max(state.getLimit(now), this.hasFallbackSlot ? 1 : 0);
   }
 
-  /** The limit for what less urgent work must not keep out: never below the share. */
-  private getUpperLimit(state: ReplicaState, now: Milliseconds): number {
+  /** The limit for work that less urgent work must not block; never below the share. */
+  private getLimitAboveShare(state: ReplicaState, now: Milliseconds): number {
     return Math.max(this.getLimit(state, now), state.share.slots);
   }
 
-  private forget(state: ReplicaState): void {
-    this.slots -= this.counted.get(state) ?? 0;
-    this.counted.delete(state);
-    [this.usable, this.open, this.openAbove, this.convicted, this.sound].forEach((set) =>
+  private removeReplica(state: ReplicaState): void {
+    this.healthySlots -= this.slotsByReplica.get(state) ?? 0;
+    this.slotsByReplica.delete(state);
+    [this.usable, this.open, this.openAbove, this.stragglers, this.healthy].forEach((set) =>
       set.set(state, false),
     );
   }
 
   private update(state: ReplicaState, now: Milliseconds): void {
-    const isUsable = state.isUsable();
-    const isSound = isUsable && !state.convicted && !state.isAvoided(now);
-    const isOffered = isSound || (this.isDesperate && isUsable);
-    this.usable.set(state, isUsable);
-    this.convicted.set(state, isUsable && state.convicted);
-    this.sound.set(state, isSound);
-    this.count(state, isSound ? state.share.slots : 0);
+    const isEligible = state.isEligible();
+    const isHealthy = isEligible && !state.convicted && !state.isAvoided(now);
+    const acceptsWork = isHealthy || (this.usesUnhealthy && isEligible);
+    this.usable.set(state, isEligible);
+    this.stragglers.set(state, isEligible && state.convicted);
+    this.healthy.set(state, isHealthy);
+    this.setCountedSlots(state, isHealthy ? state.share.slots : 0);
     const { own } = state.load;
-    this.open.set(state, isOffered && own < this.getLimit(state, now));
-    const above = this.getUpperLimit(state, now) + state.getExcess();
-    this.openAbove.set(state, isOffered && own < above);
+    this.open.set(state, acceptsWork && own < this.getLimit(state, now));
+    const limitAboveShare = this.getLimitAboveShare(state, now) + state.getOvercommit();
+    this.openAbove.set(state, acceptsWork && own < limitAboveShare);
   }
 
-  private count(state: ReplicaState, slots: number): void {
-    this.slots += slots - (this.counted.get(state) ?? 0);
-    this.counted.set(state, slots);
+  private setCountedSlots(state: ReplicaState, newSlots: number): void {
+    this.healthySlots += newSlots - (this.slotsByReplica.get(state) ?? 0);
+    this.slotsByReplica.set(state, newSlots);
   }
 
-  private updateMode(now: Milliseconds): void {
-    const isDesperate = this.sound.size === 0;
-    const hasLoan = this.slots === 0 && this.running === 0;
-    if (isDesperate !== this.isDesperate || hasLoan !== this.hasLoan) {
-      this.isDesperate = isDesperate;
-      this.hasLoan = hasLoan;
+  private updateFallbacks(now: Milliseconds): void {
+    const usesUnhealthy = this.healthy.size === 0;
+    const hasFallbackSlot = this.healthySlots === 0 && this.ownRunning === 0;
+    if (usesUnhealthy !== this.usesUnhealthy || hasFallbackSlot !== this.hasFallbackSlot) {
+      this.usesUnhealthy = usesUnhealthy;
+      this.hasFallbackSlot = hasFallbackSlot;
       this.members.forEach((state) => this.update(state, now));
     }
   }
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaState.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaState.ts
@@ -6,38 +6,40 @@
 import type { SlotPlan } from '../Reserve/Reserve.js';
 import type { Share } from '../SharedLimit/SharedLimit.js';
 import { SlotAllowance } from '../SharedLimit/SlotAllowance.js';
-import { CorrectedLoad } from './CorrectedLoad.js';
+import { LoadEstimate } from './LoadEstimate.js';
 import { LatencyWindow } from './LatencyWindow.js';
 
-/** First tokens kept of a replica: they vary with prompts, so the median is to move slowly. */
-const FIRST_TOKENS = 15;
+/** First-token delays vary with the prompts, so their median is taken over a larger window. */
+const FIRST_TOKEN_WINDOW_SIZE = 15;
 
-/** Token gaps kept: they vary little, so five slow ones are enough. */
-const TOKEN_GAPS = 9;
+/** Delays between tokens vary little, so five slow ones of nine are sufficient evidence. */
+const TOKEN_GAP_WINDOW_SIZE = 9;
 
 /**
- * What this daemon knows of one replica.
+ * The state of one replica as known to this daemon.
  *
  * @internal
  */
 export class ReplicaState {
-  readonly load = new CorrectedLoad();
+  readonly load = new LoadEstimate();
 
-  /** Delays of first tokens and between tokens, as multiples of what is usual for their class. */
-  readonly firstTokens = new LatencyWindow(FIRST_TOKENS);
+  /** First-token delays and inter-token delays, as multiples of the median of their class. */
+  readonly firstTokenDelays = new LatencyWindow(FIRST_TOKEN_WINDOW_SIZE);
 
-  readonly tokenGaps = new LatencyWindow(TOKEN_GAPS);
+  readonly tokenGapDelays = new LatencyWindow(TOKEN_GAP_WINDOW_SIZE);
 
   readonly hash: number;
 
-  /** Much slower than its peers: gets a probe now and then, nothing else. */
+  /**
+   * Whether the replica is much slower than its peers. A straggler receives only occasional probes.
+   */
   convicted = false;
 
-  /** When a convicted replica may be probed again. */
-  probeAt: Milliseconds = 0;
+  /** When a straggler may be probed again. */
+  nextProbeAt: Milliseconds = 0;
 
-  /** When it was last compared with its peers. */
-  judgedAt: Milliseconds = 0;
+  /** When the replica was last compared with its peers. */
+  comparedAt: Milliseconds = 0;
 
   private readonly options: PolicyOptions;
 
@@ -45,35 +47,35 @@
 
   private leaving = false;
 
-  private description: Replica;
+  private entry: Replica;
 
   private readonly allowance: SlotAllowance;
 
   private models: ReadonlySet<string> | undefined;
 
-  /** This daemon's running requests by tier. */
-  private readonly byTier: number[] = [];
+  /** The number of running requests of this daemon by tier. */
+  private readonly runningByTier: number[] = [];
 
-  private avoidUntil: Milliseconds = 0;
+  private cooldownUntil: Milliseconds = 0;
 
-  private failures = 0;
+  private consecutiveFailures = 0;
 
-  constructor(description: Replica, options: PolicyOptions) {
-    this.description = description;
+  constructor(entry: Replica, options: PolicyOptions) {
+    this.entry = entry;
     this.options = options;
-    this.hash = getHash(description.id);
+    this.hash = getHash(entry.id);
     this.allowance = new SlotAllowance(options.maxReportAge);
   }
 
   get id(): string {
-    return this.description.id;
+    return this.entry.id;
   }
 
   get replica(): Replica {
-    return this.description;
+    return this.entry;
   }
 
-  /** Whether it stands in the list of replicas. */
+  /** Whether the replica is in the current list of replicas. */
   get isListed(): boolean {
     return this.listed;
   }
@@ -86,128 +88,140 @@
     return this.allowance.share;
   }
 
-  /** Takes the newest entry of the register. */
-  describe(description: Replica): void {
-    this.description = description;
+  /** Sets the newest entry of the replica from the list. */
+  setEntry(entry: Replica): void {
+    this.entry = entry;
     this.models = undefined;
     this.listed = true;
   }
 
-  /** The list no longer has it. */
-  unlist(): void {
+  /** Marks the replica as no longer listed. */
+  markUnlisted(): void {
     this.listed = false;
   }
 
-  /** Somebody said that it is leaving, or that it takes work again. */
+  /** Sets whether the replica is leaving, as announced by itself or by others. */
   setLeaving(leaving: boolean): void {
     this.leaving = leaving;
   }
 
-  /** Takes this daemon's part, and how all of them use the slots. */
+  /** Sets this daemon's share, and how all daemons use the slots. */
   setShare(share: Share, plan: SlotPlan): void {
     this.allowance.setShare(share, plan);
   }
 
-  /** The models that placement keeps here; none when it was told nothing. */
+  /** The models that are placed on this replica; empty if there is no placement. */
   getModels(): ReadonlySet<string> {
-    this.models ??= new Set(this.description.placement.map((entry) => entry.split('@')[0]!));
+    this.models ??= new Set(this.entry.placement.map((entry) => entry.split('@')[0]!));
     return this.models;
   }
 
-  /** Whether it may be sent anything at all. */
-  isUsable(): boolean {
+  /** Whether requests may be sent to the replica at all. */
+  isEligible(): boolean {
     return this.listed && !this.leaving && this.share.isIn;
   }
 
   isAvoided(now: Milliseconds): boolean {
-    return now < this.avoidUntil;
+    return now < this.cooldownUntil;
   }
 
-  /** How many requests this daemon may have running here. */
+  /** The maximum number of requests that this daemon may have running at the replica. */
   getLimit(now: Milliseconds): number {
     return this.allowance.getLimit(now);
   }
 
-  /** What may be sent above the limit, over less urgent work: the engine runs it first. */
-  getExcess(): number {
+  /**
+   * How many requests may be sent above the limit, ahead of less urgent work. The engine runs them
+   * first.
+   */
+  getOvercommit(): number {
     return Math.max(1, Math.ceil(this.replica.slots * this.options.excess));
   }
 
-  /** How many requests of a tier, or of more urgent ones, this daemon has running here. */
+  /**
+   * The number of running requests of this daemon that belong to this tier or a more urgent one.
+   */
   getRunningUpTo(tier: number): number {
     let sum = 0;
-    for (let each = 0; each <= tier; each += 1) {
-      sum += this.byTier[each] ?? 0;
+    for (let currentTier = 0; currentTier <= tier; currentTier += 1) {
+      sum += this.runningByTier[currentTier] ?? 0;
     }
     return sum;
   }
 
-  /** Notes that a request was sent (1) or ended (-1). */
+  /** Records that a request was sent (1) or ended (-1). */
   note(now: Milliseconds, tier: number, change: 1 | -1): void {
-    this.byTier[tier] = (this.byTier[tier] ?? 0) + change;
-    this.load.note(now, change);
+    this.runningByTier[tier] = (this.runningByTier[tier] ?? 0) + change;
+    this.load.recordChange(now, change);
   }
 
-  /** The load by slots as it would be with one more request. */
+  /** The estimated load per slot if one more request were sent. */
   getPressure(now: Milliseconds): number {
     const { stampedeDamping, maxReportAge } = this.options;
-    const others = (this.share.contenders - 1) * stampedeDamping;
-    return (this.load.get(now, others, maxReportAge) + 1) / Math.max(1, this.replica.slots);
-  }
-
-  /** Takes a load report. */
-  report(report: LoadReport, now: Milliseconds, random: Random): void {
-    if (this.load.apply(report, now)) {
-      const load = this.load.get(now, 0, this.options.maxReportAge);
-      const { measuredAt } = report;
+    const correlatedPeers = (this.share.contenders - 1) * stampedeDamping;
+    return (
+      (this.load.getEstimate(now, correlatedPeers, maxReportAge) + 1) /
+      Math.max(1, this.replica.slots)
+    );
+  }
+
+  /** Applies a load report. */
+  report(loadReport: LoadReport, now: Milliseconds, random: Random): void {
+    if (this.load.applyReport(loadReport, now)) {
+      const load = this.load.getEstimate(now, 0, this.options.maxReportAge);
+      const { measuredAt } = loadReport;
       this.allowance.report({ load, own: this.load.own, measuredAt }, now, random);
     }
   }
 
   /**
-   * Notes that an attempt went well; the replica is no longer avoided.
+   * Records a successful attempt and ends the cooldown of the replica.
    *
-   * @returns whether it was
+   * @returns whether the replica was in cooldown
    */
   succeed(): boolean {
-    const wasAvoided = this.avoidUntil > 0;
-    this.failures = 0;
-    this.avoidUntil = 0;
-    return wasAvoided;
+    const wasCoolingDown = this.cooldownUntil > 0;
+    this.consecutiveFailures = 0;
+    this.cooldownUntil = 0;
+    return wasCoolingDown;
   }
 
   /**
-   * Notes that an attempt failed.
+   * Records a failed attempt.
    *
-   * @param isCertain - it could not be reached at all, so it is avoided at once
-   * @returns until when it is avoided, or undefined when it is not
+   * @param isUnreachable - whether the replica could not be reached at all, so that its cooldown
+   * starts at once
+   * @returns when the cooldown ends, or undefined if there is none
    */
-  fail(now: Milliseconds, isCertain: boolean): Milliseconds | undefined {
+  fail(now: Milliseconds, isUnreachable: boolean): Milliseconds | undefined {
     const { failuresToAvoid, avoidance, maxAvoidance } = this.options;
-    this.failures += 1;
-    const excess = this.failures - (isCertain ? 1 : failuresToAvoid);
-    if (excess < 0) {
+    this.consecutiveFailures += 1;
+    const excessFailures = this.consecutiveFailures - (isUnreachable ? 1 : failuresToAvoid);
+    if (excessFailures < 0) {
       return undefined;
     }
-    return this.avoid(now + Math.min(maxAvoidance, avoidance * 2 ** excess));
+    return this.extendCooldown(now + Math.min(maxAvoidance, avoidance * 2 ** excessFailures));
   }
 
-  /** Sends nothing here until then, if there is anywhere else to send it. */
-  avoid(until: Milliseconds): Milliseconds {
-    this.avoidUntil = Math.max(this.avoidUntil, until);
-    return this.avoidUntil;
+  /**
+   * Puts the replica into cooldown until the given time at least. It then receives requests only if
+   * no other replica can.
+   */
+  extendCooldown(until: Milliseconds): Milliseconds {
+    this.cooldownUntil = Math.max(this.cooldownUntil, until);
+    return this.cooldownUntil;
   }
 
-  /** Convicts it of being slow; what it is judged by next is its probes alone. */
+  /** Marks the replica as a straggler. From then on only its probes are evaluated. */
   convict(now: Milliseconds): void {
     this.convicted = true;
-    this.probeAt = now + this.options.probeInterval;
+    this.nextProbeAt = now + this.options.probeInterval;
     this.clearSamples();
   }
 
-  /** A probe was sent. */
+  /** Schedules the next probe after one was sent. */
   postponeProbe(now: Milliseconds): void {
-    this.probeAt = now + this.options.probeInterval;
+    this.nextProbeAt = now + this.options.probeInterval;
   }
 
   acquit(): void {
@@ -216,7 +230,7 @@
   }
 
   private clearSamples(): void {
-    this.firstTokens.clear();
-    this.tokenGaps.clear();
+    this.firstTokenDelays.clear();
+    this.tokenGapDelays.clear();
   }
 }
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
@@ -7,40 +7,40 @@
 import { ReplicaState } from './ReplicaState.js';
 
 /**
- * What the table is made of.
+ * The dependencies of a replica table.
  *
  * @internal
  */
-export interface ReplicaTableParts {
+export interface ReplicaTableSettings {
   clock: Clock;
   options: PolicyOptions;
   limit: SharedLimit;
   reserve: Reserve;
-  /** Whether somebody said that the replica is leaving. */
+  /** Whether the replica has been reported as leaving. */
   isLeaving: (replica: string) => boolean;
-  /** A replica may be sent something again. */
+  /** Called when requests may be sent to a replica again. */
   onOpened: () => void;
 }
 
 /**
- * The replicas of one service as this daemon knows them.
+ * The replicas of one service as known to this daemon.
  *
  * @internal
  */
 export class ReplicaTable {
-  private readonly parts: ReplicaTableParts;
+  private readonly settings: ReplicaTableSettings;
 
   private readonly states = new Map<string, ReplicaState>();
 
   private readonly pools = new Map<string | undefined, ReplicaPool>();
 
-  /** How many replicas hold each model. */
-  private readonly holders = new Map<string, number>();
+  /** The number of replicas on which each model is placed. */
+  private readonly replicaCounts = new Map<string, number>();
 
-  private readonly timers = new Map<ReplicaState, Timer>();
+  private readonly cooldownTimers = new Map<ReplicaState, Timer>();
 
-  constructor(parts: ReplicaTableParts) {
-    this.parts = parts;
+  constructor(settings: ReplicaTableSettings) {
+    this.settings = settings;
   }
 
   get(id: string): ReplicaState | undefined {
@@ -52,50 +52,51 @@
   }
 
   /**
-   * The replicas that can run a model. Those of a model that placement keeps nowhere, or of none,
-   * are all replicas: a caller that makes up names of models must not fill the memory with pools.
+   * The pool of replicas that can run a model. A model that is placed on no replica, like an absent
+   * one, uses the pool of all replicas: callers that send made-up model names must not fill the
+   * memory with pools.
    */
-  getPool(wanted: string | undefined): ReplicaPool {
-    const isHeld = wanted !== undefined && this.holders.has(wanted);
-    const model = isHeld || this.pools.has(wanted) ? wanted : undefined;
+  getPool(requestedModel: string | undefined): ReplicaPool {
+    const isPlaced = requestedModel !== undefined && this.replicaCounts.has(requestedModel);
+    const model = isPlaced || this.pools.has(requestedModel) ? requestedModel : undefined;
     const known = this.pools.get(model);
     if (known !== undefined) {
       return known;
     }
-    const pool = new ReplicaPool(model, this.parts.options.preemptingTier);
-    pool.setReplicas([...this.states.values()], this.parts.clock.now());
+    const pool = new ReplicaPool(model, this.settings.options.preemptingTier);
+    pool.setReplicas([...this.states.values()], this.settings.clock.now());
     this.pools.set(model, pool);
     return pool;
   }
 
   /**
-   * Takes the whole list. A replica that is no longer in it gets nothing new; it stays known for
-   * as long as something of ours runs there.
+   * Replaces the list of replicas. A replica that is no longer in the list receives no new
+   * requests; its state is kept while requests of this daemon still run there.
    */
   setReplicas(replicas: readonly Replica[]): void {
     const listed = new Set(replicas.map(({ id }) => id));
-    this.states.forEach((state) => this.unlist(state, listed));
+    this.states.forEach((state) => this.removeUnlisted(state, listed));
     replicas.forEach((replica) => {
-      const state = this.states.get(replica.id) ?? new ReplicaState(replica, this.parts.options);
-      state.describe(replica);
-      state.setLeaving(this.parts.isLeaving(replica.id));
+      const state = this.states.get(replica.id) ?? new ReplicaState(replica, this.settings.options);
+      state.setEntry(replica);
+      state.setLeaving(this.settings.isLeaving(replica.id));
       this.states.set(replica.id, state);
     });
     this.updateShares();
   }
 
-  /** Divides the slots anew, after replicas or daemons changed. */
+  /** Recomputes the shares after replicas or daemons changed. */
   updateShares(): void {
     const listed = [...this.states.values()].filter(({ isListed }) => isListed);
-    this.countHolders(listed);
+    this.countReplicasByModel(listed);
     listed.forEach((state) => {
-      // A model that few replicas hold must be reached by every daemon, also in a large fleet.
-      const counts = [...state.getModels()].map((model) => this.holders.get(model)!);
+      // Every daemon must reach a model that is placed on few replicas, also in a large fleet.
+      const counts = [...state.getModels()].map((model) => this.replicaCounts.get(model)!);
       const count = Math.min(listed.length, ...counts);
-      const plan = this.parts.reserve.getPlan(state.replica.slots);
-      state.setShare(this.parts.limit.getShare(state.id, plan.shared, count), plan);
+      const plan = this.settings.reserve.getPlan(state.replica.slots);
+      state.setShare(this.settings.limit.getShare(state.id, plan.shared, count), plan);
     });
-    const now = this.parts.clock.now();
+    const now = this.settings.clock.now();
     const all = [...this.states.values()];
     this.pools.forEach((pool) => pool.setReplicas(all, now));
   }
@@ -108,23 +109,23 @@
     }
   }
 
-  /** Avoids a replica until then; it opens again by itself. */
+  /** Puts a replica into cooldown until the given time; it becomes available again by itself. */
   avoid(state: ReplicaState, until: Milliseconds): void {
-    const { clock, onOpened } = this.parts;
-    state.avoid(until);
+    const { clock, onOpened } = this.settings;
+    state.extendCooldown(until);
     this.refresh(state);
-    this.timers.get(state)?.cancel();
+    this.cooldownTimers.get(state)?.cancel();
     const timer = clock.setTimer(until - clock.now(), () => {
-      this.timers.delete(state);
+      this.cooldownTimers.delete(state);
       this.refresh(state);
       onOpened();
     });
-    this.timers.set(state, timer);
+    this.cooldownTimers.set(state, timer);
   }
 
-  /** Looks again at a replica whose state changed. */
+  /** Updates the pools after the state of a replica changed. */
   refresh(state: ReplicaState): void {
-    const now = this.parts.clock.now();
+    const now = this.settings.clock.now();
     this.pools.forEach((pool) => pool.refresh(state, now));
     if (!state.isListed && state.load.own === 0) {
       this.states.delete(state.id);
@@ -132,24 +133,24 @@
   }
 
   dispose(): void {
-    this.timers.forEach((timer) => timer.cancel());
-    this.timers.clear();
+    this.cooldownTimers.forEach((timer) => timer.cancel());
+    this.cooldownTimers.clear();
   }
 
-  private countHolders(listed: readonly ReplicaState[]): void {
-    this.holders.clear();
+  private countReplicasByModel(listed: readonly ReplicaState[]): void {
+    this.replicaCounts.clear();
     listed.forEach((state) =>
       state.getModels().forEach((model) => {
-        this.holders.set(model, (this.holders.get(model) ?? 0) + 1);
+        this.replicaCounts.set(model, (this.replicaCounts.get(model) ?? 0) + 1);
       }),
     );
   }
 
-  private unlist(state: ReplicaState, listed: ReadonlySet<string>): void {
+  private removeUnlisted(state: ReplicaState, listed: ReadonlySet<string>): void {
     if (listed.has(state.id)) {
       return;
     }
-    state.unlist();
+    state.markUnlisted();
     if (state.load.own === 0) {
       this.states.delete(state.id);
     }
--- a/packages/policy/src/lib/ReplicaChooser/StragglerDetector.ts
+++ b/packages/policy/src/lib/ReplicaChooser/StragglerDetector.ts
@@ -4,37 +4,38 @@
 import type { ReplicaPool } from './ReplicaPool.js';
 import type { ReplicaState } from './ReplicaState.js';
 
-/** What is measured of an attempt. */
+/** The delays that are measured for each attempt. */
 export enum Delay {
   FirstToken = 'first-token',
   TokenGap = 'token-gap',
 }
 
-/** Measurements kept to know what is usual for a class, and how many new ones may be ignored. */
-const CLASS_WINDOW = 63;
+/** Number of measurements from which the median delay of a class is computed. */
+const CLASS_WINDOW_SIZE = 63;
 
-const CLASS_TOLERANCE = 7;
+/** How many measurements of a class may be added before its median is recomputed. */
+const MAX_ADDED_SINCE_CLASS_MEDIAN = 7;
 
-/** Measurements of a class needed before anything is called unusual. */
+/** Minimum number of measurements of a class before its delays are normalized. */
 const MIN_CLASS_SAMPLES = 8;
 
-/** How often a replica is compared with its peers. */
-const JUDGE_INTERVAL: Milliseconds = 200;
+/** Minimum interval between two comparisons of a replica with its peers. */
+const COMPARISON_INTERVAL_MS: Milliseconds = 200;
 
-/** Peers compared with at most. */
-const MAX_PEERS = 32;
+/** Maximum number of replicas in a comparison. */
+const MAX_COMPARED_REPLICAS = 32;
 
-/** Replicas with measurements that a comparison needs: with two, either could be the slow one. */
-const MIN_PEERS = 3;
+/** Minimum number of replicas in a comparison: of two, either could be the slow one. */
+const MIN_COMPARED_REPLICAS = 3;
 
-/** Probes that an acquittal rests on. */
-const PROBES = 3;
+/** Minimum number of probes before a straggler can be considered recovered. */
+const MIN_RECOVERY_PROBES = 3;
 
-/** What became of a replica's standing. */
+/** How the classification of a replica changes. */
 export enum Verdict {
   Unchanged = 'unchanged',
   Convicted = 'convicted',
-  Acquitted = 'acquitted',
+  Recovered = 'acquitted',
 }
 
 type StragglerOptions = Pick<
@@ -43,16 +44,16 @@
 >;
 
 function getWindow(state: ReplicaState, delay: Delay): LatencyWindow {
-  return delay === Delay.FirstToken ? state.firstTokens : state.tokenGaps;
+  return delay === Delay.FirstToken ? state.firstTokenDelays : state.tokenGapDelays;
 }
 
 /**
- * Finds replicas that are much slower than their peers, from the delays that this daemon observes
- * itself: a straggler's own load report says nothing of it. Each delay is divided by what is usual
- * for its class, so that a replica which happens to get the long prompts isn't called slow; medians
- * are compared, so that one odd answer isn't either. A convicted replica gets a probe now and then
- * and comes back once its probes are as fast as its peers. No more than a part of a pool is
- * convicted at once: when all are slow, the cause is elsewhere.
+ * Detects replicas that are much slower than their peers from the delays that this daemon observes
+ * itself, since the load report of a straggler does not show it. Each delay is divided by the
+ * median of its class, so that a replica that happens to get the long prompts is not considered
+ * slow. Medians are compared, so that a single outlier has no effect either. A straggler receives
+ * occasional probes and is used again once its probes are as fast as its peers. Only part of a pool
+ * may be marked as stragglers at once: if all replicas are slow, the cause lies elsewhere.
  *
  * @internal
  */
@@ -61,9 +62,9 @@
 
   private readonly pool: ReplicaPool;
 
-  private readonly usual = new Map<string, LatencyWindow>();
+  private readonly classWindows = new Map<string, LatencyWindow>();
 
-  private readonly references = new Map<Delay, { value: number | undefined; at: Milliseconds }>();
+  private readonly peerMedians = new Map<Delay, { value: number | undefined; at: Milliseconds }>();
 
   constructor(pool: ReplicaPool, options: StragglerOptions) {
     this.pool = pool;
@@ -71,10 +72,10 @@
   }
 
   /**
-   * Takes a measurement.
+   * Records a measurement.
    *
-   * @param value - in milliseconds
-   * @returns whether the replica's standing has to change; the caller changes it
+   * @param value - the delay
+   * @returns how the classification of the replica has to change; the caller applies the change
    */
   observe(
     state: ReplicaState,
@@ -83,24 +84,30 @@
     value: Milliseconds,
     now: Milliseconds,
   ): Verdict {
-    const ratio = this.getRatio(`${delay} ${className}`, value, !state.convicted);
-    if (ratio === undefined) {
+    const normalizedDelay = this.normalizeDelay(`${delay} ${className}`, value, !state.convicted);
+    if (normalizedDelay === undefined) {
       return Verdict.Unchanged;
     }
-    getWindow(state, delay).add(ratio);
-    if (now - state.judgedAt < JUDGE_INTERVAL) {
+    getWindow(state, delay).add(normalizedDelay);
+    if (now - state.comparedAt < COMPARISON_INTERVAL_MS) {
       return Verdict.Unchanged;
     }
-    Object.assign(state, { judgedAt: now });
-    return state.convicted ? this.review(state, now) : this.judge(state, now);
+    Object.assign(state, { comparedAt: now });
+    return state.convicted ? this.checkRecovery(state, now) : this.checkStraggling(state, now);
   }
 
-  /** @param isUsual - whether the value tells what is usual; that of a slow replica does not */
-  private getRatio(key: string, value: Milliseconds, isUsual: boolean): number | undefined {
-    const window = this.usual.get(key) ?? new LatencyWindow(CLASS_WINDOW, CLASS_TOLERANCE);
-    this.usual.set(key, window);
+  /** @param isRepresentative - whether the value is typical of its class; a straggler's is not */
+  private normalizeDelay(
+    key: string,
+    value: Milliseconds,
+    isRepresentative: boolean,
+  ): number | undefined {
+    const window =
+      this.classWindows.get(key) ??
+      new LatencyWindow(CLASS_WINDOW_SIZE, MAX_ADDED_SINCE_CLASS_MEDIAN);
+    this.classWindows.set(key, window);
     const median = window.size < MIN_CLASS_SAMPLES ? undefined : window.getMedian();
-    if (isUsual) {
+    if (isRepresentative) {
       window.add(value);
     }
     if (median === undefined) {
@@ -109,54 +116,54 @@
     return value - median < this.options.stragglerExcess ? 1 : value / Math.max(1, median);
   }
 
-  private judge(state: ReplicaState, now: Milliseconds): Verdict {
+  private checkStraggling(state: ReplicaState, now: Milliseconds): Verdict {
     const { maxConvicted, stragglerFactor, stragglerSamples } = this.options;
-    if (this.pool.convicted.size + 1 > this.pool.usable.size * maxConvicted) {
+    if (this.pool.stragglers.size + 1 > this.pool.usable.size * maxConvicted) {
       return Verdict.Unchanged;
     }
-    const isSlow = [Delay.FirstToken, Delay.TokenGap].some((delay) => {
+    const isStraggling = [Delay.FirstToken, Delay.TokenGap].some((delay) => {
       const window = getWindow(state, delay);
-      const reference = this.getReference(delay, now);
+      const peerMedian = this.getPeerMedian(delay, now);
       return (
-        reference !== undefined &&
+        peerMedian !== undefined &&
         window.size >= stragglerSamples &&
-        window.getMedian() > stragglerFactor * reference
+        window.getMedian() > stragglerFactor * peerMedian
       );
     });
-    return isSlow ? Verdict.Convicted : Verdict.Unchanged;
+    return isStraggling ? Verdict.Convicted : Verdict.Unchanged;
   }
 
-  private review(state: ReplicaState, now: Milliseconds): Verdict {
+  private checkRecovery(state: ReplicaState, now: Milliseconds): Verdict {
     const { acquittalFactor } = this.options;
     const isFast = [Delay.FirstToken, Delay.TokenGap].every((delay) => {
       const window = getWindow(state, delay);
-      const reference = this.getReference(delay, now) ?? 1;
-      return window.getRecentMedian(PROBES) <= acquittalFactor * reference;
+      const peerMedian = this.getPeerMedian(delay, now) ?? 1;
+      return window.getRecentMedian(MIN_RECOVERY_PROBES) <= acquittalFactor * peerMedian;
     });
-    const isKnown = state.firstTokens.size >= PROBES;
-    return isFast && isKnown ? Verdict.Acquitted : Verdict.Unchanged;
+    const hasEnoughProbes = state.firstTokenDelays.size >= MIN_RECOVERY_PROBES;
+    return isFast && hasEnoughProbes ? Verdict.Recovered : Verdict.Unchanged;
   }
 
-  /** The median of the peers' medians, kept for as long as a judgement is. */
-  private getReference(delay: Delay, now: Milliseconds): number | undefined {
-    const known = this.references.get(delay);
-    if (known !== undefined && now - known.at < JUDGE_INTERVAL) {
+  /** The median of the medians of all peers, cached for one comparison interval. */
+  private getPeerMedian(delay: Delay, now: Milliseconds): number | undefined {
+    const known = this.peerMedians.get(delay);
+    if (known !== undefined && now - known.at < COMPARISON_INTERVAL_MS) {
       return known.value;
     }
-    const value = this.computeReference(delay);
-    this.references.set(delay, { value, at: now });
+    const value = this.computePeerMedian(delay);
+    this.peerMedians.set(delay, { value, at: now });
     return value;
   }
 
-  private computeReference(delay: Delay): number | undefined {
+  private computePeerMedian(delay: Delay): number | undefined {
     const medians: number[] = [];
     this.pool.getMembers().some((state) => {
       const window = getWindow(state, delay);
       if (!state.convicted && window.size >= this.options.stragglerSamples) {
         medians.push(window.getMedian());
       }
-      return medians.length === MAX_PEERS;
+      return medians.length === MAX_COMPARED_REPLICAS;
     });
-    return medians.length < MIN_PEERS ? undefined : getMedian(medians);
+    return medians.length < MIN_COMPARED_REPLICAS ? undefined : getMedian(medians);
   }
 }
--- a/packages/policy/src/lib/baselines/Baseline.ts
+++ b/packages/policy/src/lib/baselines/Baseline.ts
@@ -6,24 +6,25 @@
 import { TaskQueue } from '../Scheduler/TaskQueue.js';
 import { Heap } from '../structures/Heap.js';
 import { BaselineJob } from './BaselineJob.js';
-import type { BaselineReplica, BaselineRules } from './BaselineRules.js';
+import type { BaselineReplica, BaselineStrategy } from './BaselineStrategy.js';
 
-/** How often a request is sent at most. */
+/** Maximum number of attempts of a request. */
 const MAX_ATTEMPTS = 3;
 
-/** Requests that wait for one service at most. */
-const MAX_WAITING = 4096;
+/** Maximum number of waiting requests of one service. */
+const MAX_WAITING_PER_SERVICE = 4096;
 
-const RETRY_AFTER: Milliseconds = 1000;
+const RETRY_AFTER_MS: Milliseconds = 1000;
 
-/** Silence between tokens that the owner should allow; long, since baselines don't watch it. */
-const TOKEN_GAP_TIMEOUT: Milliseconds = 10_000;
+/** Timeout for the next token. It is long because baselines do not monitor token gaps. */
+const TOKEN_GAP_TIMEOUT_MS: Milliseconds = 10_000;
 
 /**
- * A plain scheduler to compare with: one queue for each service, a number of requests at each
- * replica up to its slots, up to three attempts. It knows no floors, shares, budgets, load reports
- * or preemption, and refuses only when a request's deadline has come. It keeps the promises on
- * whole answers and on what may not be repeated, or the comparison would be unfair the other way.
+ * A simple scheduler for comparison: one queue per service, at most as many requests at a replica
+ * as it has slots, and up to three attempts. It has no floors, shares, retry budgets, load reports
+ * or preemption, and it refuses requests only when their deadline has passed. It keeps the
+ * guarantees on complete responses and on requests that may not be repeated, as the comparison
+ * would otherwise favor the baseline.
  *
  * @internal
  */
@@ -32,7 +33,7 @@
 
   private readonly tasks: TaskQueue;
 
-  private readonly rules: BaselineRules;
+  private readonly strategy: BaselineStrategy;
 
   private readonly jobs = new Map<string, BaselineJob>();
 
@@ -48,32 +49,32 @@
 
   private isDraining = false;
 
-  constructor({ clock, emit }: SchedulerSettings, rules: BaselineRules) {
+  constructor({ clock, emit }: SchedulerSettings, strategy: BaselineStrategy) {
     this.tasks = new TaskQueue(clock, emit);
     this.clock = this.tasks.clock;
-    this.rules = rules;
+    this.strategy = strategy;
   }
 
-  /** Takes a message; reports of load, silence and daemons mean nothing to a baseline. */
+  /** Handles a message. Load reports, silent paths and changes of daemons are ignored. */
   handle(message: SchedulerMessage): void {
-    this.tasks.run(() => this.apply(message));
+    this.tasks.run(() => this.handleMessage(message));
   }
 
-  /** Forgets everything. */
+  /** Discards all requests. */
   dispose(): void {
     this.jobs.clear();
     this.queues.clear();
   }
 
-  private apply(message: SchedulerMessage): void {
+  private handleMessage(message: SchedulerMessage): void {
     if (message.kind === 'submit') {
-      this.submit(message.request);
+      this.handleSubmit(message.request);
     } else if (message.kind === 'caller-left') {
-      this.callerLeft(message.id);
+      this.handleCallerLeft(message.id);
     } else if (message.kind === 'progress') {
-      this.getRunning(message)?.progress(message.tokens);
+      this.getRunningJob(message)?.recordProgress(message.tokens);
     } else if (message.kind === 'attempt-ended') {
-      this.attemptEnded(this.getRunning(message), message.end);
+      this.handleAttemptEnded(this.getRunningJob(message), message.end);
     } else if (message.kind === 'replicas') {
       this.replicas = message.replicas;
     } else if (message.kind === 'replica-leaving') {
@@ -83,21 +84,21 @@
     } else if (message.kind === 'drain') {
       this.isDraining = true;
     }
-    [...this.queues.keys()].forEach((service) => this.pump(service));
+    [...this.queues.keys()].forEach((service) => this.dispatchWaiting(service));
   }
 
-  private submit(request: ScheduledRequest): void {
+  private handleSubmit(request: ScheduledRequest): void {
     this.sequence += 1;
-    const rank = this.rules.getRank(request.serviceClass);
+    const rank = this.strategy.getRank(request.serviceClass);
     const job = new BaselineJob(request, rank, this.sequence);
     this.jobs.set(request.id, job);
     if (this.isDraining) {
       this.giveUp(job, GiveUpReason.Draining);
-    } else if ((this.queues.get(request.service)?.size ?? 0) >= MAX_WAITING) {
+    } else if ((this.queues.get(request.service)?.size ?? 0) >= MAX_WAITING_PER_SERVICE) {
       this.giveUp(job, GiveUpReason.Overload);
     } else {
       const left = request.arrivedAt + request.serviceClass.deadline - this.clock.now();
-      this.clock.setTimer(left, () => this.expire(job));
+      this.clock.setTimer(left, () => this.handleDeadline(job));
       this.enqueue(job);
     }
   }
@@ -113,23 +114,23 @@
     queue.push(job);
   }
 
-  private pump(service: string): void {
+  private dispatchWaiting(service: string): void {
     const queue = this.queues.get(service)!;
     for (let job = queue.peek(); job !== undefined; job = queue.peek()) {
-      const open = this.getOpen(service);
-      if (open.length === 0) {
+      const available = this.getAvailable(service);
+      if (available.length === 0) {
         return;
       }
-      const { failed } = job;
-      const fresh = open.filter(({ replica }) => !failed.has(replica.id));
+      const { failedReplicas } = job;
+      const untried = available.filter(({ replica }) => !failedReplicas.has(replica.id));
       queue.remove(job);
-      this.dispatch(job, this.rules.choose(fresh.length > 0 ? fresh : open).replica);
+      this.dispatch(job, this.strategy.choose(untried.length > 0 ? untried : available).replica);
     }
   }
 
   private dispatch(job: BaselineJob, replica: Replica): void {
-    const { serviceClass, id, arrivedAt: arrived } = job.request;
-    job.start(replica.id);
+    const { serviceClass, id, arrivedAt } = job.request;
+    job.startAttempt(replica.id);
     this.changeOutstanding(replica.id, 1);
     this.tasks.emit({
       kind: 'dispatch',
@@ -137,25 +138,25 @@
       attempt: job.attempt,
       replica,
       resumeAt: job.resumeAt,
-      firstTokenTimeout: Math.max(1, arrived + serviceClass.deadline - this.clock.now()),
-      tokenGapTimeout: TOKEN_GAP_TIMEOUT,
-      priority: this.rules.getPriority(serviceClass),
-      reason: this.rules.name,
+      firstTokenTimeout: Math.max(1, arrivedAt + serviceClass.deadline - this.clock.now()),
+      tokenGapTimeout: TOKEN_GAP_TIMEOUT_MS,
+      priority: this.strategy.getPriority(serviceClass),
+      reason: this.strategy.name,
     });
   }
 
-  private attemptEnded(job: BaselineJob | undefined, end: AttemptStatus): void {
+  private handleAttemptEnded(job: BaselineJob | undefined, status: AttemptStatus): void {
     if (job === undefined) {
       return;
     }
     this.changeOutstanding(job.replica!, -1);
-    job.end(end);
-    if (end === AttemptStatus.Completed) {
+    job.endAttempt(status);
+    if (status === AttemptStatus.Completed) {
       this.jobs.delete(job.request.id);
       this.tasks.emit({ kind: 'done', id: job.request.id });
-    } else if (end === AttemptStatus.Errored) {
+    } else if (status === AttemptStatus.Errored) {
       this.giveUp(job, GiveUpReason.ReplicaFailed, ExecutionOutcome.Failed);
-    } else if (!job.canGoOn) {
+    } else if (!job.canRetry) {
       this.giveUp(job, GiveUpReason.MayHaveRun);
     } else if (job.attempt >= MAX_ATTEMPTS) {
       this.giveUp(job, GiveUpReason.RetriesSpent);
@@ -164,22 +165,22 @@
     }
   }
 
-  /** The deadline has come: without any of its answer by now, the request is given up. */
-  private expire(job: BaselineJob): void {
-    if (this.jobs.get(job.request.id) !== job || job.hasBegun) {
+  /** Gives a request up if its response has not started by the deadline. */
+  private handleDeadline(job: BaselineJob): void {
+    if (this.jobs.get(job.request.id) !== job || job.hasStarted) {
       return;
     }
     if (job.replica === undefined) {
       this.queues.get(job.request.service)?.remove(job);
     } else {
       this.cancel(job, CancelReason.Silent);
-      job.end(AttemptStatus.Cancelled);
+      job.endAttempt(AttemptStatus.Cancelled);
     }
     this.giveUp(job, GiveUpReason.Deadline);
-    this.pump(job.request.service);
+    this.dispatchWaiting(job.request.service);
   }
 
-  private callerLeft(id: string): void {
+  private handleCallerLeft(id: string): void {
     const job = this.jobs.get(id);
     if (job === undefined) {
       return;
@@ -204,16 +205,16 @@
       id: job.request.id,
       outcome,
       reason,
-      retryAfter: RETRY_AFTER,
+      retryAfter: RETRY_AFTER_MS,
     });
   }
 
-  private getRunning({ id, attempt }: { id: string; attempt: number }): BaselineJob | undefined {
+  private getRunningJob({ id, attempt }: { id: string; attempt: number }): BaselineJob | undefined {
     const job = this.jobs.get(id);
     return job?.attempt === attempt && job.replica !== undefined ? job : undefined;
   }
 
-  private getOpen(service: string): BaselineReplica[] {
+  private getAvailable(service: string): BaselineReplica[] {
     return this.replicas
       .filter((replica) => replica.service === service && !this.leaving.has(replica.id))
       .map((replica) => ({ replica, outstanding: this.outstanding.get(replica.id) ?? 0 }))
--- a/packages/policy/src/lib/baselines/BaselineJob.ts
+++ b/packages/policy/src/lib/baselines/BaselineJob.ts
@@ -2,7 +2,7 @@
 import type { ScheduledRequest } from '../messages.js';
 
 /**
- * A request at a baseline.
+ * A request handled by a baseline.
  *
  * @internal
  */
@@ -13,17 +13,17 @@
 
   readonly sequence: number;
 
-  /** Replicas that failed it; others are tried first. */
-  readonly failed = new Set<string>();
+  /** Ids of the replicas that failed the request; others are tried first. */
+  readonly failedReplicas = new Set<string>();
 
-  /** Where it runs, if it does. */
+  /** The id of the replica that runs the request; undefined if none does. */
   replica: string | undefined;
 
   attempt = 0;
 
   private deliveredTokens = 0;
 
-  private begun = false;
+  private started = false;
 
   private mayHaveRun = false;
 
@@ -37,8 +37,8 @@
     return this.request.resumable ? this.deliveredTokens : 0;
   }
 
-  get hasBegun(): boolean {
-    return this.begun;
+  get hasStarted(): boolean {
+    return this.started;
   }
 
   get outcome(): ExecutionOutcome {
@@ -50,24 +50,24 @@
       : ExecutionOutcome.Unknown;
   }
 
-  get canGoOn(): boolean {
+  get canRetry(): boolean {
     const { resumable, serviceClass } = this.request;
-    return !this.mayHaveRun || (serviceClass.repeatable && (resumable || !this.begun));
+    return !this.mayHaveRun || (serviceClass.repeatable && (resumable || !this.started));
   }
 
-  start(replica: string): void {
+  startAttempt(replica: string): void {
     this.attempt += 1;
     this.replica = replica;
   }
 
-  progress(tokens: number): void {
-    this.begun = true;
+  recordProgress(tokens: number): void {
+    this.started = true;
     this.deliveredTokens += tokens;
   }
 
-  end(end: AttemptStatus): void {
-    this.failed.add(this.replica!);
+  endAttempt(status: AttemptStatus): void {
+    this.failedReplicas.add(this.replica!);
     this.replica = undefined;
-    this.mayHaveRun ||= end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused;
+    this.mayHaveRun ||= status !== AttemptStatus.NotSent && status !== AttemptStatus.Refused;
   }
 }
--- a/packages/policy/src/lib/baselines/createBaselines.ts
+++ b/packages/policy/src/lib/baselines/createBaselines.ts
@@ -1,72 +1,79 @@
 import type { Random } from '@apricotrill/utils';
 import type { SchedulerSettings } from '../Scheduler/Scheduler.js';
 import { Baseline } from './Baseline.js';
-import type { BaselineReplica } from './BaselineRules.js';
+import type { BaselineReplica } from './BaselineStrategy.js';
 
-/** One priority for all: engines then run requests in the order of their arrival. */
-const EQUAL_PRIORITY = 3;
+/** With the same priority for all requests, engines run them in order of arrival. */
+const UNIFORM_PRIORITY = 3;
 
-/** The least outstanding, ties broken at random, or all daemons would begin with the same one. */
-function chooseLeastOutstanding(open: readonly BaselineReplica[], random: Random): BaselineReplica {
-  const start = random.integer(open.length);
-  const rotated = [...open.slice(start), ...open.slice(0, start)];
-  return rotated.reduce((least, each) => (each.outstanding < least.outstanding ? each : least));
+/** Breaks ties at random; otherwise all daemons would start with the same replica. */
+function chooseLeastOutstanding(
+  available: readonly BaselineReplica[],
+  random: Random,
+): BaselineReplica {
+  const start = random.integer(available.length);
+  const rotated = [...available.slice(start), ...available.slice(0, start)];
+  return rotated.reduce((least, replica) =>
+    replica.outstanding < least.outstanding ? replica : least,
+  );
 }
 
 /**
- * First in, first out, the replicas in turn.
+ * Creates a baseline that serves requests in order of arrival and uses the replicas in turn.
  *
  * @example
  * ```ts
- * const baseline = createFirstInFirstOut({ clock, random, emit });
+ * const baseline = createFifoBaseline({ clock, random, emit });
  * ```
  * @public
  */
-export function createFifoBaseline(parts: SchedulerSettings): Baseline {
-  let turn = 0;
-  return new Baseline(parts, {
+export function createFifoBaseline(settings: SchedulerSettings): Baseline {
+  let nextIndex = 0;
+  return new Baseline(settings, {
     name: 'round-robin',
     getRank: () => 0,
-    getPriority: () => EQUAL_PRIORITY,
-    choose: (open) => {
-      turn += 1;
-      return open[turn % open.length]!;
+    getPriority: () => UNIFORM_PRIORITY,
+    choose: (available) => {
+      nextIndex += 1;
+      return available[nextIndex % available.length]!;
     },
   });
 }
 
 /**
- * First in, first out, to the replica where this daemon has least running.
+ * Creates a baseline that serves requests in order of arrival and sends each to the replica with the
+ * fewest outstanding requests of this daemon.
  *
  * @example
  * ```ts
- * const baseline = createLeastOutstanding({ clock, random, emit });
+ * const baseline = createLeastOutstandingBaseline({ clock, random, emit });
  * ```
  * @public
  */
-export function createLeastOutstandingBaseline(parts: SchedulerSettings): Baseline {
-  return new Baseline(parts, {
+export function createLeastOutstandingBaseline(settings: SchedulerSettings): Baseline {
+  return new Baseline(settings, {
     name: 'least-outstanding',
     getRank: () => 0,
-    getPriority: () => EQUAL_PRIORITY,
-    choose: (open) => chooseLeastOutstanding(open, parts.random),
+    getPriority: () => UNIFORM_PRIORITY,
+    choose: (available) => chooseLeastOutstanding(available, settings.random),
   });
 }
 
 /**
- * The most urgent tier first, always, to the replica where this daemon has least running.
+ * Creates a baseline that always serves the most urgent tier first and sends each request to the
+ * replica with the fewest outstanding requests of this daemon.
  *
  * @example
  * ```ts
- * const baseline = createStrictPriority({ clock, random, emit });
+ * const baseline = createStrictPriorityBaseline({ clock, random, emit });
  * ```
  * @public
  */
-export function createStrictPriorityBaseline(parts: SchedulerSettings): Baseline {
-  return new Baseline(parts, {
+export function createStrictPriorityBaseline(settings: SchedulerSettings): Baseline {
+  return new Baseline(settings, {
     name: 'strict-priority',
     getRank: ({ tier }) => tier,
     getPriority: ({ tier }) => tier,
-    choose: (open) => chooseLeastOutstanding(open, parts.random),
+    choose: (available) => chooseLeastOutstanding(available, settings.random),
   });
 }
--- a/packages/policy/src/lib/messages.ts
+++ b/packages/policy/src/lib/messages.ts
@@ -2,33 +2,36 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * The messages of the scheduler: what the sockets around it tell it, and what it tells them to do.
- * The daemon, the fuzz tests and the experiment all speak these and nothing else.
+ * The messages of the scheduler: its inputs from the network code, and the effects that it
+ * requests. The daemon, the fuzz tests and the experiment use only these messages.
  */
 
-/** What a refused or broken request is known to have done. */
+/** Whether a request that did not succeed is known to have run. */
 export enum ExecutionOutcome {
-  /** Proof: no byte of the request left the daemon, or the replica refused it by a documented answer. */
+  /**
+   * Certainly not run: no byte of the request left the daemon, or the replica refused it with a
+   * documented response.
+   */
   NotRun = 'not-run',
-  /** The request may have run; nobody can tell. */
+  /** The request may have run; this cannot be determined. */
   Unknown = 'unknown',
-  /** The request ran and did not give a whole answer. */
+  /** The request ran without producing a complete response. */
   Failed = 'failed',
 }
 
 /** How one attempt at a replica ended. */
 export enum AttemptStatus {
-  /** The whole answer came. */
+  /** The complete response was received. */
   Completed = 'completed',
   /** No byte left the daemon: the connection was refused or timed out. */
   NotSent = 'not-sent',
-  /** The replica refused by a documented answer and did not run it. */
+  /** The replica refused the request with a documented response and did not run it. */
   Refused = 'refused',
-  /** The connection broke, or the answer was not whole, after the request may have run. */
+  /** The connection broke, or the response was incomplete, after the request may have run. */
   Broken = 'broken',
-  /** The replica answered with an error of its own: the request ran and failed. */
+  /** The replica responded with an error of its own: the request ran and failed. */
   Errored = 'errored',
-  /** The scheduler cancelled it. */
+  /** The scheduler cancelled the attempt. */
   Cancelled = 'cancelled',
 }
 
@@ -38,23 +41,23 @@
  * @public
  */
 export interface ScheduledRequest {
-  /** Unique over all daemons and time. */
+  /** Unique across all daemons and over time. */
   id: string;
   service: string;
-  /** The model asked for; absent for plain services. */
+  /** The requested model; absent for plain services. */
   model?: string;
   workspace: string;
   workspaceWeight: number;
   serviceClass: ServiceClass;
-  /** Hash of the prompt's head, for prefix affinity; absent for plain services. */
+  /** Hash of the beginning of the prompt, for prefix affinity; absent for plain services. */
   prefixHash?: number;
-  /** Whether a broken attempt may go on elsewhere at the delivered token. */
+  /** Whether another replica may continue a broken attempt after the last delivered token. */
   resumable: boolean;
   arrivedAt: Milliseconds;
 }
 
 /**
- * A replica's own word on its load, as old as `measuredAt` says.
+ * The load of a replica at `measuredAt`, as reported by the replica itself.
  *
  * @public
  */
@@ -66,7 +69,7 @@
 }
 
 /**
- * What happens around the scheduler.
+ * An input of the scheduler.
  *
  * @public
  */
@@ -74,8 +77,8 @@
   | { kind: 'submit'; request: ScheduledRequest }
   | { kind: 'caller-left'; id: string }
   /**
-   * This many further tokens (or, for a plain answer, its head as one) were handed to the caller by
-   * this attempt since its last such message.
+   * The number of tokens that this attempt delivered to the caller since its previous `progress`
+   * message. The head of a plain response counts as one token.
    */
   | { kind: 'progress'; id: string; attempt: number; tokens: number }
   | {
@@ -87,19 +90,19 @@
     }
   | { kind: 'load-report'; report: LoadReport }
   | { kind: 'replicas'; replicas: Replica[] }
-  /** Word (a refusal, a report, the list, a peer) that a replica is leaving. */
+  /** A replica is leaving, according to a refusal, a report, the list of replicas or a peer. */
   | { kind: 'replica-leaving'; replica: string }
-  /** Word that a replica which was leaving is taking work again. */
+  /** A replica that was leaving accepts work again. */
   | { kind: 'replica-returned'; replica: string }
-  /** A pooled connection to the replica went silent; condemns the path, not the server. */
+  /** A pooled connection to the replica stopped responding; the replica itself may be healthy. */
   | { kind: 'path-silent'; replica: string }
-  /** The ids of all live daemons, this one among them: shared limits are divided by them. */
+  /** The ids of all live daemons, including this one; shared limits are divided among them. */
   | { kind: 'daemons'; self: string; daemons: string[] }
-  /** Stop admitting; everything in flight goes on to its end. */
+  /** Admit no further requests; requests in flight run to completion. */
   | { kind: 'drain' };
 
 /**
- * What the scheduler wants done.
+ * An action that the scheduler requests.
  *
  * @public
  */
@@ -109,12 +112,12 @@
       id: string;
       attempt: number;
       replica: Replica;
-      /** Tokens already delivered: the attempt goes on after them. */
+      /** The number of tokens already delivered; the attempt continues after them. */
       resumeAt: number;
-      /** Silence allowed until the first token, and between tokens. */
+      /** Timeouts for the first token and for each further token. */
       firstTokenTimeout: Milliseconds;
       tokenGapTimeout: Milliseconds;
-      /** The priority given to the engine; the tier of the request's class when absent. */
+      /** The priority sent to the engine; the tier of the request's class if absent. */
       priority?: number;
       reason: string;
     }
@@ -124,13 +127,13 @@
       id: string;
       outcome: ExecutionOutcome;
       reason: GiveUpReason;
-      /** When asking again makes sense. */
+      /** How long the caller should wait before a retry. */
       retryAfter: Milliseconds;
     }
-  /** The request is over; the caller has its whole answer. */
+  /** The request is finished; the caller has the complete response. */
   | { kind: 'done'; id: string };
 
-/** Why an attempt is cancelled upstream. */
+/** Why an attempt is cancelled at its replica. */
 export enum CancelReason {
   CallerLeft = 'caller-left',
   Preempted = 'preempted',
@@ -140,18 +143,18 @@
 
 /** Why a request is given up. */
 export enum GiveUpReason {
-  /** It can no longer meet its deadline. */
+  /** The request can no longer meet its deadline. */
   Deadline = 'deadline',
   /** The queue of its class is full. */
   Overload = 'overload',
-  /** No replica of the service is live. */
+  /** No replica of the service is available. */
   NoReplica = 'no-replica',
-  /** The service's retry budget is spent. */
+  /** The retry budget of the service is exhausted. */
   RetriesSpent = 'retries-spent',
-  /** It may not be repeated, and the last attempt may have run. */
+  /** The request may not be repeated, and its last attempt may have run. */
   MayHaveRun = 'may-have-run',
-  /** The replica ran it and failed. */
+  /** The replica ran the request and failed. */
   ReplicaFailed = 'replica-failed',
-  /** This daemon is shutting down and takes no new requests. */
+  /** This daemon is shutting down and accepts no new requests. */
   Draining = 'draining',
 }
--- a/packages/policy/src/lib/policyOptions.ts
+++ b/packages/policy/src/lib/policyOptions.ts
@@ -1,123 +1,173 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * What can be tuned in the decision core.
+ * The options of the scheduling policy.
  *
  * @public
  */
 export interface PolicyOptions {
-  /** Tiers up to this one are urgent: they are refused only at their deadline; default 1. */
+  /**
+   * Tiers up to this one are urgent: their requests are refused only at their deadline; default 1.
+   */
   urgentTier: number;
   /** Tiers up to this one may preempt less urgent ones; default 2. */
   preemptingTier: number;
 
-  /** Requests of one class that wait at one daemon; default 512. */
+  /** Maximum number of waiting requests of one class at one daemon; default 512. */
   maxWaitingPerClass: number;
-  /** The share of dispatches every waiting class gets at least; default 0.01. */
+  /** Minimum share of dispatches for every class that has requests waiting; default 0.01. */
   minFloor: number;
-  /** What the floors together may take from more urgent tiers; default 0.5. */
+  /**
+   * Maximum share of dispatches that all floors together may take from more urgent tiers; default
+   * 0.5.
+   */
   maxFloorSum: number;
 
-  /** What a refused caller is told to wait at least; default 500 ms. */
+  /** Minimum retry delay given to a refused caller; default 500 ms. */
   minRetryAfter: Milliseconds;
-  /** What a refused caller is told to wait at most; default 10 s. */
+  /** Maximum retry delay given to a refused caller; default 10 s. */
   maxRetryAfter: Milliseconds;
-  /** Waiting time of a class after which its drain rate is trusted for refusals; default 3 s. */
+  /**
+   * How long a class must have had requests waiting before its drain rate is used for refusals;
+   * default 3 s.
+   */
   minDrainObservation: Milliseconds;
-  /** By how much the expected wait must exceed what is left for a refusal; default 1.5. */
+  /**
+   * A request is refused when its expected wait exceeds its remaining time by this factor; default
+   * 1.5.
+   */
   refusalMargin: number;
-  /** Time over which a drain rate is observed; default 5 s. */
+  /** Length of the window over which a drain rate is measured; default 5 s. */
   drainWindow: Milliseconds;
-  /** How long a request that has begun its answer waits to go on before it is given up; default 2 min. */
+  /**
+   * How long a request whose response has started may wait to be resumed before it is given up;
+   * default 2 min.
+   */
   resumePatience: Milliseconds;
 
-  /** How often one request may fail at a replica, preemptions not counted; default 4. */
+  /** Maximum number of failed attempts of one request, not counting preemptions; default 4. */
   maxFailures: number;
-  /** Retries allowed for each success, which bounds what a failing service is sent; default 0.2. */
+  /**
+   * Retries allowed per successful request, which limits the load on a failing service; default
+   * 0.2.
+   */
   retryRatio: number;
-  /** Retries that may come in a burst, as when a replica crashes; default 20. */
+  /** Maximum number of retries in a burst, as after a replica crash; default 20. */
   retryBurst: number;
-  /** Retries a second that are always allowed, for services with little traffic; default 1. */
+  /** Retries per second that are always allowed, for services with little traffic; default 1. */
   retryTrickle: number;
-  /** The part of the burst kept for urgent tiers; default 0.25. */
+  /** Fraction of the retry burst that is reserved for urgent tiers; default 0.25. */
   retryReserve: number;
-  /** First wait before a replica that already failed a request is tried again; default 50 ms. */
+  /**
+   * Initial delay before a request is sent again to a replica that already failed it; default 50
+   * ms.
+   */
   retryBackoff: Milliseconds;
-  /** The longest such wait; default 2 s. */
+  /** Maximum delay before a request is sent again to a replica that failed it; default 2 s. */
   maxRetryBackoff: Milliseconds;
 
   /**
-   * How long a request that is not urgent waits at a replica for its first token before another is
-   * preempted for it, as a part of its target; default 0.75.
+   * How long a request of a preempting but not urgent tier waits at a replica for its first token
+   * before another request is preempted for it, as a fraction of its first-token target; default
+   * 0.75.
    */
   preemptionPatience: number;
-  /** How often one request may be preempted; default 2. */
+  /** Maximum number of times one request may be preempted; default 2. */
   maxPreemptions: number;
-  /** How long a cancelled attempt may take to report its end; default 250 ms. */
+  /** How long the scheduler waits for a cancelled attempt to report its end; default 250 ms. */
   cancelGrace: Milliseconds;
 
-  /** How many replicas of a service one daemon sends to, on average over daemons; default 64. */
+  /** Average number of replicas of a service to which one daemon sends requests; default 64. */
   subsetSize: number;
-  /** What may be sent above the share over less urgent work, by a replica's slots; default 0.25. */
+  /**
+   * How many requests may be sent above the share, ahead of less urgent work, as a fraction of the
+   * slots of a replica; default 0.25.
+   */
   excess: number;
   /**
-   * The part of a replica's slots that is kept free of tiers that may not preempt, while requests
-   * of both kinds come; default 0.2, rounded down.
+   * Fraction of the slots of a replica, rounded down, that is kept free of tiers that may not
+   * preempt while requests of both kinds arrive; default 0.2.
    */
   reserve: number;
   /**
-   * What may wait at a replica, as a part of its slots and rounded up, while nothing is kept free:
-   * a slot that ends is then taken again at once; default 0.06.
+   * How many requests may wait at a replica while no slots are reserved, as a fraction of its slots
+   * and rounded up. A slot that becomes free is then reused at once; default 0.06.
    */
   ahead: number;
-  /** How long after the last request of either kind the reserve is kept; default 30 s. */
+  /** How long slots stay reserved after the last request of either kind; default 30 s. */
   reserveMemory: Milliseconds;
-  /** Reports older than this say nothing any more; default 10 s. */
+  /** Load reports older than this are ignored; default 10 s. */
   maxReportAge: Milliseconds;
-  /** How far a daemon assumes that the others act on a report as it does, 0 to 1; default 0.5. */
+  /**
+   * To what degree the other daemons are assumed to react to a load report as this one does, from 0
+   * to 1; default 0.5.
+   */
   stampedeDamping: number;
-  /** Load, by the mean, up to which the replica that has the prefix cached is preferred; default 1.25. */
+  /**
+   * The replica that has the prefix cached is preferred up to this multiple of the mean load;
+   * default 1.25.
+   */
   affinityBound: number;
 
-  /** Attempts that fail in a row before a replica is avoided; default 3. */
+  /** Consecutive failed attempts that put a replica into cooldown; default 3. */
   failuresToAvoid: number;
-  /** First avoidance of a replica that fails or can't be reached; doubles each time; default 250 ms. */
+  /**
+   * Initial cooldown of a replica that fails or is unreachable; doubles each time; default 250 ms.
+   */
   avoidance: Milliseconds;
-  /** The longest avoidance; default 10 s. */
+  /** Maximum cooldown of a replica; default 10 s. */
   maxAvoidance: Milliseconds;
-  /** How long a replica is avoided after a path to it went silent; default 1 s. */
+  /** Cooldown of a replica after a path to it stopped responding; default 1 s. */
   silenceAvoidance: Milliseconds;
 
-  /** How many times slower than its peers a replica must be to be convicted; default 3. */
+  /**
+   * A replica that is this many times slower than its peers is marked as a straggler; default 3.
+   */
   stragglerFactor: number;
-  /** How many times slower than its peers it may be to be acquitted; default 1.5. */
+  /**
+   * A straggler that is at most this many times slower than its peers has recovered; default 1.5.
+   */
   acquittalFactor: number;
-  /** What a delay must exceed the usual by to count as slow at all; default 20 ms. */
+  /**
+   * A delay counts as slow only if it exceeds the median of its class by this much; default 20 ms.
+   */
   stragglerExcess: Milliseconds;
-  /** Samples needed to judge a replica; default 5. */
+  /** Minimum number of samples needed to classify a replica; default 5. */
   stragglerSamples: number;
-  /** The part of a pool that may be convicted at once; default a third. */
+  /** Maximum fraction of a pool that may be marked as stragglers at once; default 1/3. */
   maxConvicted: number;
-  /** How often a convicted replica is sent one request to see whether it recovered; default 1 s. */
+  /**
+   * Interval at which a straggler is sent one request to check whether it has recovered; default 1
+   * s.
+   */
   probeInterval: Milliseconds;
 
-  /** The first token of what may be repeated is awaited this many times its target; default 5. */
+  /**
+   * First-token timeout of a repeatable request, as a multiple of its first-token target; default
+   * 5.
+   */
   firstTokenPatience: number;
-  /** A first token is awaited this long at least; default 1 s. */
+  /** Minimum first-token timeout; default 1 s. */
   minFirstTokenTimeout: Milliseconds;
-  /** The next token is awaited this many times its target; default 40. */
+  /** Timeout for the next token, as a multiple of the inter-token target; default 40. */
   tokenGapPatience: number;
-  /** The next token is awaited this long at least; default 3 s. */
+  /** Minimum timeout for the next token; default 3 s. */
   minTokenGapTimeout: Milliseconds;
-  /** How much later than its owner the scheduler itself ends a silent attempt; default 500 ms. */
+  /**
+   * How much later than its owner the scheduler itself ends an attempt that timed out; default 500
+   * ms.
+   */
   silenceMargin: Milliseconds;
 
-  /** How long word that a replica is leaving outlives its place in the list; default 1 min. */
+  /**
+   * How long a notice that a replica is leaving is kept after the replica is gone from the list;
+   * default 1 min.
+   */
   leavingMemory: Milliseconds;
 }
 
 /**
- * The documented defaults.
+ * The default policy options.
  *
  * @public
  */
--- a/packages/policy/src/lib/structures/Heap.ts
+++ b/packages/policy/src/lib/structures/Heap.ts
@@ -1,5 +1,5 @@
 /**
- * A binary heap that knows where each item stands, so that one can be removed or moved in
+ * A binary heap that tracks the position of each item, so that any item can be removed or updated in
  * logarithmic time.
  *
  * @example
@@ -16,7 +16,7 @@
 
   private readonly compare: (left: Item, right: Item) => number;
 
-  /** @param compare - negative when the left item comes out first */
+  /** @param compare - negative if the left item comes first */
   constructor(compare: (left: Item, right: Item) => number) {
     this.compare = compare;
   }
@@ -35,7 +35,7 @@
 
   push(item: Item): void {
     this.items.push(item);
-    this.rise(this.items.length - 1, item);
+    this.siftUp(this.items.length - 1, item);
   }
 
   remove(item: Item): void {
@@ -46,51 +46,51 @@
     this.positions.delete(item);
     const last = this.items.pop()!;
     if (position < this.items.length) {
-      this.place(position, last);
+      this.reposition(position, last);
     }
   }
 
-  /** Moves an item to where it belongs after its key changed. */
+  /** Restores the position of an item after its key changed. */
   update(item: Item): void {
     const position = this.positions.get(item);
     if (position !== undefined) {
-      this.place(position, item);
+      this.reposition(position, item);
     }
   }
 
-  private place(position: number, item: Item): void {
+  private reposition(position: number, item: Item): void {
     const parent = Math.floor((position - 1) / 2);
     if (position > 0 && this.compare(item, this.items[parent]!) < 0) {
-      this.rise(position, item);
+      this.siftUp(position, item);
     } else {
-      this.sink(position, item);
+      this.siftDown(position, item);
     }
   }
 
-  private rise(from: number, item: Item): void {
+  private siftUp(from: number, item: Item): void {
     let position = from;
     while (position > 0) {
       const parent = Math.floor((position - 1) / 2);
       if (this.compare(this.items[parent]!, item) <= 0) {
         break;
       }
-      this.set(position, this.items[parent]!);
+      this.setItem(position, this.items[parent]!);
       position = parent;
     }
-    this.set(position, item);
+    this.setItem(position, item);
   }
 
-  private sink(from: number, item: Item): void {
+  private siftDown(from: number, item: Item): void {
     let position = from;
     for (;;) {
       const child = this.getSmallerChild(position);
       if (child === undefined || this.compare(item, this.items[child]!) <= 0) {
         break;
       }
-      this.set(position, this.items[child]!);
+      this.setItem(position, this.items[child]!);
       position = child;
     }
-    this.set(position, item);
+    this.setItem(position, item);
   }
 
   private getSmallerChild(position: number): number | undefined {
@@ -105,7 +105,7 @@
     return left;
   }
 
-  private set(position: number, item: Item): void {
+  private setItem(position: number, item: Item): void {
     this.items[position] = item;
     this.positions.set(item, position);
   }
--- a/packages/policy/src/lib/structures/LinkedList.ts
+++ b/packages/policy/src/lib/structures/LinkedList.ts
@@ -1,5 +1,5 @@
 /**
- * One place in a list; it is what makes removal cheap.
+ * A node of a list. Keeping it allows removal in constant time.
  *
  * @internal
  */
@@ -10,7 +10,7 @@
 }
 
 /**
- * A doubly linked list: anything is added at either end and taken from anywhere in constant time.
+ * A doubly linked list with constant-time insertion at both ends and removal at any position.
  *
  * @example
  * ```ts
@@ -62,7 +62,7 @@
     return node;
   }
 
-  /** Takes a node out; it must be in this list. */
+  /** Removes a node, which must be in this list. */
   remove(node: ListNode<Value>): void {
     const { previous, next } = node;
     if (previous === undefined) {
@@ -79,21 +79,21 @@
   }
 
   /**
-   * The value with the smallest key.
+   * Finds the value with the smallest key.
    *
-   * @param getKey - undefined for values that don't count
-   * @param limit - how many values are looked at, from the end
+   * @param getKey - returns undefined for values to be skipped
+   * @param limit - maximum number of values to examine, starting at the tail
    */
   findLeast(getKey: (value: Value) => number | undefined, limit: number): Value | undefined {
-    let least: { value: Value; key: number } | undefined;
+    let min: { value: Value; key: number } | undefined;
     let node = this.last;
-    for (let looked = 0; node !== undefined && looked < limit; looked += 1) {
+    for (let examined = 0; node !== undefined && examined < limit; examined += 1) {
       const key = getKey(node.value);
-      if (key !== undefined && (least === undefined || key < least.key)) {
-        least = { value: node.value, key };
+      if (key !== undefined && (min === undefined || key < min.key)) {
+        min = { value: node.value, key };
       }
       node = node.previous;
     }
-    return least?.value;
+    return min?.value;
   }
 }
--- a/packages/policy/src/lib/structures/SampledSet.ts
+++ b/packages/policy/src/lib/structures/SampledSet.ts
@@ -1,11 +1,11 @@
 import type { Random } from '@apricotrill/utils';
 
 /**
- * A set from which a random member is drawn in constant time.
+ * A set from which a random member can be drawn in constant time.
  *
  * @example
  * ```ts
- * const candidate = open.draw(random);
+ * const candidate = replicas.drawRandom(random);
  * ```
  * @internal
  */
@@ -22,26 +22,26 @@
     return this.positions.has(member);
   }
 
-  /** Puts a member in or takes it out. */
-  set(member: Member, isIn: boolean): void {
+  /** Adds a member to the set or removes it. */
+  set(member: Member, isMember: boolean): void {
     const position = this.positions.get(member);
-    if (isIn && position === undefined) {
+    if (isMember && position === undefined) {
       this.positions.set(member, this.members.length);
       this.members.push(member);
-    } else if (!isIn && position !== undefined) {
+    } else if (!isMember && position !== undefined) {
       this.removeAt(position, member);
     }
   }
 
-  /** A random member; undefined when there is none. */
-  draw(random: Random): Member | undefined {
+  /** Draws a random member; undefined if the set is empty. */
+  drawRandom(random: Random): Member | undefined {
     return this.members[random.integer(this.members.length)];
   }
 
   /**
-   * The first member that fits, looking from a random place on.
+   * Finds the first suitable member, starting at a random position.
    *
-   * @param limit - how many members are looked at; all by default
+   * @param limit - maximum number of members to examine; all by default
    */
   find(
     random: Random,
--- a/packages/policy/src/test/Harness.ts
+++ b/packages/policy/src/test/Harness.ts
@@ -12,15 +12,15 @@
 
 type Effect<Kind extends SchedulerEffect['kind']> = Extract<SchedulerEffect, { kind: Kind }>;
 
-/** What a test hands over beside the message itself. */
-export interface HarnessParts {
+/** The settings of a harness. */
+export interface HarnessSettings {
   options?: Partial<PolicyOptions>;
-  /** How many replicas there are from the start; default one. */
+  /** Initial number of replicas; default 1. */
   replicas?: number;
   slots?: number;
 }
 
-/** A scheduler on a manual clock that notes its effects. */
+/** Runs a scheduler on a manual clock and records its effects. */
 export class Harness {
   readonly clock = new ManualClock(1_000_000);
 
@@ -28,7 +28,7 @@
 
   readonly scheduler: Scheduler;
 
-  constructor({ options, replicas = 1, slots = 2 }: HarnessParts = {}) {
+  constructor({ options, replicas = 1, slots = 2 }: HarnessSettings = {}) {
     this.scheduler = new Scheduler({
       clock: this.clock,
       random: createRandom(7),
@@ -41,14 +41,14 @@
     this.tell({ kind: 'replicas', replicas: list });
   }
 
-  /** Sends a message and returns the effects that came of it. */
+  /** Sends a message and returns the resulting effects. */
   tell(message: SchedulerMessage): SchedulerEffect[] {
     const before = this.effects.length;
     this.scheduler.handle(message);
     return this.effects.slice(before);
   }
 
-  /** Moves time and returns the effects that came of it. */
+  /** Advances the clock and returns the resulting effects. */
   advance(span: Milliseconds): SchedulerEffect[] {
     const before = this.effects.length;
     this.clock.advance(span);
@@ -64,9 +64,9 @@
     return this.tell({ kind: 'progress', id, attempt: this.getDispatch(id).attempt, tokens });
   }
 
-  end(id: string, end: AttemptStatus, retryAfter?: Milliseconds): SchedulerEffect[] {
+  end(id: string, status: AttemptStatus, retryAfter?: Milliseconds): SchedulerEffect[] {
     const { attempt } = this.getDispatch(id);
-    return this.tell({ kind: 'attempt-ended', id, attempt, end, retryAfter });
+    return this.tell({ kind: 'attempt-ended', id, attempt, end: status, retryAfter });
   }
 
   /** The last dispatch of a request. */
@@ -78,13 +78,13 @@
     return dispatch;
   }
 
-  /** All effects of a kind so far. */
+  /** All effects of one kind so far. */
   getAll<Kind extends SchedulerEffect['kind']>(kind: Kind): Effect<Kind>[] {
     return this.effects.filter((effect): effect is Effect<Kind> => effect.kind === kind);
   }
 }
 
-/** Effects in short, as `dispatch gate-1`. */
+/** Summarizes each effect by its kind and request, as in `dispatch gate-1`. */
 export function getBrief(effects: readonly SchedulerEffect[]): string[] {
   return effects.map(({ kind, id }) => `${kind} ${id}`);
 }
--- a/packages/policy/src/test/SchedulerOracle.ts
+++ b/packages/policy/src/test/SchedulerOracle.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { AttemptStatus, CancelReason, GiveUpReason, ExecutionOutcome } from '../lib/messages.js';
 import type { SchedulerEffect, SchedulerMessage } from '../lib/messages.js';
-import { Story } from './Story.js';
-import type { Sent } from './Story.js';
+import { RequestHistory } from './RequestHistory.js';
+import type { SentAttempt } from './RequestHistory.js';
 
 type Dispatch = Extract<SchedulerEffect, { kind: 'dispatch' }>;
 type Cancel = Extract<SchedulerEffect, { kind: 'cancel' }>;
@@ -13,16 +13,16 @@
 
 const PREEMPTING_TIER = 2;
 
-function canHaveRun({ end }: Sent): boolean {
-  return end !== AttemptStatus.NotSent && end !== AttemptStatus.Refused;
+function mayHaveRun({ status }: SentAttempt): boolean {
+  return status !== AttemptStatus.NotSent && status !== AttemptStatus.Refused;
 }
 
 /**
- * What must hold, whatever happens: it hears every message and every effect, keeps the plainest
- * account of them, and throws at the first effect that breaks a promise.
+ * Checks the invariants of the scheduler. The oracle receives every message and every effect, keeps
+ * the simplest possible record of them, and throws at the first effect that violates an invariant.
  */
 export class SchedulerOracle {
-  readonly stories = new Map<string, Story>();
+  readonly stories = new Map<string, RequestHistory>();
 
   readonly listed = new Set<string>();
 
@@ -30,35 +30,35 @@
 
   isDraining = false;
 
-  private readonly grace: Milliseconds;
+  private readonly cancelGrace: Milliseconds;
 
   private readonly maxPreemptions: number;
 
-  /** Preemptions that no more urgent request has used yet. */
-  private preempted: { tier: number; replica: string }[] = [];
+  /** Preemptions whose slots have not been used by a more urgent request yet. */
+  private unusedPreemptions: { tier: number; replica: string }[] = [];
 
-  constructor(rules: { cancelGrace: Milliseconds; maxPreemptions: number }) {
-    this.grace = rules.cancelGrace;
-    this.maxPreemptions = rules.maxPreemptions;
+  constructor(options: { cancelGrace: Milliseconds; maxPreemptions: number }) {
+    this.cancelGrace = options.cancelGrace;
+    this.maxPreemptions = options.maxPreemptions;
   }
 
-  /** Requests that are not over. */
-  getOpen(): Story[] {
-    return [...this.stories.values()].filter(({ isOver }) => !isOver);
+  /** Requests that are not finished. */
+  getOpen(): RequestHistory[] {
+    return [...this.stories.values()].filter(({ isFinished }) => !isFinished);
   }
 
-  /** The attempt of a request that may still deliver, if any. */
-  getLive(story: Story, now: Milliseconds): Sent | undefined {
-    const last = story.attempts.at(-1);
-    const isDead =
-      last?.end !== undefined ||
-      (last?.cancelledAt !== undefined && now >= last.cancelledAt + this.grace);
-    return isDead ? undefined : last;
+  /** The attempt of a request that may still deliver tokens, if any. */
+  getLive(history: RequestHistory, now: Milliseconds): SentAttempt | undefined {
+    const last = history.attempts.at(-1);
+    const hasEnded =
+      last?.status !== undefined ||
+      (last?.cancelledAt !== undefined && now >= last.cancelledAt + this.cancelGrace);
+    return hasEnded ? undefined : last;
   }
 
   hear(message: SchedulerMessage): void {
     if (message.kind === 'submit') {
-      this.stories.set(message.request.id, new Story(message.request));
+      this.stories.set(message.request.id, new RequestHistory(message.request));
     } else if (message.kind === 'replicas') {
       this.listed.clear();
       message.replicas.forEach(({ id }) => this.listed.add(id));
@@ -69,112 +69,140 @@
     } else if (message.kind === 'drain') {
       this.isDraining = true;
     } else {
-      this.hearOfRequest(message);
+      this.recordRequestMessage(message);
     }
   }
 
   check(effect: SchedulerEffect, now: Milliseconds): void {
-    const story = this.stories.get(effect.id);
-    assert(story !== undefined && !story.isOver, `${effect.id} is under way: ${effect.kind}`);
+    const history = this.stories.get(effect.id);
+    assert(
+      history !== undefined && !history.isFinished,
+      `${effect.kind}: request ${effect.id} must be in progress`,
+    );
     if (effect.kind === 'dispatch') {
-      this.checkDispatch(story, effect, now);
+      this.checkDispatch(history, effect, now);
     } else if (effect.kind === 'cancel') {
-      this.checkCancel(story, effect, now);
+      this.checkCancel(history, effect, now);
     } else if (effect.kind === 'give-up') {
-      this.checkGiveUp(story, effect, now);
+      this.checkGiveUp(history, effect, now);
     } else {
-      assert(story.attempts.at(-1)?.end === AttemptStatus.Completed, 'done means completed');
-      story.finish();
+      assert(
+        history.attempts.at(-1)?.status === AttemptStatus.Completed,
+        'a done request must have completed',
+      );
+      history.finish();
     }
   }
 
-  /** Call it when all effects of a message were checked. */
+  /** To be called after all effects of a message have been checked. */
   checkRest(): void {
-    assert(this.preempted.length === 0, 'each preemption makes room for a more urgent request');
+    assert(
+      this.unusedPreemptions.length === 0,
+      'each preemption must make room for a more urgent request',
+    );
   }
 
-  private hearOfRequest(message: SchedulerMessage): void {
-    const story = 'id' in message ? this.stories.get(message.id) : undefined;
-    if (story === undefined) {
+  private recordRequestMessage(message: SchedulerMessage): void {
+    const history = 'id' in message ? this.stories.get(message.id) : undefined;
+    if (history === undefined) {
       return;
     }
     if (message.kind === 'caller-left') {
-      story.isOver = story.attempts.at(-1)?.end !== undefined || story.attempts.length === 0;
-      story.isOver ||= story.attempts.at(-1)?.cancelledAt !== undefined;
+      history.isFinished =
+        history.attempts.at(-1)?.status !== undefined || history.attempts.length === 0;
+      history.isFinished ||= history.attempts.at(-1)?.cancelledAt !== undefined;
     } else if (message.kind === 'progress') {
-      story.isBegun = true;
-      story.delivered += message.tokens;
-      story.attempts.at(-1)!.isAnswered = true;
+      history.hasStarted = true;
+      history.deliveredTokens += message.tokens;
+      history.attempts.at(-1)!.hasOutput = true;
     } else if (message.kind === 'attempt-ended') {
-      story.attempts.find(({ number }) => number === message.attempt)!.end = message.end;
+      history.attempts.find(({ number }) => number === message.attempt)!.status = message.end;
     }
   }
 
-  private checkDispatch(story: Story, effect: Dispatch, now: Milliseconds): void {
-    const { request, attempts } = story;
+  private checkDispatch(history: RequestHistory, effect: Dispatch, now: Milliseconds): void {
+    const { request, attempts } = history;
     const { serviceClass, resumable } = request;
-    assert(this.getLive(story, now) === undefined, 'one live attempt at most');
-    assert(effect.attempt === attempts.length + 1, 'attempts are numbered in order');
-    assert(this.listed.has(effect.replica.id), 'the replica is in the list');
-    assert(!this.leaving.has(effect.replica.id), 'the replica is not leaving');
-    assert(serviceClass.repeatable || !attempts.some(canHaveRun), 'what may have run runs once');
-    assert(resumable || !story.isBegun, 'no answer begins twice');
-    assert(effect.resumeAt === (resumable ? story.delivered : 0), 'no token twice, none skipped');
+    assert(
+      this.getLive(history, now) === undefined,
+      'a request must have at most one live attempt',
+    );
+    assert(effect.attempt === attempts.length + 1, 'attempts must be numbered consecutively');
+    assert(this.listed.has(effect.replica.id), 'the replica must be in the list');
+    assert(!this.leaving.has(effect.replica.id), 'the replica must not be leaving');
+    assert(
+      serviceClass.repeatable || !attempts.some(mayHaveRun),
+      'an unrepeatable request that may have run must not run again',
+    );
+    assert(resumable || !history.hasStarted, 'an unresumable response must not start twice');
+    assert(
+      effect.resumeAt === (resumable ? history.deliveredTokens : 0),
+      'no token may be repeated or skipped',
+    );
     attempts.push({ number: effect.attempt, replica: effect.replica.id });
-    this.preempted = this.preempted.filter(
-      (victim) =>
-        victim.replica !== effect.replica.id ||
-        serviceClass.tier >= victim.tier ||
+    this.unusedPreemptions = this.unusedPreemptions.filter(
+      (preemption) =>
+        preemption.replica !== effect.replica.id ||
+        serviceClass.tier >= preemption.tier ||
         serviceClass.tier > PREEMPTING_TIER,
     );
   }
 
-  private checkCancel(story: Story, effect: Cancel, now: Milliseconds): void {
-    const live = this.getLive(story, now);
-    assert(live?.number === effect.attempt, 'the live attempt is cancelled');
+  private checkCancel(history: RequestHistory, effect: Cancel, now: Milliseconds): void {
+    const live = this.getLive(history, now);
+    assert(live?.number === effect.attempt, 'only the live attempt may be cancelled');
     live.cancelledAt = now;
     if (effect.reason === CancelReason.CallerLeft) {
-      story.finish();
+      history.finish();
     }
     if (effect.reason === CancelReason.Preempted) {
-      const { serviceClass, resumable } = story.request;
-      assert(serviceClass.preemptible, 'only what may be preempted is');
-      assert(serviceClass.tier > URGENT_TIER, 'urgent tiers are never preempted');
-      assert(resumable || !story.isBegun, 'what is preempted can go on');
-      assert(story.preempt() <= this.maxPreemptions, 'nobody is preempted for ever');
-      if (!this.isAwaited(effect.replica, serviceClass.tier, now)) {
-        this.preempted.push({ tier: serviceClass.tier, replica: effect.replica });
+      const { serviceClass, resumable } = history.request;
+      assert(serviceClass.preemptible, 'only preemptible requests may be preempted');
+      assert(serviceClass.tier > URGENT_TIER, 'urgent tiers must not be preempted');
+      assert(resumable || !history.hasStarted, 'a preempted request must be able to continue');
+      assert(
+        history.recordPreemption() <= this.maxPreemptions,
+        'a request must not exceed its maximum number of preemptions',
+      );
+      if (!this.isAwaitedByMoreUrgent(effect.replica, serviceClass.tier, now)) {
+        this.unusedPreemptions.push({ tier: serviceClass.tier, replica: effect.replica });
       }
     }
   }
 
-  /** Whether a more urgent request is at the replica and has not begun its answer. */
-  private isAwaited(replica: string, tier: number, now: Milliseconds): boolean {
-    return this.getOpen().some((story) => {
-      const live = this.getLive(story, now);
-      const own = story.request.serviceClass.tier;
-      const isFirst = own < tier && own <= PREEMPTING_TIER;
-      return isFirst && live?.replica === replica && live.isAnswered !== true;
+  /** Whether a more urgent request at the replica is waiting for its first token. */
+  private isAwaitedByMoreUrgent(replica: string, tier: number, now: Milliseconds): boolean {
+    return this.getOpen().some((history) => {
+      const live = this.getLive(history, now);
+      const otherTier = history.request.serviceClass.tier;
+      const goesFirst = otherTier < tier && otherTier <= PREEMPTING_TIER;
+      return goesFirst && live?.replica === replica && live.hasOutput !== true;
     });
   }
 
-  private checkGiveUp(story: Story, effect: GiveUp, now: Milliseconds): void {
-    const { attempts, request } = story;
+  private checkGiveUp(history: RequestHistory, effect: GiveUp, now: Milliseconds): void {
+    const { attempts, request } = history;
     const { tier, repeatable } = request.serviceClass;
-    assert(this.getLive(story, now) === undefined, 'nothing is given up while it runs');
-    const notRun = !attempts.some(canHaveRun);
-    assert((effect.outcome === ExecutionOutcome.NotRun) === notRun, 'not-run is the truth');
+    assert(
+      this.getLive(history, now) === undefined,
+      'a request must not be given up while it runs',
+    );
+    const notRun = !attempts.some(mayHaveRun);
+    assert(
+      (effect.outcome === ExecutionOutcome.NotRun) === notRun,
+      'the outcome must be not-run exactly if no attempt may have run',
+    );
     assert(
       effect.outcome !== ExecutionOutcome.Unknown || !repeatable,
-      'unknown is for what runs once',
+      'only unrepeatable requests may have an unknown outcome',
     );
-    assert(effect.retryAfter > 0, 'a refusal says when to ask again');
-    story.finish();
+    assert(effect.retryAfter > 0, 'a refusal must state a retry delay');
+    history.finish();
     if (effect.reason === GiveUpReason.Overload) {
-      const isLast = this.getOpen().every(
+      const isLeastUrgent = this.getOpen().every(
         (other) => other.attempts.length > 0 || other.request.serviceClass.tier <= tier,
       );
-      assert(isLast, 'nothing less urgent waits while something is shed');
+      assert(isLeastUrgent, 'no less urgent request may wait while one is shed');
     }
   }
 }
--- a/packages/policy/src/test/fixtures.ts
+++ b/packages/policy/src/test/fixtures.ts
@@ -1,7 +1,7 @@
 import type { Replica, ServiceClass } from '@apricotrill/model';
 import type { ScheduledRequest } from '../lib/messages.js';
 
-/** The service that most tests send to. */
+/** The service used by most tests. */
 export const SERVICE = 'kielimalli';
 
 function createClass(
@@ -13,7 +13,7 @@
   return { name, tier, target, deadline: 10_000, ...rules };
 }
 
-/** One class of each kind that the rules tell apart. */
+/** One service class for each case that the scheduling rules distinguish. */
 export const classes = {
   gate: createClass('gate', 0, { floor: 0, preemptible: false, repeatable: true }),
   hold: createClass('hold', 1, { floor: 0, preemptible: false, repeatable: false }),
@@ -23,11 +23,11 @@
   draft: createClass('draft', 5, { floor: 0.05, preemptible: true, repeatable: true }),
 };
 
-/** The classes whose answers are streamed and can be resumed. */
-const RESUMABLE = new Set(['chat', 'summary', 'draft']);
+/** The classes whose responses are streamed and can be resumed. */
+const RESUMABLE_CLASSES = new Set(['chat', 'summary', 'draft']);
 
-/** A replica of the tests' service. */
-export function createReplica(id: string, rules: Partial<Replica> = {}): Replica {
+/** Creates a replica of the service used by the tests. */
+export function createReplica(id: string, overrides: Partial<Replica> = {}): Replica {
   return {
     id,
     service: SERVICE,
@@ -37,15 +37,15 @@
     slots: 2,
     checksFencing: true,
     placement: [],
-    ...rules,
+    ...overrides,
   };
 }
 
-/** A request of a class. */
+/** Creates a request of a service class. */
 export function createRequest(
   id: string,
   serviceClass: ServiceClass,
-  rules: Partial<ScheduledRequest> = {},
+  overrides: Partial<ScheduledRequest> = {},
 ): ScheduledRequest {
   return {
     id,
@@ -53,8 +53,8 @@
     workspace: 'painotalo',
     workspaceWeight: 1,
     serviceClass,
-    resumable: RESUMABLE.has(serviceClass.name),
+    resumable: RESUMABLE_CLASSES.has(serviceClass.name),
     arrivedAt: 0,
-    ...rules,
+    ...overrides,
   };
 }
