--- a/packages/policy/src/test/SchedulerOracle.ts
+++ b/packages/policy/src/test/SchedulerOracle.ts
@@ -77,7 +77,7 @@
     const history = this.stories.get(effect.id);
     assert(
       history !== undefined && !history.isFinished,
-      `${effect.kind}: request ${effect.id} must be in progress`,
+      `request ${effect.id} must be in progress: ${effect.kind}`,
     );
     if (effect.kind === 'dispatch') {
       this.checkDispatch(history, effect, now);
