--- a/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
+++ b/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
@@ -159,7 +159,7 @@
    * Estimates how many requests of its class would be dispatched before a new request: all that
    * wait, or fewer if other workspaces hold most of the queue.
    */
-  getAhead({ serviceClass, workspace, weight }: QueuePlace): number {
+  estimateRequestsAhead({ serviceClass, workspace, weight }: QueuePlace): number {
     const tier = this.getTier(serviceClass.tier);
     const waiting = this.credits.getWaiting(serviceClass.name);
     const ownCount = tier.getUndispatchedCount(workspace) + 1;
@@ -177,7 +177,7 @@
   }
 
   /** The tier that a class overtakes when its floor is due. */
-  getOvertaken(className: string): number | undefined {
+  getOvertakenTier(className: string): number | undefined {
     return this.credits.getOvertakenTier(className);
   }
 
--- a/packages/policy/src/lib/PreemptionList/PreemptionList.ts
+++ b/packages/policy/src/lib/PreemptionList/PreemptionList.ts
@@ -55,7 +55,7 @@
     isEligible: (victim: RequestRecord) => boolean,
   ): RequestRecord | undefined {
     for (let lowerTier = this.listsByTier.length - 1; lowerTier > tier; lowerTier -= 1) {
-      const victim = this.listsByTier[lowerTier]?.findLeast(
+      const victim = this.listsByTier[lowerTier]?.findMin(
         (record) => (record.canMove && isEligible(record) ? record.deliveredTokens : undefined),
         MAX_CANDIDATES,
       );
--- a/packages/policy/src/lib/ReplicaChooser/LoadEstimate.ts
+++ b/packages/policy/src/lib/ReplicaChooser/LoadEstimate.ts
@@ -29,7 +29,7 @@
   private ownRunningCount = 0;
 
   /** The number of requests of this daemon that run at the replica. */
-  get own(): number {
+  get ownRunning(): number {
     return this.ownRunningCount;
   }
 
--- a/packages/policy/src/lib/ReplicaChooser/PrefixAffinity.ts
+++ b/packages/policy/src/lib/ReplicaChooser/PrefixAffinity.ts
@@ -1,4 +1,4 @@
-import { getMixedScore } from '../getMixedScore.js';
+import { getRendezvousScore } from '../getRendezvousScore.js';
 import type { ReplicaState } from './ReplicaState.js';
 
 /** Approximate number of replicas in a group. */
@@ -17,7 +17,7 @@
   let best: Candidate | undefined;
   let highestScore = -1;
   candidates.forEach((candidate) => {
-    const score = getMixedScore(key, candidate.hash);
+    const score = getRendezvousScore(key, candidate.hash);
     if (score > highestScore && candidate !== excluded) {
       best = candidate;
       highestScore = score;
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
@@ -25,7 +25,7 @@
  *
  * @internal
  */
-export interface Choice {
+export interface ReplicaChoice {
   state: ReplicaState;
   reason: ChoiceReason;
 }
@@ -35,7 +35,7 @@
  *
  * @internal
  */
-export interface Wish {
+export interface ReplicaCriteria {
   /** Hash of service, model, workspace and prompt prefix; undefined if there is no prefix. */
   affinityKey: number | undefined;
   /** Ids of the replicas that failed this request. */
@@ -58,13 +58,15 @@
 /** Maximum number of stragglers examined for a probe. */
 const MAX_PROBE_CANDIDATES = 8;
 
-function findProbeCandidate(pool: ReplicaPool, { failed }: Wish, now: Milliseconds) {
+function findProbeCandidate(pool: ReplicaPool, { failed }: ReplicaCriteria, now: Milliseconds) {
   const candidate = pool.stragglers
     .getAll()
     .slice(0, MAX_PROBE_CANDIDATES)
     .find(
       (state) =>
-        now >= state.nextProbeAt && state.load.own < state.getLimit(now) && !failed.has(state.id),
+        now >= state.nextProbeAt &&
+        state.load.ownRunning < state.getLimit(now) &&
+        !failed.has(state.id),
     );
   candidate?.postponeProbe(now);
   return candidate;
@@ -88,12 +90,16 @@
   }
 
   /** Chooses among the replicas with room within this daemon's limit. */
-  choose(pool: ReplicaPool, criteria: Wish, now: Milliseconds): Choice | undefined {
+  choose(
+    pool: ReplicaPool,
+    criteria: ReplicaCriteria,
+    now: Milliseconds,
+  ): ReplicaChoice | undefined {
     const probe = criteria.mayProbe ? findProbeCandidate(pool, criteria, now) : undefined;
     if (probe !== undefined) {
       return { state: probe, reason: ChoiceReason.Probe };
     }
-    const drawn = this.drawTwo(pool.open, ({ id }) => !criteria.failed.has(id));
+    const drawn = this.drawTwo(pool.available, ({ id }) => !criteria.failed.has(id));
     const affine = this.findAffine(pool, criteria, drawn, now);
     if (affine !== undefined) {
       return { state: affine, reason: ChoiceReason.Affinity };
@@ -106,23 +112,31 @@
    * Chooses among the replicas with room above the share. Urgent tiers may use any of them; other
    * tiers only those that have room when less urgent work is not counted.
    */
-  chooseAboveShare(pool: ReplicaPool, criteria: Wish, now: Milliseconds): ReplicaState | undefined {
+  chooseAboveShare(
+    pool: ReplicaPool,
+    criteria: ReplicaCriteria,
+    now: Milliseconds,
+  ): ReplicaState | undefined {
     const { failed, isUrgent, tier } = criteria;
     const fits = (state: ReplicaState) =>
       !failed.has(state.id) && (isUrgent || pool.hasRoomForTier(state, tier, now));
-    const candidates = this.drawTwo(pool.openAbove, fits, MAX_EXAMINED);
+    const candidates = this.drawTwo(pool.availableAboveShare, fits, MAX_EXAMINED);
     return this.getLessLoaded(candidates, now);
   }
 
   /** Finds any replica where a tier has room above the share. */
   findAboveShare(pool: ReplicaPool, tier: number, now: Milliseconds): ReplicaState | undefined {
     const fits = (state: ReplicaState) => pool.hasRoomForTier(state, tier, now);
-    return this.draw(pool.openAbove, fits, MAX_EXAMINED);
+    return this.draw(pool.availableAboveShare, fits, MAX_EXAMINED);
   }
 
   /** Chooses among the replicas with room above the share for a class whose floor is due. */
-  chooseForFloor(pool: ReplicaPool, { failed }: Wish, now: Milliseconds): ReplicaState | undefined {
-    const candidates = this.drawTwo(pool.openAbove, ({ id }) => !failed.has(id));
+  chooseForFloor(
+    pool: ReplicaPool,
+    { failed }: ReplicaCriteria,
+    now: Milliseconds,
+  ): ReplicaState | undefined {
+    const candidates = this.drawTwo(pool.availableAboveShare, ({ id }) => !failed.has(id));
     return this.getLessLoaded(candidates, now);
   }
 
@@ -130,7 +144,12 @@
    * The replica that prefers the prefix, or the second choice, unless its load exceeds the bound.
    * This is hashing with bounded loads, with the mean load taken from the two drawn replicas.
    */
-  private findAffine(pool: ReplicaPool, criteria: Wish, drawn: ReplicaState[], now: Milliseconds) {
+  private findAffine(
+    pool: ReplicaPool,
+    criteria: ReplicaCriteria,
+    drawn: ReplicaState[],
+    now: Milliseconds,
+  ) {
     if (criteria.affinityKey === undefined || drawn.length === 0) {
       return undefined;
     }
@@ -138,8 +157,8 @@
     const mean = pressures.reduce((sum, pressure) => sum + pressure, 0) / drawn.length;
     return pool.affinity.getPreferred(criteria.affinityKey).find((state) => {
       const { slots } = state.replica;
-      const bound = Math.ceil(this.options.affinityBound * mean * slots);
-      const hasRoom = pool.open.has(state) && !criteria.failed.has(state.id);
+      const bound = Math.ceil(this.options.affinityLoadFactor * mean * slots);
+      const hasRoom = pool.available.has(state) && !criteria.failed.has(state.id);
       return hasRoom && state.getPressure(now) * slots <= bound;
     });
   }
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
@@ -15,13 +15,13 @@
   readonly affinity = new PrefixAffinity();
 
   /** Replicas to which requests may be sent at all. */
-  readonly usable = new SampledSet<ReplicaState>();
+  readonly eligible = new SampledSet<ReplicaState>();
 
   /** Replicas with room within this daemon's limit. */
-  readonly open = new SampledSet<ReplicaState>();
+  readonly available = new SampledSet<ReplicaState>();
 
   /** Replicas with room above the share. */
-  readonly openAbove = new SampledSet<ReplicaState>();
+  readonly availableAboveShare = new SampledSet<ReplicaState>();
 
   readonly stragglers = new SampledSet<ReplicaState>();
 
@@ -64,7 +64,7 @@
     const listed = replicas.filter(({ isListed }) => isListed);
     const withModel = listed.filter((state) => model !== undefined && state.getModels().has(model));
     this.members = withModel.length > 0 ? withModel : listed;
-    this.affinity.setMembers(this.members.filter(({ share }) => share.isIn));
+    this.affinity.setMembers(this.members.filter(({ share }) => share.isAssigned));
     this.members.forEach((state) => this.update(state, now));
     this.updateFallbacks(now);
   }
@@ -78,14 +78,14 @@
   }
 
   /** Records that a request of this pool was sent (1) or ended (-1). */
-  note(change: 1 | -1, now: Milliseconds): void {
+  recordRunningChange(change: 1 | -1, now: Milliseconds): void {
     this.ownRunning += change;
     this.updateFallbacks(now);
   }
 
   /** Whether new requests may be sent to the replica, regardless of its room. */
-  offers(state: ReplicaState): boolean {
-    return this.healthy.has(state) || (this.usesUnhealthy && this.usable.has(state));
+  acceptsNewWork(state: ReplicaState): boolean {
+    return this.healthy.has(state) || (this.usesUnhealthy && this.eligible.has(state));
   }
 
   /** Whether the replica has room when only work of this tier or more urgent tiers is counted. */
@@ -111,23 +111,27 @@
   private removeReplica(state: ReplicaState): void {
     this.healthySlots -= this.slotsByReplica.get(state) ?? 0;
     this.slotsByReplica.delete(state);
-    [this.usable, this.open, this.openAbove, this.stragglers, this.healthy].forEach((set) =>
-      set.set(state, false),
-    );
+    [
+      this.eligible,
+      this.available,
+      this.availableAboveShare,
+      this.stragglers,
+      this.healthy,
+    ].forEach((set) => set.set(state, false));
   }
 
   private update(state: ReplicaState, now: Milliseconds): void {
     const isEligible = state.isEligible();
-    const isHealthy = isEligible && !state.convicted && !state.isAvoided(now);
+    const isHealthy = isEligible && !state.isStraggler && !state.isCoolingDown(now);
     const acceptsWork = isHealthy || (this.usesUnhealthy && isEligible);
-    this.usable.set(state, isEligible);
-    this.stragglers.set(state, isEligible && state.convicted);
+    this.eligible.set(state, isEligible);
+    this.stragglers.set(state, isEligible && state.isStraggler);
     this.healthy.set(state, isHealthy);
     this.setCountedSlots(state, isHealthy ? state.share.slots : 0);
-    const { own } = state.load;
-    this.open.set(state, acceptsWork && own < this.getLimit(state, now));
+    const { ownRunning: own } = state.load;
+    this.available.set(state, acceptsWork && own < this.getLimit(state, now));
     const limitAboveShare = this.getLimitAboveShare(state, now) + state.getOvercommit();
-    this.openAbove.set(state, acceptsWork && own < limitAboveShare);
+    this.availableAboveShare.set(state, acceptsWork && own < limitAboveShare);
   }
 
   private setCountedSlots(state: ReplicaState, newSlots: number): void {
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaState.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaState.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds, Random } from '@apricotrill/utils';
 import type { LoadReport } from '../messages.js';
 import type { PolicyOptions } from '../policyOptions.js';
-import type { SlotPlan } from '../Reserve/Reserve.js';
+import type { SlotPlan } from '../SlotReserve/SlotReserve.js';
 import type { Share } from '../SharedLimit/SharedLimit.js';
 import { SlotAllowance } from '../SharedLimit/SlotAllowance.js';
 import { LoadEstimate } from './LoadEstimate.js';
@@ -33,7 +33,7 @@
   /**
    * Whether the replica is much slower than its peers. A straggler receives only occasional probes.
    */
-  convicted = false;
+  isStraggler = false;
 
   /** When a straggler may be probed again. */
   nextProbeAt: Milliseconds = 0;
@@ -118,10 +118,10 @@
 
   /** Whether requests may be sent to the replica at all. */
   isEligible(): boolean {
-    return this.listed && !this.leaving && this.share.isIn;
+    return this.listed && !this.leaving && this.share.isAssigned;
   }
 
-  isAvoided(now: Milliseconds): boolean {
+  isCoolingDown(now: Milliseconds): boolean {
     return now < this.cooldownUntil;
   }
 
@@ -135,7 +135,7 @@
    * first.
    */
   getOvercommit(): number {
-    return Math.max(1, Math.ceil(this.replica.slots * this.options.excess));
+    return Math.max(1, Math.ceil(this.replica.slots * this.options.overcommitRatio));
   }
 
   /**
@@ -150,15 +150,15 @@
   }
 
   /** Records that a request was sent (1) or ended (-1). */
-  note(now: Milliseconds, tier: number, change: 1 | -1): void {
+  recordRunningChange(now: Milliseconds, tier: number, change: 1 | -1): void {
     this.runningByTier[tier] = (this.runningByTier[tier] ?? 0) + change;
     this.load.recordChange(now, change);
   }
 
   /** The estimated load per slot if one more request were sent. */
   getPressure(now: Milliseconds): number {
-    const { stampedeDamping, maxReportAge } = this.options;
-    const correlatedPeers = (this.share.contenders - 1) * stampedeDamping;
+    const { peerCorrelation, maxReportAge } = this.options;
+    const correlatedPeers = (this.share.daemonCount - 1) * peerCorrelation;
     return (
       (this.load.getEstimate(now, correlatedPeers, maxReportAge) + 1) /
       Math.max(1, this.replica.slots)
@@ -166,11 +166,11 @@
   }
 
   /** Applies a load report. */
-  report(loadReport: LoadReport, now: Milliseconds, random: Random): void {
+  applyReport(loadReport: LoadReport, now: Milliseconds, random: Random): void {
     if (this.load.applyReport(loadReport, now)) {
       const load = this.load.getEstimate(now, 0, this.options.maxReportAge);
       const { measuredAt } = loadReport;
-      this.allowance.report({ load, own: this.load.own, measuredAt }, now, random);
+      this.allowance.applyReport({ load, ownLoad: this.load.ownRunning, measuredAt }, now, random);
     }
   }
 
@@ -179,7 +179,7 @@
    *
    * @returns whether the replica was in cooldown
    */
-  succeed(): boolean {
+  recordSuccess(): boolean {
     const wasCoolingDown = this.cooldownUntil > 0;
     this.consecutiveFailures = 0;
     this.cooldownUntil = 0;
@@ -193,14 +193,14 @@
    * starts at once
    * @returns when the cooldown ends, or undefined if there is none
    */
-  fail(now: Milliseconds, isUnreachable: boolean): Milliseconds | undefined {
-    const { failuresToAvoid, avoidance, maxAvoidance } = this.options;
+  recordFailure(now: Milliseconds, isUnreachable: boolean): Milliseconds | undefined {
+    const { failuresBeforeCooldown, cooldown, maxCooldown } = this.options;
     this.consecutiveFailures += 1;
-    const excessFailures = this.consecutiveFailures - (isUnreachable ? 1 : failuresToAvoid);
+    const excessFailures = this.consecutiveFailures - (isUnreachable ? 1 : failuresBeforeCooldown);
     if (excessFailures < 0) {
       return undefined;
     }
-    return this.extendCooldown(now + Math.min(maxAvoidance, avoidance * 2 ** excessFailures));
+    return this.extendCooldown(now + Math.min(maxCooldown, cooldown * 2 ** excessFailures));
   }
 
   /**
@@ -213,8 +213,8 @@
   }
 
   /** Marks the replica as a straggler. From then on only its probes are evaluated. */
-  convict(now: Milliseconds): void {
-    this.convicted = true;
+  markStraggler(now: Milliseconds): void {
+    this.isStraggler = true;
     this.nextProbeAt = now + this.options.probeInterval;
     this.clearSamples();
   }
@@ -224,8 +224,8 @@
     this.nextProbeAt = now + this.options.probeInterval;
   }
 
-  acquit(): void {
-    this.convicted = false;
+  clearStraggler(): void {
+    this.isStraggler = false;
     this.clearSamples();
   }
 
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
@@ -1,7 +1,7 @@
 import type { Replica } from '@apricotrill/model';
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { PolicyOptions } from '../policyOptions.js';
-import type { Reserve } from '../Reserve/Reserve.js';
+import type { SlotReserve } from '../SlotReserve/SlotReserve.js';
 import type { SharedLimit } from '../SharedLimit/SharedLimit.js';
 import { ReplicaPool } from './ReplicaPool.js';
 import { ReplicaState } from './ReplicaState.js';
@@ -15,11 +15,11 @@
   clock: Clock;
   options: PolicyOptions;
   limit: SharedLimit;
-  reserve: Reserve;
+  reserve: SlotReserve;
   /** Whether the replica has been reported as leaving. */
   isLeaving: (replica: string) => boolean;
   /** Called when requests may be sent to a replica again. */
-  onOpened: () => void;
+  onAvailable: () => void;
 }
 
 /**
@@ -110,8 +110,8 @@
   }
 
   /** Puts a replica into cooldown until the given time; it becomes available again by itself. */
-  avoid(state: ReplicaState, until: Milliseconds): void {
-    const { clock, onOpened } = this.settings;
+  startCooldown(state: ReplicaState, until: Milliseconds): void {
+    const { clock, onAvailable: onOpened } = this.settings;
     state.extendCooldown(until);
     this.refresh(state);
     this.cooldownTimers.get(state)?.cancel();
@@ -127,7 +127,7 @@
   refresh(state: ReplicaState): void {
     const now = this.settings.clock.now();
     this.pools.forEach((pool) => pool.refresh(state, now));
-    if (!state.isListed && state.load.own === 0) {
+    if (!state.isListed && state.load.ownRunning === 0) {
       this.states.delete(state.id);
     }
   }
@@ -151,7 +151,7 @@
       return;
     }
     state.markUnlisted();
-    if (state.load.own === 0) {
+    if (state.load.ownRunning === 0) {
       this.states.delete(state.id);
     }
   }
--- a/packages/policy/src/lib/ReplicaChooser/StragglerDetector.ts
+++ b/packages/policy/src/lib/ReplicaChooser/StragglerDetector.ts
@@ -5,7 +5,7 @@
 import type { ReplicaState } from './ReplicaState.js';
 
 /** The delays that are measured for each attempt. */
-export enum Delay {
+export enum DelayKind {
   FirstToken = 'first-token',
   TokenGap = 'token-gap',
 }
@@ -32,19 +32,23 @@
 const MIN_RECOVERY_PROBES = 3;
 
 /** How the classification of a replica changes. */
-export enum Verdict {
+export enum StragglerVerdict {
   Unchanged = 'unchanged',
-  Convicted = 'convicted',
+  Straggling = 'convicted',
   Recovered = 'acquitted',
 }
 
 type StragglerOptions = Pick<
   PolicyOptions,
-  'stragglerFactor' | 'acquittalFactor' | 'stragglerExcess' | 'stragglerSamples' | 'maxConvicted'
+  | 'stragglerFactor'
+  | 'recoveryFactor'
+  | 'minStragglerExcess'
+  | 'minStragglerSamples'
+  | 'maxStragglerRatio'
 >;
 
-function getWindow(state: ReplicaState, delay: Delay): LatencyWindow {
-  return delay === Delay.FirstToken ? state.firstTokenDelays : state.tokenGapDelays;
+function getWindow(state: ReplicaState, delay: DelayKind): LatencyWindow {
+  return delay === DelayKind.FirstToken ? state.firstTokenDelays : state.tokenGapDelays;
 }
 
 /**
@@ -64,7 +68,10 @@
 
   private readonly classWindows = new Map<string, LatencyWindow>();
 
-  private readonly peerMedians = new Map<Delay, { value: number | undefined; at: Milliseconds }>();
+  private readonly peerMedians = new Map<
+    DelayKind,
+    { value: number | undefined; at: Milliseconds }
+  >();
 
   constructor(pool: ReplicaPool, options: StragglerOptions) {
     this.pool = pool;
@@ -77,23 +84,23 @@
    * @param value - the delay
    * @returns how the classification of the replica has to change; the caller applies the change
    */
-  observe(
+  recordDelay(
     state: ReplicaState,
-    delay: Delay,
+    delay: DelayKind,
     className: string,
     value: Milliseconds,
     now: Milliseconds,
-  ): Verdict {
-    const normalizedDelay = this.normalizeDelay(`${delay} ${className}`, value, !state.convicted);
+  ): StragglerVerdict {
+    const normalizedDelay = this.normalizeDelay(`${delay} ${className}`, value, !state.isStraggler);
     if (normalizedDelay === undefined) {
-      return Verdict.Unchanged;
+      return StragglerVerdict.Unchanged;
     }
     getWindow(state, delay).add(normalizedDelay);
     if (now - state.comparedAt < COMPARISON_INTERVAL_MS) {
-      return Verdict.Unchanged;
+      return StragglerVerdict.Unchanged;
     }
     Object.assign(state, { comparedAt: now });
-    return state.convicted ? this.checkRecovery(state, now) : this.checkStraggling(state, now);
+    return state.isStraggler ? this.checkRecovery(state, now) : this.checkStraggling(state, now);
   }
 
   /** @param isRepresentative - whether the value is typical of its class; a straggler's is not */
@@ -113,39 +120,39 @@
     if (median === undefined) {
       return undefined;
     }
-    return value - median < this.options.stragglerExcess ? 1 : value / Math.max(1, median);
+    return value - median < this.options.minStragglerExcess ? 1 : value / Math.max(1, median);
   }
 
-  private checkStraggling(state: ReplicaState, now: Milliseconds): Verdict {
-    const { maxConvicted, stragglerFactor, stragglerSamples } = this.options;
-    if (this.pool.stragglers.size + 1 > this.pool.usable.size * maxConvicted) {
-      return Verdict.Unchanged;
+  private checkStraggling(state: ReplicaState, now: Milliseconds): StragglerVerdict {
+    const { maxStragglerRatio, stragglerFactor, minStragglerSamples } = this.options;
+    if (this.pool.stragglers.size + 1 > this.pool.eligible.size * maxStragglerRatio) {
+      return StragglerVerdict.Unchanged;
     }
-    const isStraggling = [Delay.FirstToken, Delay.TokenGap].some((delay) => {
+    const isStraggling = [DelayKind.FirstToken, DelayKind.TokenGap].some((delay) => {
       const window = getWindow(state, delay);
       const peerMedian = this.getPeerMedian(delay, now);
       return (
         peerMedian !== undefined &&
-        window.size >= stragglerSamples &&
+        window.size >= minStragglerSamples &&
         window.getMedian() > stragglerFactor * peerMedian
       );
     });
-    return isStraggling ? Verdict.Convicted : Verdict.Unchanged;
+    return isStraggling ? StragglerVerdict.Straggling : StragglerVerdict.Unchanged;
   }
 
-  private checkRecovery(state: ReplicaState, now: Milliseconds): Verdict {
-    const { acquittalFactor } = this.options;
-    const isFast = [Delay.FirstToken, Delay.TokenGap].every((delay) => {
+  private checkRecovery(state: ReplicaState, now: Milliseconds): StragglerVerdict {
+    const { recoveryFactor } = this.options;
+    const isFast = [DelayKind.FirstToken, DelayKind.TokenGap].every((delay) => {
       const window = getWindow(state, delay);
       const peerMedian = this.getPeerMedian(delay, now) ?? 1;
-      return window.getRecentMedian(MIN_RECOVERY_PROBES) <= acquittalFactor * peerMedian;
+      return window.getRecentMedian(MIN_RECOVERY_PROBES) <= recoveryFactor * peerMedian;
     });
     const hasEnoughProbes = state.firstTokenDelays.size >= MIN_RECOVERY_PROBES;
-    return isFast && hasEnoughProbes ? Verdict.Recovered : Verdict.Unchanged;
+    return isFast && hasEnoughProbes ? StragglerVerdict.Recovered : StragglerVerdict.Unchanged;
   }
 
   /** The median of the medians of all peers, cached for one comparison interval. */
-  private getPeerMedian(delay: Delay, now: Milliseconds): number | undefined {
+  private getPeerMedian(delay: DelayKind, now: Milliseconds): number | undefined {
     const known = this.peerMedians.get(delay);
     if (known !== undefined && now - known.at < COMPARISON_INTERVAL_MS) {
       return known.value;
@@ -155,11 +162,11 @@
     return value;
   }
 
-  private computePeerMedian(delay: Delay): number | undefined {
+  private computePeerMedian(delay: DelayKind): number | undefined {
     const medians: number[] = [];
     this.pool.getMembers().some((state) => {
       const window = getWindow(state, delay);
-      if (!state.convicted && window.size >= this.options.stragglerSamples) {
+      if (!state.isStraggler && window.size >= this.options.minStragglerSamples) {
         medians.push(window.getMedian());
       }
       return medians.length === MAX_COMPARED_REPLICAS;
--- a/packages/policy/src/lib/WaitingRoom/WaitingRoom.ts
+++ b/packages/policy/src/lib/RequestQueue/RequestQueue.ts
@@ -96,7 +96,7 @@
     ) {
       return undefined;
     }
-    const expectedWait = this.classQueue.getAhead(place) / rate;
+    const expectedWait = this.classQueue.estimateRequestsAhead(place) / rate;
     return expectedWait <= timeLeft * this.settings.options.refusalMargin
       ? undefined
       : { reason: GiveUpReason.Deadline, retryAfter: this.addJitter(expectedWait - timeLeft) };
@@ -127,7 +127,7 @@
   add(record: RequestRecord): void {
     const { clock, options } = this.settings;
     const now = clock.now();
-    const expiresAt = record.isExemptFromDeadline ? now + options.resumePatience : record.deadline;
+    const expiresAt = record.isExemptFromDeadline ? now + options.resumeTimeout : record.deadline;
     const timer = clock.setTimer(expiresAt - now, () => {
       this.remove(record);
       this.settings.onExpired(record);
@@ -200,7 +200,7 @@
     const now = this.settings.clock.now();
     const rate = this.getObservedRate(record.request.serviceClass.name, now);
     return this.addJitter(
-      rate === undefined ? 0 : this.classQueue.getAhead(record.getPlace()) / rate,
+      rate === undefined ? 0 : this.classQueue.estimateRequestsAhead(record.getPlace()) / rate,
     );
   }
 
@@ -215,7 +215,7 @@
    * due.
    */
   getOvertakenTier(className: string): number | undefined {
-    return this.classQueue.getOvertaken(className);
+    return this.classQueue.getOvertakenTier(className);
   }
 
   getCredits(): Record<string, number> {
--- a/packages/policy/src/lib/RetryBudget/RetryBudget.test.ts
+++ b/packages/policy/src/lib/RetryBudget/RetryBudget.test.ts
@@ -1,6 +1,6 @@
 import { RetryBudget } from './RetryBudget.js';
 
-const OPTIONS = { retryRatio: 0.25, retryBurst: 8, retryTrickle: 1, retryReserve: 0.25 };
+const OPTIONS = { retryRatio: 0.25, retryBurst: 8, minRetriesPerSecond: 1, urgentRetryShare: 0.25 };
 
 const countRetries = (budget: RetryBudget, now: number, isUrgent: boolean, tries = 100) =>
   Array.from({ length: tries }, () => budget.tryTake(now, isUrgent)).filter(Boolean).length;
--- a/packages/policy/src/lib/RetryBudget/RetryBudget.ts
+++ b/packages/policy/src/lib/RetryBudget/RetryBudget.ts
@@ -3,7 +3,7 @@
 
 type BudgetOptions = Pick<
   PolicyOptions,
-  'retryRatio' | 'retryBurst' | 'retryTrickle' | 'retryReserve'
+  'retryRatio' | 'retryBurst' | 'minRetriesPerSecond' | 'urgentRetryShare'
 >;
 
 const ONE_SECOND: Milliseconds = 1000;
@@ -47,10 +47,10 @@
    * @returns false if the budget is exhausted
    */
   tryTake(now: Milliseconds, isUrgent: boolean): boolean {
-    const { retryTrickle, retryBurst, retryReserve } = this.options;
-    this.addTokens(((now - this.lastRefillAt) / ONE_SECOND) * retryTrickle);
+    const { minRetriesPerSecond, retryBurst, urgentRetryShare } = this.options;
+    this.addTokens(((now - this.lastRefillAt) / ONE_SECOND) * minRetriesPerSecond);
     this.lastRefillAt = now;
-    const reserve = isUrgent ? 0 : retryBurst * retryReserve;
+    const reserve = isUrgent ? 0 : retryBurst * urgentRetryShare;
     if (this.tokens < 1 + reserve) {
       return false;
     }
--- a/packages/policy/src/lib/Scheduler/Attempt.ts
+++ b/packages/policy/src/lib/Scheduler/Attempt.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { CancelReason } from '../messages.js';
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
-import { Delay } from '../ReplicaChooser/StragglerDetector.js';
+import { DelayKind } from '../ReplicaChooser/StragglerDetector.js';
 
 /** Tokens averaged into one token gap sample, so that long streams don't dominate the samples. */
 const TOKENS_PER_GAP_SAMPLE = 8;
@@ -12,7 +12,7 @@
  * @internal
  */
 export interface Measurement {
-  delay: Delay;
+  delay: DelayKind;
   value: Milliseconds;
 }
 
@@ -115,7 +115,7 @@
     if (isFirst) {
       this.gapSampleStartedAt = now;
       return this.hadFreeSlot
-        ? { delay: Delay.FirstToken, value: now - this.startedAt }
+        ? { delay: DelayKind.FirstToken, value: now - this.startedAt }
         : undefined;
     }
     this.gapSampleTokens += tokens;
@@ -125,6 +125,6 @@
     const value = (now - this.gapSampleStartedAt) / this.gapSampleTokens;
     this.gapSampleStartedAt = now;
     this.gapSampleTokens = 0;
-    return { delay: Delay.TokenGap, value };
+    return { delay: DelayKind.TokenGap, value };
   }
 }
--- a/packages/policy/src/lib/Scheduler/AttemptRunner.ts
+++ b/packages/policy/src/lib/Scheduler/AttemptRunner.ts
@@ -120,8 +120,8 @@
     change: 1 | -1,
     now: Milliseconds,
   ): void {
-    state.note(now, record.tier, change);
-    record.pool.note(change, now);
+    state.recordRunningChange(now, record.tier, change);
+    record.pool.recordRunningChange(change, now);
     this.settings.table.refresh(state);
   }
 
@@ -133,10 +133,10 @@
    */
   private scheduleCheck(record: RequestRecord, attempt: Attempt): void {
     const { clock, options, onTimeout, onFirstTokenLate } = this.settings;
-    const nextCheckAt = attempt.getNextCheckAt(options.silenceMargin);
+    const nextCheckAt = attempt.getNextCheckAt(options.silenceTimeoutMargin);
     const timer = clock.setTimer(nextCheckAt - clock.now(), () => {
       const now = clock.now();
-      if (now >= attempt.timesOutAt + options.silenceMargin) {
+      if (now >= attempt.timesOutAt + options.silenceTimeoutMargin) {
         onTimeout(record);
         return;
       }
@@ -149,7 +149,7 @@
   }
 
   private getPreemptionDelay({ request }: RequestRecord): Milliseconds {
-    return this.settings.options.preemptionPatience * request.serviceClass.target.firstToken;
+    return this.settings.options.preemptionDelayFactor * request.serviceClass.target.firstToken;
   }
 
   private emitCancel(record: RequestRecord, reason: CancelReason): void {
--- a/packages/policy/src/lib/Scheduler/ReplicaHealth.ts
+++ b/packages/policy/src/lib/Scheduler/ReplicaHealth.ts
@@ -4,7 +4,7 @@
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
 import type { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
-import { StragglerDetector, Verdict } from '../ReplicaChooser/StragglerDetector.js';
+import { StragglerDetector, StragglerVerdict } from '../ReplicaChooser/StragglerDetector.js';
 import type { RetryBudget } from '../RetryBudget/RetryBudget.js';
 import type { Measurement } from './Attempt.js';
 import type { RequestRecord } from './RequestRecord.js';
@@ -41,7 +41,7 @@
 
   /** Records that an attempt has made progress or completed. */
   recordSuccess(state: ReplicaState): void {
-    if (state.succeed()) {
+    if (state.recordSuccess()) {
       this.settings.table.refresh(state);
     }
   }
@@ -56,10 +56,10 @@
     const now = clock.now();
     const until =
       status === AttemptStatus.Refused
-        ? now + Math.min(options.maxAvoidance, retryAfter ?? options.avoidance)
-        : state.fail(now, status === AttemptStatus.NotSent);
+        ? now + Math.min(options.maxCooldown, retryAfter ?? options.cooldown)
+        : state.recordFailure(now, status === AttemptStatus.NotSent);
     if (until !== undefined) {
-      table.avoid(state, until);
+      table.startCooldown(state, until);
     }
   }
 
@@ -69,7 +69,7 @@
    */
   recordSilence(state: ReplicaState): void {
     const { clock, options, table } = this.settings;
-    table.avoid(state, clock.now() + options.silenceAvoidance);
+    table.startCooldown(state, clock.now() + options.silenceCooldown);
   }
 
   /**
@@ -84,16 +84,16 @@
   ): boolean {
     const now = this.settings.clock.now();
     const { name } = record.request.serviceClass;
-    const verdict = this.getDetector(record.pool).observe(state, delay, name, value, now);
-    if (verdict === Verdict.Unchanged) {
+    const verdict = this.getDetector(record.pool).recordDelay(state, delay, name, value, now);
+    if (verdict === StragglerVerdict.Unchanged) {
       return false;
     }
-    if (verdict === Verdict.Convicted) {
-      state.convict(now);
+    if (verdict === StragglerVerdict.Straggling) {
+      state.markStraggler(now);
       this.settings.table.refresh(state);
       this.moveRequestsAway(state, now);
     } else {
-      state.acquit();
+      state.clearStraggler();
       this.settings.table.refresh(state);
     }
     return true;
@@ -103,7 +103,7 @@
   private moveRequestsAway(state: ReplicaState, now: Milliseconds): void {
     const { running, retryBudget, cancelAttempt } = this.settings;
     running.getAtReplica(state).forEach((record) => {
-      const shouldMove = record.canMove && !record.hasMoved && record.pool.open.size > 0;
+      const shouldMove = record.canMove && !record.hasMoved && record.pool.available.size > 0;
       if (shouldMove && retryBudget.tryTake(now, record.isUrgent)) {
         record.recordMove(state.id);
         cancelAttempt(record);
--- a/packages/policy/src/lib/Scheduler/RequestRecord.ts
+++ b/packages/policy/src/lib/Scheduler/RequestRecord.ts
@@ -3,7 +3,7 @@
 import type { QueuePlace } from '../ClassFairQueue/QueuePlace.js';
 import { AttemptStatus, ExecutionOutcome } from '../messages.js';
 import type { ScheduledRequest } from '../messages.js';
-import type { Wish } from '../ReplicaChooser/ReplicaChooser.js';
+import type { ReplicaCriteria } from '../ReplicaChooser/ReplicaChooser.js';
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
 import type { Attempt, Measurement } from './Attempt.js';
 
@@ -165,7 +165,7 @@
     };
   }
 
-  getReplicaCriteria(): Wish {
+  getReplicaCriteria(): ReplicaCriteria {
     const mayProbe = this.request.serviceClass.repeatable && !this.isUrgent;
     const { affinityKey, failedReplicas: failed, tier, isUrgent } = this;
     return { affinityKey, failed, mayProbe, tier, isUrgent };
--- a/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
@@ -14,9 +14,9 @@
 
 /** Sends a message to both, and has the oracle check the resulting effects. */
 function sendToBoth(oracle: SchedulerOracle, harness: Harness, message: SchedulerMessage): void {
-  oracle.hear(message);
-  harness.tell(message).forEach((effect) => oracle.check(effect, harness.clock.now()));
-  oracle.checkRest();
+  oracle.recordMessage(message);
+  harness.send(message).forEach((effect) => oracle.checkEffect(effect, harness.clock.now()));
+  oracle.checkPreemptionsUsed();
 }
 
 /** Advances the clock one timer at a time, so that each effect is checked at its own time. */
@@ -24,9 +24,11 @@
   const until = harness.clock.now() + span;
   let checked = harness.effects.length;
   while (harness.clock.runNext(until)) {
-    harness.effects.slice(checked).forEach((effect) => oracle.check(effect, harness.clock.now()));
+    harness.effects
+      .slice(checked)
+      .forEach((effect) => oracle.checkEffect(effect, harness.clock.now()));
     checked = harness.effects.length;
-    oracle.checkRest();
+    oracle.checkPreemptionsUsed();
   }
   harness.clock.advance(until - harness.clock.now());
 }
@@ -39,10 +41,12 @@
   end: AttemptStatus,
 ): void {
   const now = harness.clock.now();
-  const running = oracle.getOpen().filter((story) => oracle.getLive(story, now) !== undefined);
+  const running = oracle
+    .getUnfinished()
+    .filter((story) => oracle.getLiveAttempt(story, now) !== undefined);
   const story = running[pick % running.length];
   if (story !== undefined) {
-    const { number } = oracle.getLive(story, now)!;
+    const { number } = oracle.getLiveAttempt(story, now)!;
     const { id } = story.request;
     sendToBoth(oracle, harness, { kind: 'attempt-ended', id, attempt: number, end });
   }
@@ -70,7 +74,7 @@
   })
   .map(({ className, workspace, model, prefixHash }) =>
     createCommand(`submit ${className} ${workspace} ${model}`, (oracle, harness) => {
-      const id = `${className}-${oracle.stories.size + 1}`;
+      const id = `${className}-${oracle.histories.size + 1}`;
       const arrivedAt = harness.clock.now();
       const rules = { workspace, model, prefixHash, arrivedAt };
       const request = createRequest(id, classes[className], rules);
@@ -81,10 +85,12 @@
 const progress = fc.tuple(fc.nat(), fc.integer({ min: 1, max: 40 })).map(([pick, tokens]) =>
   createCommand(`progress ${pick} ${tokens}`, (oracle, harness) => {
     const now = harness.clock.now();
-    const running = oracle.getOpen().filter((story) => oracle.getLive(story, now) !== undefined);
+    const running = oracle
+      .getUnfinished()
+      .filter((story) => oracle.getLiveAttempt(story, now) !== undefined);
     const story = running[pick % running.length];
     if (story !== undefined) {
-      const attempt = oracle.getLive(story, now)!.number;
+      const attempt = oracle.getLiveAttempt(story, now)!.number;
       sendToBoth(oracle, harness, { kind: 'progress', id: story.request.id, attempt, tokens });
     }
   }),
@@ -111,7 +117,7 @@
 
 const callerLeft = fc.nat().map((pick) =>
   createCommand(`caller-left ${pick}`, (oracle, harness) => {
-    const open = oracle.getOpen();
+    const open = oracle.getUnfinished();
     if (open.length > 0) {
       const { id } = open[pick % open.length]!.request;
       sendToBoth(oracle, harness, { kind: 'caller-left', id });
@@ -190,7 +196,7 @@
 function finishAll(oracle: SchedulerOracle, harness: Harness): void {
   sendToBoth(oracle, harness, { kind: 'replica-returned', replica: 'replica-1' });
   sendToBoth(oracle, harness, { kind: 'replicas', replicas: [createReplica('replica-1')] });
-  for (let round = 0; round < MAX_ROUNDS && oracle.getOpen().length > 0; round += 1) {
+  for (let round = 0; round < MAX_ROUNDS && oracle.getUnfinished().length > 0; round += 1) {
     endRunningAttempt(oracle, harness, round, AttemptStatus.Completed);
     advanceBoth(oracle, harness, 100);
   }
@@ -205,7 +211,7 @@
       oracle.listed.add('replica-1').add('replica-2');
       fc.modelRun(() => ({ model: oracle, real: harness }), sequence);
       finishAll(oracle, harness);
-      expect(oracle.getOpen()).toEqual([]);
+      expect(oracle.getUnfinished()).toEqual([]);
       expect(harness.scheduler.getSnapshot()).toMatchObject({ waiting: 0, running: 0 });
     });
     fc.assert(property, { numRuns: NUM_RUNS, seed: SEED });
--- a/packages/policy/src/lib/Scheduler/Scheduler.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.test.ts
@@ -1,6 +1,6 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
-import { getBrief, Harness } from '../../test/Harness.js';
+import { summarizeEffects, Harness } from '../../test/Harness.js';
 import { AttemptStatus } from '../messages.js';
 import { Scheduler } from './Scheduler.js';
 
@@ -11,8 +11,12 @@
     ['first', 'second'].forEach((id) => harness.submit(createRequest(id, classes.draft)));
     expect(scheduler.getSnapshot()).toMatchObject({ waiting: 1, running: 1 });
     harness.progress('first');
-    harness.end('first', AttemptStatus.Completed);
-    expect(getBrief(harness.effects)).toEqual(['dispatch first', 'done first', 'dispatch second']);
+    harness.endAttempt('first', AttemptStatus.Completed);
+    expect(summarizeEffects(harness.effects)).toEqual([
+      'dispatch first',
+      'done first',
+      'dispatch second',
+    ]);
   });
 
   it('handles messages sent from within emit without recursion', () => {
--- a/packages/policy/src/lib/Scheduler/Scheduler.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.ts
@@ -194,7 +194,7 @@
       }
     });
     this.leavingReplicas.forEach((lastListedAt, replica) => {
-      if (now - lastListedAt > this.options.leavingMemory) {
+      if (now - lastListedAt > this.options.leavingRetention) {
         this.leavingReplicas.delete(replica);
       }
     });
--- a/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
+++ b/packages/policy/src/lib/Scheduler/ServiceScheduler.ts
@@ -5,9 +5,9 @@
 import type { LoadReport, ExecutionOutcome, ScheduledRequest } from '../messages.js';
 import { ReplicaChooser } from '../ReplicaChooser/ReplicaChooser.js';
 import { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
-import { Reserve } from '../Reserve/Reserve.js';
+import { SlotReserve } from '../SlotReserve/SlotReserve.js';
 import { RetryBudget } from '../RetryBudget/RetryBudget.js';
-import { RequestQueue } from '../WaitingRoom/WaitingRoom.js';
+import { RequestQueue } from '../RequestQueue/RequestQueue.js';
 import { AttemptRunner } from './AttemptRunner.js';
 import { getNextStep } from './getNextStep.js';
 import { getServiceSnapshot } from './getServiceSnapshot.js';
@@ -47,7 +47,7 @@
 
   private readonly replicaHealth: ReplicaHealth;
 
-  private readonly reserve: Reserve;
+  private readonly reserve: SlotReserve;
 
   /**
    * The more urgent tier that the request being started overtakes, if it was selected because the
@@ -58,11 +58,11 @@
   constructor(settings: ServiceSchedulerSettings) {
     const { clock, random, options } = settings;
     this.settings = settings;
-    this.reserve = new Reserve(options);
+    this.reserve = new SlotReserve(options);
     this.table = new ReplicaTable({
       ...settings,
       reserve: this.reserve,
-      onOpened: () => this.dispatchWaiting(),
+      onAvailable: () => this.dispatchWaiting(),
     });
     this.running = new RunningRequests(options.maxPreemptions);
     this.attempts = new AttemptRunner({
@@ -109,7 +109,7 @@
     const isUrgent = request.serviceClass.tier <= options.urgentTier;
     const record = new RequestRecord(request, this.table.getPool(request.model), isUrgent);
     records.set(record.id, record);
-    if (record.pool.usable.size === 0) {
+    if (record.pool.eligible.size === 0) {
       this.giveUp(record, { reason: GiveUpReason.NoReplica });
       return;
     }
@@ -174,7 +174,7 @@
   handleLoadReport(loadReport: LoadReport): void {
     const state = this.table.get(loadReport.replica);
     if (state !== undefined) {
-      state.report(loadReport, this.settings.clock.now(), this.settings.random);
+      state.applyReport(loadReport, this.settings.clock.now(), this.settings.random);
       this.table.refresh(state);
       this.dispatchWaiting();
     }
@@ -303,7 +303,7 @@
   }
 
   private expire(record: RequestRecord): void {
-    const hasNoReplica = record.pool.usable.size === 0;
+    const hasNoReplica = record.pool.eligible.size === 0;
     this.giveUp(record, { reason: hasNoReplica ? GiveUpReason.NoReplica : GiveUpReason.Deadline });
   }
 
--- a/packages/policy/src/lib/Scheduler/SlotFinder.ts
+++ b/packages/policy/src/lib/Scheduler/SlotFinder.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { ChoiceReason } from '../ReplicaChooser/ReplicaChooser.js';
-import type { Choice, ReplicaChooser } from '../ReplicaChooser/ReplicaChooser.js';
+import type { ReplicaChoice, ReplicaChooser } from '../ReplicaChooser/ReplicaChooser.js';
 import type { ReplicaPool } from '../ReplicaChooser/ReplicaPool.js';
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
 import type { RequestRecord } from './RequestRecord.js';
@@ -11,7 +11,7 @@
  *
  * @internal
  */
-export interface Slot extends Choice {
+export interface Slot extends ReplicaChoice {
   /** The request that must be preempted first. */
   victim?: RequestRecord;
   /** Another request may be preempted later, if the request has to wait at the replica. */
@@ -76,11 +76,11 @@
    * request are not excluded here, so `find` may still return undefined.
    */
   canStart(pool: ReplicaPool, entitlement: Entitlement, now: Milliseconds): boolean {
-    if (pool.open.size > 0) {
+    if (pool.available.size > 0) {
       return true;
     }
     const { tier, isUrgent } = entitlement;
-    if (pool.openAbove.size > 0) {
+    if (pool.availableAboveShare.size > 0) {
       this.lastFound = isUrgent ? undefined : this.chooser.findAboveShare(pool, tier, now);
       if (isUrgent || this.lastFound !== undefined || this.isFloorDue(entitlement)) {
         return true;
@@ -121,7 +121,7 @@
     );
   }
 
-  private findAboveShare(record: RequestRecord, now: Milliseconds): Choice | undefined {
+  private findAboveShare(record: RequestRecord, now: Milliseconds): ReplicaChoice | undefined {
     const state =
       this.chooser.chooseAboveShare(record.pool, record.getReplicaCriteria(), now) ??
       this.takeLastFound(record);
@@ -169,7 +169,7 @@
     }
     return this.running.preemptible.findVictim(
       tier,
-      (victim) => pool.offers(victim.attempt!.state) && isEligible(victim),
+      (victim) => pool.acceptsNewWork(victim.attempt!.state) && isEligible(victim),
     );
   }
 
@@ -177,7 +177,9 @@
     const { lastFound } = this;
     this.lastFound = undefined;
     const isUsable =
-      lastFound !== undefined && pool.openAbove.has(lastFound) && !failedReplicas.has(lastFound.id);
+      lastFound !== undefined &&
+      pool.availableAboveShare.has(lastFound) &&
+      !failedReplicas.has(lastFound.id);
     return isUsable ? lastFound : undefined;
   }
 
--- a/packages/policy/src/lib/Scheduler/admission.test.ts
+++ b/packages/policy/src/lib/Scheduler/admission.test.ts
@@ -1,4 +1,4 @@
-import { getBrief, Harness } from '../../test/Harness.js';
+import { summarizeEffects, Harness } from '../../test/Harness.js';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
 import { AttemptStatus, GiveUpReason, ExecutionOutcome } from '../messages.js';
 
@@ -8,18 +8,21 @@
 function serveOnePerSecond(harness: Harness, count: number): void {
   for (let index = 0; index < count; index += 1) {
     harness.advance(1000);
-    harness.end(harness.getAll('dispatch').at(-1)!.id, AttemptStatus.Completed);
+    harness.endAttempt(harness.getEffects('dispatch').at(-1)!.id, AttemptStatus.Completed);
   }
 }
 
 describe('admission', () => {
   it('evicts the least urgent waiting request and never an urgent one in its place', () => {
     // Guards against refusing an urgent request because less urgent ones have filled the queue.
-    const harness = new Harness({ slots: 1, options: { maxWaitingPerClass: 2, excess: 0 } });
+    const harness = new Harness({
+      slots: 1,
+      options: { maxWaitingPerClass: 2, overcommitRatio: 0 },
+    });
     ['running', 'draft-1', 'draft-2', 'draft-3'].forEach((id) =>
       harness.submit(createRequest(id, classes.draft)),
     );
-    expect(harness.getAll('give-up')).toMatchObject([
+    expect(harness.getEffects('give-up')).toMatchObject([
       { id: 'draft-3', reason: GiveUpReason.Overload, outcome: ExecutionOutcome.NotRun },
     ]);
     ['hold-1', 'hold-2', 'hold-3', 'hold-4'].forEach((id) =>
@@ -38,12 +41,12 @@
     // Guards against callers that wait ten seconds only to be refused at their deadline: the class
     // drains one request per second while thirty are waiting.
     const getRefusals = (name: 'report' | 'hold') => {
-      const harness = new Harness({ slots: 1, options: { excess: 0 } });
+      const harness = new Harness({ slots: 1, options: { overcommitRatio: 0 } });
       const submit = (id: string) => harness.submit(createRequest(id, classes[name]));
       Array.from({ length: 12 }, (_, index) => submit(`early-${index}`));
       serveOnePerSecond(harness, 4);
       Array.from({ length: 30 }, (_, index) => submit(`more-${index}`));
-      return harness.getAll('give-up');
+      return harness.getEffects('give-up');
     };
     const refused = getRefusals('report');
     expect(refused[0]).toMatchObject({ ...NOT_RUN, reason: GiveUpReason.Deadline });
@@ -52,13 +55,13 @@
   });
 
   it('gives up requests that have not started by their deadline, urgent ones included', () => {
-    const harness = new Harness({ slots: 1, options: { excess: 0 } });
+    const harness = new Harness({ slots: 1, options: { overcommitRatio: 0 } });
     harness.submit(createRequest('hold', classes.hold));
     harness.submit(createRequest('next', classes.hold));
     harness.submit(createRequest('last', classes.hold));
     harness.progress('hold');
     harness.advance(9_999);
-    expect(harness.getAll('give-up')).toEqual([]);
+    expect(harness.getEffects('give-up')).toEqual([]);
     expect(harness.advance(1)).toMatchObject([
       { ...NOT_RUN, id: 'last', reason: GiveUpReason.Deadline },
     ]);
@@ -68,13 +71,16 @@
     const harness = new Harness({ replicas: 0 });
     const submit = (id: string) => harness.submit(createRequest(id, classes.chat));
     expect(submit('a')).toMatchObject([{ ...NOT_RUN, reason: GiveUpReason.NoReplica }]);
-    harness.tell({ kind: 'replicas', replicas: [createReplica('replica-1', { slots: 1 })] });
+    harness.send({ kind: 'replicas', replicas: [createReplica('replica-1', { slots: 1 })] });
     submit('b');
     submit('c');
-    harness.tell({ kind: 'drain' });
+    harness.send({ kind: 'drain' });
     expect(submit('d')).toMatchObject([{ ...NOT_RUN, reason: GiveUpReason.Draining }]);
-    expect(getBrief(harness.end('b', AttemptStatus.Completed))).toEqual(['done b', 'dispatch c']);
-    expect(getBrief(harness.end('c', AttemptStatus.Completed))).toEqual(['done c']);
+    expect(summarizeEffects(harness.endAttempt('b', AttemptStatus.Completed))).toEqual([
+      'done b',
+      'dispatch c',
+    ]);
+    expect(summarizeEffects(harness.endAttempt('c', AttemptStatus.Completed))).toEqual(['done c']);
   });
 
   it('cancels the attempt of a caller that disconnects, and removes its request in any phase', () => {
@@ -82,29 +88,32 @@
     ['running', 'waiting', 'next'].forEach((id) =>
       harness.submit(createRequest(id, classes.draft)),
     );
-    harness.tell({ kind: 'caller-left', id: 'waiting' });
-    const effects = harness.tell({ kind: 'caller-left', id: 'running' });
-    expect(getBrief(effects)).toEqual(['cancel running', 'dispatch next']);
-    harness.tell({ kind: 'caller-left', id: 'next' });
+    harness.send({ kind: 'caller-left', id: 'waiting' });
+    const effects = harness.send({ kind: 'caller-left', id: 'running' });
+    expect(summarizeEffects(effects)).toEqual(['cancel running', 'dispatch next']);
+    harness.send({ kind: 'caller-left', id: 'next' });
     expect(harness.scheduler.getSnapshot()).toMatchObject({ waiting: 0, running: 0 });
     expect(harness.advance(600_000)).toEqual([]);
   });
 
   it('reserves slots for preempting tiers while requests of both kinds arrive', () => {
     // Guards against short requests that wait because drafts fill every slot.
-    const harness = new Harness({ slots: 10, options: { reserve: 0.2, reserveMemory: 99 } });
+    const harness = new Harness({
+      slots: 10,
+      options: { reservedSlotRatio: 0.2, reserveRetention: 99 },
+    });
     const submit = (id: string, name: keyof typeof classes) =>
       harness.submit(createRequest(id, classes[name]));
     submit('chat', 'chat');
-    harness.end('chat', AttemptStatus.Completed);
+    harness.endAttempt('chat', AttemptStatus.Completed);
     for (let index = 0; index < 10; index += 1) {
       submit(`draft-${index}`, 'draft');
     }
     expect(harness.scheduler.getSnapshot()).toMatchObject({ running: 8, waiting: 2 });
     ['chat-1', 'chat-2'].forEach((id) =>
-      expect(getBrief(submit(id, 'chat'))).toEqual([`dispatch ${id}`]),
+      expect(summarizeEffects(submit(id, 'chat'))).toEqual([`dispatch ${id}`]),
     );
-    ['chat-1', 'chat-2'].forEach((id) => harness.end(id, AttemptStatus.Completed));
+    ['chat-1', 'chat-2'].forEach((id) => harness.endAttempt(id, AttemptStatus.Completed));
     expect(harness.scheduler.getSnapshot()).toMatchObject({ running: 8 });
     harness.advance(100);
     submit('draft-10', 'draft');
@@ -117,7 +126,7 @@
     const daemons = ['daemon-1', 'daemon-2', 'daemon-3'];
     const running = daemons.map((self) => {
       const harness = new Harness({ slots: 1 });
-      harness.tell({ kind: 'daemons', self, daemons });
+      harness.send({ kind: 'daemons', self, daemons });
       ['a', 'b'].forEach((id) => harness.submit(createRequest(id, classes.draft)));
       return harness.scheduler.getSnapshot().running;
     });
@@ -128,19 +137,19 @@
     // Guards against a class that never runs while urgent requests fill the replicas above the
     // share. The floor must apply to slots as well as to the queue, and at the engine the draft must
     // not be queued behind the urgent requests.
-    const harness = new Harness({ slots: 4, options: { excess: 1 } });
+    const harness = new Harness({ slots: 4, options: { overcommitRatio: 1 } });
     harness.submit(createRequest('draft', { ...classes.draft, floor: 0.2 }));
     for (let index = 0; index < 4; index += 1) {
       harness.submit(createRequest(`gate-${index}`, classes.gate));
     }
-    harness.end('draft', AttemptStatus.Completed);
+    harness.endAttempt('draft', AttemptStatus.Completed);
     harness.submit(createRequest('gate-4', classes.gate));
     harness.submit(createRequest('starving', { ...classes.draft, floor: 0.2 }));
     let next = 5;
-    while (!getBrief(harness.effects).includes('dispatch starving') && next < 12) {
+    while (!summarizeEffects(harness.effects).includes('dispatch starving') && next < 12) {
       harness.submit(createRequest(`gate-${next}`, classes.gate));
       next += 1;
-      harness.end(`gate-${next - 6}`, AttemptStatus.Completed);
+      harness.endAttempt(`gate-${next - 6}`, AttemptStatus.Completed);
     }
     expect(harness.getDispatch('starving')).toMatchObject({ priority: 0, reason: 'floor' });
   });
--- a/packages/policy/src/lib/Scheduler/getServiceSnapshot.ts
+++ b/packages/policy/src/lib/Scheduler/getServiceSnapshot.ts
@@ -2,7 +2,7 @@
 import type { ReplicaState } from '../ReplicaChooser/ReplicaState.js';
 import type { ReplicaTable } from '../ReplicaChooser/ReplicaTable.js';
 import type { RetryBudget } from '../RetryBudget/RetryBudget.js';
-import type { RequestQueue } from '../WaitingRoom/WaitingRoom.js';
+import type { RequestQueue } from '../RequestQueue/RequestQueue.js';
 import type { RunningRequests } from './RunningRequests.js';
 
 /**
@@ -51,13 +51,13 @@
 function getReplicaSnapshot(state: ReplicaState, now: Milliseconds): ReplicaSnapshot {
   return {
     id: state.id,
-    running: state.load.own,
+    running: state.load.ownRunning,
     limit: state.getLimit(now),
     share: state.share.slots,
     pressure: state.getPressure(now),
     leaving: state.isLeaving,
-    avoided: state.isAvoided(now),
-    convicted: state.convicted,
+    avoided: state.isCoolingDown(now),
+    convicted: state.isStraggler,
   };
 }
 
--- a/packages/policy/src/lib/Scheduler/getTimeouts.ts
+++ b/packages/policy/src/lib/Scheduler/getTimeouts.ts
@@ -20,14 +20,14 @@
   const { target, repeatable } = record.request.serviceClass;
   const targetTimeout = Math.max(
     options.minFirstTokenTimeout,
-    options.firstTokenPatience * target.firstToken,
+    options.firstTokenTimeoutFactor * target.firstToken,
   );
   const timeLeft = record.isExemptFromDeadline ? targetTimeout : Math.max(1, record.deadline - now);
   return {
     firstTokenTimeout: repeatable ? Math.min(targetTimeout, timeLeft) : timeLeft,
     tokenGapTimeout: Math.max(
       options.minTokenGapTimeout,
-      options.tokenGapPatience * target.tokenGap,
+      options.tokenGapTimeoutFactor * target.tokenGap,
     ),
   };
 }
--- a/packages/policy/src/lib/Scheduler/preemption.test.ts
+++ b/packages/policy/src/lib/Scheduler/preemption.test.ts
@@ -1,21 +1,24 @@
-import { getBrief, Harness } from '../../test/Harness.js';
+import { summarizeEffects, Harness } from '../../test/Harness.js';
 import { classes, createRequest } from '../../test/fixtures.js';
 import { AttemptStatus, CancelReason } from '../messages.js';
 
 function submit(harness: Harness, id: string, name: keyof typeof classes) {
-  return getBrief(harness.submit(createRequest(id, classes[name])));
+  return summarizeEffects(harness.submit(createRequest(id, classes[name])));
 }
 
 /** Creates a harness whose only replica runs one request per class and reports that it is full. */
 function createFullHarness(...names: (keyof typeof classes)[]): Harness {
-  const harness = new Harness({ slots: names.length, options: { reserve: 0, ahead: 0 } });
+  const harness = new Harness({
+    slots: names.length,
+    options: { reservedSlotRatio: 0, replicaQueueRatio: 0 },
+  });
   names.forEach((name) => {
     submit(harness, name, name);
     harness.progress(name, 8);
   });
   const measuredAt = harness.clock.now();
   const report = { replica: 'replica-1', running: names.length, waiting: 0, measuredAt };
-  harness.tell({ kind: 'load-report', report });
+  harness.send({ kind: 'load-report', report });
   return harness;
 }
 
@@ -24,9 +27,9 @@
     // Guards against an urgent request that waits for a long response while drafts hold all slots.
     const harness = createFullHarness('draft', 'chat');
     expect(submit(harness, 'gate', 'gate')).toEqual(['cancel draft', 'dispatch gate']);
-    expect(harness.getAll('cancel').at(-1)!.reason).toBe(CancelReason.Preempted);
-    harness.end('draft', AttemptStatus.Cancelled);
-    expect(getBrief(harness.end('gate', AttemptStatus.Completed))).toEqual([
+    expect(harness.getEffects('cancel').at(-1)!.reason).toBe(CancelReason.Preempted);
+    harness.endAttempt('draft', AttemptStatus.Cancelled);
+    expect(summarizeEffects(harness.endAttempt('gate', AttemptStatus.Completed))).toEqual([
       'done gate',
       'dispatch draft',
     ]);
@@ -38,7 +41,7 @@
     ['draft-1', 'draft-2'].forEach((id) => submit(harness, id, 'draft'));
     const measuredAt = harness.clock.now();
     const report = { replica: 'replica-1', running: 2, waiting: 0, measuredAt };
-    harness.tell({ kind: 'load-report', report });
+    harness.send({ kind: 'load-report', report });
     expect(submit(harness, 'gate', 'gate')).toEqual(['cancel draft-2', 'dispatch gate']);
   });
 
@@ -61,24 +64,28 @@
     // had already arrived, and an attempt resumed too early would deliver them again.
     const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
-    harness.end('gate', AttemptStatus.Completed);
+    harness.endAttempt('gate', AttemptStatus.Completed);
     harness.progress('draft', 3);
-    expect(getBrief(harness.end('draft', AttemptStatus.Cancelled))).toEqual(['dispatch draft']);
+    expect(summarizeEffects(harness.endAttempt('draft', AttemptStatus.Cancelled))).toEqual([
+      'dispatch draft',
+    ]);
     expect(harness.getDispatch('draft').resumeAt).toBe(11);
   });
 
   it('resumes when the owner does not report the end of the cancelled attempt in time', () => {
     const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
-    harness.end('gate', AttemptStatus.Completed);
-    expect(getBrief(harness.advance(249))).toEqual([]);
-    expect(getBrief(harness.advance(1))).toEqual(['dispatch draft']);
+    harness.endAttempt('gate', AttemptStatus.Completed);
+    expect(summarizeEffects(harness.advance(249))).toEqual([]);
+    expect(summarizeEffects(harness.advance(1))).toEqual(['dispatch draft']);
   });
 
   it('completes a request whose response was complete before it could be cancelled', () => {
     const harness = createFullHarness('draft');
     submit(harness, 'gate', 'gate');
-    expect(getBrief(harness.end('draft', AttemptStatus.Completed))).toEqual(['done draft']);
+    expect(summarizeEffects(harness.endAttempt('draft', AttemptStatus.Completed))).toEqual([
+      'done draft',
+    ]);
   });
 
   it('does not preempt a request a third time', () => {
@@ -86,10 +93,10 @@
     const harness = createFullHarness('draft');
     ['gate-1', 'gate-2', 'gate-3'].forEach((gate) => {
       submit(harness, gate, 'gate');
-      harness.end(gate, AttemptStatus.Completed);
+      harness.endAttempt(gate, AttemptStatus.Completed);
       harness.advance(250);
     });
-    expect(harness.getAll('cancel').length).toBe(2);
+    expect(harness.getEffects('cancel').length).toBe(2);
   });
 
   it('preempts for a request that is not urgent only after it has waited at the replica', () => {
@@ -98,14 +105,17 @@
     const harness = createFullHarness('draft', 'report');
     expect(submit(harness, 'chat', 'chat')).toEqual(['dispatch chat']);
     expect(harness.advance(374)).toEqual([]);
-    expect(getBrief(harness.advance(1))).toEqual(['cancel draft']);
+    expect(summarizeEffects(harness.advance(1))).toEqual(['cancel draft']);
     // A draft without a first token may itself be queued at the replica: cancelling it frees no slot.
-    const beforeFirstToken = new Harness({ slots: 1, options: { reserve: 0, ahead: 0 } });
+    const beforeFirstToken = new Harness({
+      slots: 1,
+      options: { reservedSlotRatio: 0, replicaQueueRatio: 0 },
+    });
     submit(beforeFirstToken, 'draft', 'draft');
     submit(beforeFirstToken, 'chat', 'chat');
     expect(beforeFirstToken.advance(600)).toEqual([]);
     beforeFirstToken.progress('draft');
-    expect(getBrief(beforeFirstToken.advance(150))).toEqual(['cancel draft']);
+    expect(summarizeEffects(beforeFirstToken.advance(150))).toEqual(['cancel draft']);
     const afterFirstToken = createFullHarness('draft');
     submit(afterFirstToken, 'chat', 'chat');
     afterFirstToken.progress('chat');
--- a/packages/policy/src/lib/Scheduler/replicas.test.ts
+++ b/packages/policy/src/lib/Scheduler/replicas.test.ts
@@ -1,4 +1,4 @@
-import { getBrief, Harness } from '../../test/Harness.js';
+import { summarizeEffects, Harness } from '../../test/Harness.js';
 import { classes, createReplica, createRequest } from '../../test/fixtures.js';
 import { AttemptStatus, CancelReason } from '../messages.js';
 
@@ -23,7 +23,7 @@
     const { id, replica } = submitChat(harness);
     harness.advance(getDelay(replica));
     harness.progress(id);
-    harness.end(id, AttemptStatus.Completed);
+    harness.endAttempt(id, AttemptStatus.Completed);
     replicas.push(replica);
   }
   return replicas;
@@ -35,19 +35,21 @@
     // the instance list still contains it.
     const harness = new Harness({ replicas: 2, slots: 50 });
     const replicas = [createReplica('replica-1'), createReplica('replica-2', { slots: 50 })];
-    harness.tell({ kind: 'replica-leaving', replica: 'replica-1' });
-    harness.tell({ kind: 'replicas', replicas });
+    harness.send({ kind: 'replica-leaving', replica: 'replica-1' });
+    harness.send({ kind: 'replicas', replicas });
     const used = Array.from({ length: 40 }, () => submitChat(harness).replica);
     expect(new Set(used)).toEqual(new Set(['replica-2']));
-    harness.tell({ kind: 'replica-returned', replica: 'replica-1' });
+    harness.send({ kind: 'replica-returned', replica: 'replica-1' });
     expect(Array.from({ length: 8 }, () => submitChat(harness).replica)).toContain('replica-1');
   });
 
   it('lets requests finish at a replica that is no longer listed', () => {
     const harness = new Harness({ replicas: 1 });
     const { id } = submitChat(harness);
-    harness.tell({ kind: 'replicas', replicas: [] });
-    expect(getBrief(harness.end(id, AttemptStatus.Completed))).toEqual([`done ${id}`]);
+    harness.send({ kind: 'replicas', replicas: [] });
+    expect(summarizeEffects(harness.endAttempt(id, AttemptStatus.Completed))).toEqual([
+      `done ${id}`,
+    ]);
   });
 
   it('avoids an unreachable replica for a while, then tries it again', () => {
@@ -56,7 +58,10 @@
     const harness = new Harness({ replicas: 2, slots: 50 });
     const sendFailing = () => {
       const { id, replica } = submitChat(harness);
-      harness.end(id, replica === 'replica-1' ? AttemptStatus.NotSent : AttemptStatus.Completed);
+      harness.endAttempt(
+        id,
+        replica === 'replica-1' ? AttemptStatus.NotSent : AttemptStatus.Completed,
+      );
       return replica;
     };
     const used = Array.from({ length: 20 }, sendFailing);
@@ -67,12 +72,12 @@
 
   it('avoids a replica with a silent path for a while, unless there is no other', () => {
     const harness = new Harness({ replicas: 2, slots: 50 });
-    harness.tell({ kind: 'path-silent', replica: 'replica-1' });
+    harness.send({ kind: 'path-silent', replica: 'replica-1' });
     const getUsed = () => new Set(Array.from({ length: 20 }, () => submitChat(harness).replica));
     expect(getUsed()).toEqual(new Set(['replica-2']));
-    harness.tell({ kind: 'replica-leaving', replica: 'replica-2' });
+    harness.send({ kind: 'replica-leaving', replica: 'replica-2' });
     expect(getUsed()).toEqual(new Set(['replica-1']));
-    harness.tell({ kind: 'replica-returned', replica: 'replica-2' });
+    harness.send({ kind: 'replica-returned', replica: 'replica-2' });
     harness.advance(1000);
     expect(getUsed().size).toBe(2);
   });
@@ -88,7 +93,7 @@
     expect(harness.advance(tokenGapTimeout + 499)).toEqual([]);
     const cancel = { kind: 'cancel', id, replica, reason: CancelReason.Silent };
     expect(harness.advance(1)).toMatchObject([cancel]);
-    harness.end(id, AttemptStatus.Cancelled);
+    harness.endAttempt(id, AttemptStatus.Cancelled);
     expect(harness.getDispatch(id)).toMatchObject({ attempt: 2, resumeAt: 4 });
     expect(harness.getDispatch(id).replica.id).not.toBe(replica);
   });
@@ -117,7 +122,11 @@
 
   it('limits the fraction of replicas marked as stragglers', () => {
     const countConvicted = (maxConvicted: number) => {
-      const harness = new Harness({ replicas: 6, slots: 50, options: { maxConvicted } });
+      const harness = new Harness({
+        replicas: 6,
+        slots: 50,
+        options: { maxStragglerRatio: maxConvicted },
+      });
       const slowReplicas = ['replica-1', 'replica-2'];
       serveSequentially(harness, 80, () => 100);
       serveSequentially(harness, 200, (replica) => (slowReplicas.includes(replica) ? 1000 : 100));
@@ -132,7 +141,7 @@
     const prefixHashes = Array.from({ length: 12 }, (_, prefixHash) => prefixHash);
     const getReplica = (prefixHash: number) => {
       const { id, replica } = submitChat(harness, { prefixHash });
-      harness.end(id, AttemptStatus.Completed);
+      harness.endAttempt(id, AttemptStatus.Completed);
       return replica;
     };
     const first = prefixHashes.map(getReplica);
@@ -152,7 +161,7 @@
     const replicas = placements.map((placement, index) =>
       createReplica(`replica-${index}`, { placement, slots: 50 }),
     );
-    harness.tell({ kind: 'replicas', replicas });
+    harness.send({ kind: 'replicas', replicas });
     const used = Array.from({ length: 30 }, (_, index) => {
       const request = createRequest(`nopea-${index}`, classes.chat, { model: 'nopea:kortti' });
       harness.submit(request);
--- a/packages/policy/src/lib/Scheduler/retries.test.ts
+++ b/packages/policy/src/lib/Scheduler/retries.test.ts
@@ -10,9 +10,9 @@
   it('retries a request that did not run at another replica, even if it is not repeatable', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
-    harness.end('hold', AttemptStatus.NotSent);
-    harness.end('hold', AttemptStatus.Refused);
-    const replicas = harness.getAll('dispatch').map(({ replica }) => replica.id);
+    harness.endAttempt('hold', AttemptStatus.NotSent);
+    harness.endAttempt('hold', AttemptStatus.Refused);
+    const replicas = harness.getEffects('dispatch').map(({ replica }) => replica.id);
     expect(new Set(replicas).size).toBe(3);
   });
 
@@ -21,8 +21,8 @@
     // sent, so it may have run and must not be sent to another replica.
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'hold', 'hold');
-    harness.end('hold', AttemptStatus.NotSent);
-    expect(harness.end('hold', AttemptStatus.Broken)).toMatchObject([
+    harness.endAttempt('hold', AttemptStatus.NotSent);
+    expect(harness.endAttempt('hold', AttemptStatus.Broken)).toMatchObject([
       { kind: 'give-up', outcome: ExecutionOutcome.Unknown, reason: GiveUpReason.MayHaveRun },
     ]);
   });
@@ -33,8 +33,10 @@
     const getLastEffect = (first: AttemptStatus) => {
       const harness = new Harness({ replicas: 9 });
       submit(harness, 'report', 'report');
-      harness.end('report', first);
-      const ends = Array.from({ length: 3 }, () => harness.end('report', AttemptStatus.Refused));
+      harness.endAttempt('report', first);
+      const ends = Array.from({ length: 3 }, () =>
+        harness.endAttempt('report', AttemptStatus.Refused),
+      );
       return ends.at(-1)![0];
     };
     const reason = GiveUpReason.RetriesSpent;
@@ -54,20 +56,20 @@
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
     harness.progress('chat', 5);
-    harness.end('chat', AttemptStatus.Broken);
-    harness.tell({ kind: 'progress', id: 'chat', attempt: 1, tokens: 7 });
+    harness.endAttempt('chat', AttemptStatus.Broken);
+    harness.send({ kind: 'progress', id: 'chat', attempt: 1, tokens: 7 });
     const lateMessage = { kind: 'attempt-ended' as const, id: 'chat', attempt: 1 };
-    expect(harness.tell({ ...lateMessage, end: AttemptStatus.Completed })).toEqual([]);
+    expect(harness.send({ ...lateMessage, end: AttemptStatus.Completed })).toEqual([]);
     harness.progress('chat', 2);
-    harness.end('chat', AttemptStatus.Broken);
-    expect(harness.getAll('dispatch').map(({ resumeAt }) => resumeAt)).toEqual([0, 5, 7]);
+    harness.endAttempt('chat', AttemptStatus.Broken);
+    expect(harness.getEffects('dispatch').map(({ resumeAt }) => resumeAt)).toEqual([0, 5, 7]);
   });
 
   it('does not restart a response that cannot be resumed', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'report', 'report');
     harness.progress('report');
-    expect(harness.end('report', AttemptStatus.Broken)).toMatchObject([
+    expect(harness.endAttempt('report', AttemptStatus.Broken)).toMatchObject([
       { kind: 'give-up', outcome: ExecutionOutcome.Failed },
     ]);
   });
@@ -75,7 +77,7 @@
   it('does not retry a request that ran and failed', () => {
     const harness = new Harness({ replicas: 3 });
     submit(harness, 'chat', 'chat');
-    expect(harness.end('chat', AttemptStatus.Errored)).toMatchObject([
+    expect(harness.endAttempt('chat', AttemptStatus.Errored)).toMatchObject([
       { kind: 'give-up', outcome: ExecutionOutcome.Failed, reason: GiveUpReason.ReplicaFailed },
     ]);
   });
@@ -83,22 +85,22 @@
   it('does not multiply the load of a failing service', () => {
     // Guards against four times the load on a failing service: every response breaks, and without a
     // common retry budget each request would be retried separately.
-    const options = { retryBurst: 5, retryReserve: 0, retryTrickle: 0 };
+    const options = { retryBurst: 5, urgentRetryShare: 0, minRetriesPerSecond: 0 };
     const harness = new Harness({ replicas: 9, options });
     for (let index = 0; index < 40; index += 1) {
       submit(harness, `chat-${index}`, 'chat');
-      while (!harness.getAll('give-up').some(({ id }) => id === `chat-${index}`)) {
-        harness.end(`chat-${index}`, AttemptStatus.Broken);
+      while (!harness.getEffects('give-up').some(({ id }) => id === `chat-${index}`)) {
+        harness.endAttempt(`chat-${index}`, AttemptStatus.Broken);
         harness.advance(100);
       }
     }
-    expect(harness.getAll('dispatch').length).toBe(45);
+    expect(harness.getEffects('dispatch').length).toBe(45);
   });
 
   it('retries at the replica that failed a request after a backoff if there is no other', () => {
     const harness = new Harness({ replicas: 1 });
     submit(harness, 'chat', 'chat');
-    expect(harness.end('chat', AttemptStatus.NotSent)).toEqual([]);
+    expect(harness.endAttempt('chat', AttemptStatus.NotSent)).toEqual([]);
     expect(harness.advance(49)).toEqual([]);
     expect(harness.advance(2000)).toMatchObject([{ kind: 'dispatch', attempt: 2 }]);
   });
@@ -109,7 +111,7 @@
     const harness = new Harness({ replicas: 1, slots: 1 });
     submit(harness, 'first', 'chat');
     submit(harness, 'second', 'chat');
-    expect(harness.end('first', AttemptStatus.Refused, 10)).toMatchObject([
+    expect(harness.endAttempt('first', AttemptStatus.Refused, 10)).toMatchObject([
       { kind: 'dispatch', id: 'second' },
     ]);
   });
--- a/packages/policy/src/lib/SharedLimit/SharedLimit.test.ts
+++ b/packages/policy/src/lib/SharedLimit/SharedLimit.test.ts
@@ -35,7 +35,7 @@
     const daemons = createNames('daemon', 90);
     const replicas = createNames('replica', 600);
     const subsets = createLimits(daemons).map(
-      (limit) => replicas.filter((id) => limit.getShare(id, 16, replicas.length).isIn).length,
+      (limit) => replicas.filter((id) => limit.getShare(id, 16, replicas.length).isAssigned).length,
     );
     const mean = subsets.reduce((sum, size) => sum + size, 0) / daemons.length;
     expect(mean).toBeGreaterThan(SUBSET_SIZE);
@@ -65,7 +65,10 @@
 
   function createAllowance(guaranteedRatio = 0.5): SlotAllowance {
     const allowance = new SlotAllowance(MAX_AGE);
-    allowance.setShare({ isIn: true, slots: 2, contenders: 8 }, { ...PLAN, guaranteedRatio });
+    allowance.setShare(
+      { isAssigned: true, slots: 2, daemonCount: 8 },
+      { ...PLAN, guaranteedRatio },
+    );
     return allowance;
   }
 
@@ -74,7 +77,7 @@
   it('equals the share before the first report and after reports stop', () => {
     const allowance = createAllowance();
     expect(allowance.getLimit(0)).toBe(2);
-    allowance.report({ load: 0, own: 2, measuredAt: 0 }, 0, ZERO_RANDOM);
+    allowance.applyReport({ load: 0, ownLoad: 2, measuredAt: 0 }, 0, ZERO_RANDOM);
     expect([allowance.getLimit(0), allowance.getLimit(MAX_AGE + 1)]).toEqual([4, 2]);
   });
 
@@ -82,7 +85,7 @@
     const random = createRandom(3);
     const lentSlots = Array.from({ length: 4000 }, () => {
       const allowance = createAllowance();
-      allowance.report({ load: 11, own: 2, measuredAt: 0 }, 0, random);
+      allowance.applyReport({ load: 11, ownLoad: 2, measuredAt: 0 }, 0, random);
       return allowance.getLimit(0) - 2;
     });
     const lentPerReport = (8 * lentSlots.reduce((sum, each) => sum + each, 0)) / lentSlots.length;
@@ -93,25 +96,25 @@
     // Guards against flooding a replica that becomes idle: all daemons use their part of the free
     // slots, but reports measured before these requests arrived still show the same slots as free.
     const allowance = createAllowance();
-    allowance.report({ load: 0, own: 2, measuredAt: 900 }, 1000, ZERO_RANDOM);
-    allowance.report({ load: 0, own: 4, measuredAt: 990 }, 1100, ZERO_RANDOM);
+    allowance.applyReport({ load: 0, ownLoad: 2, measuredAt: 900 }, 1000, ZERO_RANDOM);
+    allowance.applyReport({ load: 0, ownLoad: 4, measuredAt: 990 }, 1100, ZERO_RANDOM);
     expect(allowance.getLimit(1100)).toBe(4);
-    allowance.report({ load: 0, own: 4, measuredAt: 1050 }, 1200, ZERO_RANDOM);
+    allowance.applyReport({ load: 0, ownLoad: 4, measuredAt: 1050 }, 1200, ZERO_RANDOM);
     expect(allowance.getLimit(1200)).toBe(6);
   });
 
   it('reduces the limit at an overloaded replica in proportion, down to the guaranteed part', () => {
     const allowance = createAllowance();
-    allowance.report({ load: 32, own: 8, measuredAt: 0 }, 0, ZERO_RANDOM);
+    allowance.applyReport({ load: 32, ownLoad: 8, measuredAt: 0 }, 0, ZERO_RANDOM);
     expect(allowance.getLimit(0)).toBe(4);
-    allowance.report({ load: 32, own: 0, measuredAt: 1 }, 1, ZERO_RANDOM);
+    allowance.applyReport({ load: 32, ownLoad: 0, measuredAt: 1 }, 1, ZERO_RANDOM);
     expect(allowance.getLimit(1)).toBe(1);
     const fullyGuaranteed = createAllowance(1);
-    fullyGuaranteed.report({ load: 32, own: 0, measuredAt: 1 }, 1, ZERO_RANDOM);
+    fullyGuaranteed.applyReport({ load: 32, ownLoad: 0, measuredAt: 1 }, 1, ZERO_RANDOM);
     expect(fullyGuaranteed.getLimit(1)).toBe(2);
     // Guards against an outdated limit: after a report has reduced the limit to the minimum, other
     // daemons leave and the share grows. The daemon must be able to use its new share.
-    allowance.setShare({ isIn: true, slots: 8, contenders: 2 }, PLAN);
+    allowance.setShare({ isAssigned: true, slots: 8, daemonCount: 2 }, PLAN);
     expect(allowance.getLimit(1)).toBe(4);
   });
 });
--- a/packages/policy/src/lib/SharedLimit/SharedLimit.ts
+++ b/packages/policy/src/lib/SharedLimit/SharedLimit.ts
@@ -1,5 +1,5 @@
 import { getHash } from '@apricotrill/utils';
-import { getMixedScore } from '../getMixedScore.js';
+import { getRendezvousScore } from '../getRendezvousScore.js';
 
 /**
  * One daemon's share of the slots of a replica.
@@ -8,11 +8,11 @@
  */
 export interface Share {
   /** Whether this daemon sends requests to the replica at all. */
-  isIn: boolean;
+  isAssigned: boolean;
   /** The number of slots; may be zero if the replica has fewer slots than daemons. */
   slots: number;
   /** The number of daemons that share the slots. */
-  contenders: number;
+  daemonCount: number;
 }
 
 interface Daemon {
@@ -65,20 +65,20 @@
     const daemonCount = Math.min(daemons, wantedCount);
     const rank = this.getRank(getHash(replica), daemonCount);
     if (rank >= daemonCount) {
-      return { isIn: false, slots: 0, contenders: daemonCount };
+      return { isAssigned: false, slots: 0, daemonCount };
     }
     const remainder = slots % daemonCount;
     const ownSlots = Math.floor(slots / daemonCount) + (rank < remainder ? 1 : 0);
-    return { isIn: true, slots: ownSlots, contenders: daemonCount };
+    return { isAssigned: true, slots: ownSlots, daemonCount };
   }
 
   /** Counts the daemons that precede this one in the order of the replica, up to a limit. */
   private getRank(replica: number, limit: number): number {
-    const own = getMixedScore(replica, this.self.hash);
+    const own = getRendezvousScore(replica, this.self.hash);
     let rank = 0;
     for (let index = 0; index < this.others.length && rank < limit; index += 1) {
       const other = this.others[index]!;
-      const score = getMixedScore(replica, other.hash);
+      const score = getRendezvousScore(replica, other.hash);
       if (score > own || (score === own && other.id < this.self.id)) {
         rank += 1;
       }
--- a/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
+++ b/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds, Random } from '@apricotrill/utils';
-import type { SlotPlan } from '../Reserve/Reserve.js';
+import type { SlotPlan } from '../SlotReserve/SlotReserve.js';
 import type { Share } from './SharedLimit.js';
 
-const NO_SHARE: Share = { isIn: false, slots: 0, contenders: 1 };
+const NO_SHARE: Share = { isAssigned: false, slots: 0, daemonCount: 1 };
 
 /**
  * The load of a replica: its last load report, corrected for what this daemon sent since.
@@ -12,7 +12,7 @@
 export interface ObservedLoad {
   load: number;
   /** The part of the load that comes from this daemon. */
-  own: number;
+  ownLoad: number;
   measuredAt: Milliseconds;
 }
 
@@ -71,13 +71,17 @@
    * otherwise each daemon would claim the same free slots again with every report, until a report
    * shows them in use.
    */
-  report({ load, own, measuredAt }: ObservedLoad, now: Milliseconds, random: Random): void {
+  applyReport(
+    { load, ownLoad: own, measuredAt }: ObservedLoad,
+    now: Milliseconds,
+    random: Random,
+  ): void {
     if (this.adjustedLimit !== undefined && measuredAt < this.adjustedLimit.at) {
       return;
     }
     const freeSlots = this.plan.targetLoad - load;
     const change =
-      freeSlots >= 0 ? freeSlots / this.currentShare.contenders : (freeSlots * own) / load;
+      freeSlots >= 0 ? freeSlots / this.currentShare.daemonCount : (freeSlots * own) / load;
     this.adjustedLimit = { slots: own + Math.floor(change + random.next()), at: now };
   }
 }
--- a/packages/policy/src/lib/Reserve/Reserve.ts
+++ b/packages/policy/src/lib/SlotReserve/SlotReserve.ts
@@ -26,11 +26,11 @@
   /** Slots are reserved for tiers up to this one. */
   preemptingTier: number;
   /** The fraction of the slots of a replica that is reserved. */
-  reserve: number;
+  reservedSlotRatio: number;
   /** The fraction of its slots that may additionally be queued at a replica while none is reserved. */
-  ahead: number;
+  replicaQueueRatio: number;
   /** How long slots stay reserved after the last request of either kind. */
-  reserveMemory: Milliseconds;
+  reserveRetention: Milliseconds;
 }
 
 /**
@@ -41,7 +41,7 @@
  *
  * @internal
  */
-export class Reserve {
+export class SlotReserve {
   private readonly options: SlotReserveOptions;
 
   private lastPreemptingAt: Milliseconds = Number.NEGATIVE_INFINITY;
@@ -67,21 +67,21 @@
     }
     const wasActive = this.isActive;
     const oldest = Math.min(this.lastPreemptingAt, this.lastPreemptibleAt);
-    this.isActive = now - oldest <= this.options.reserveMemory;
+    this.isActive = now - oldest <= this.options.reserveRetention;
     return this.isActive !== wasActive;
   }
 
   /** Returns how the slots of a replica are used. */
   getPlan(slots: number): SlotPlan {
     if (this.isActive) {
-      const unreservedSlots = slots - Math.floor(slots * this.options.reserve);
+      const unreservedSlots = slots - Math.floor(slots * this.options.reservedSlotRatio);
       return {
         shared: unreservedSlots,
         targetLoad: unreservedSlots,
         guaranteedRatio: GUARANTEED_RATIO_WITH_RESERVE,
       };
     }
-    const maxQueued = Math.ceil(slots * this.options.ahead);
+    const maxQueued = Math.ceil(slots * this.options.replicaQueueRatio);
     return { shared: slots, targetLoad: slots + maxQueued, guaranteedRatio: 1 };
   }
 }
--- a/packages/policy/src/lib/getMixedScore.ts
+++ b/packages/policy/src/lib/getRendezvousScore.ts
@@ -14,7 +14,7 @@
  * @returns an integer below 2^32, the same on every daemon
  * @internal
  */
-export function getMixedScore(key: number, candidate: number): number {
+export function getRendezvousScore(key: number, candidate: number): number {
   let mixed = Math.imul(key, GOLDEN_RATIO_MULTIPLIER) ^ candidate;
   mixed = Math.imul(mixed ^ (mixed >>> 16), FIRST_MIX_MULTIPLIER);
   mixed = Math.imul(mixed ^ (mixed >>> 13), SECOND_MIX_MULTIPLIER);
--- a/packages/policy/src/lib/policyOptions.ts
+++ b/packages/policy/src/lib/policyOptions.ts
@@ -43,7 +43,7 @@
    * How long a request whose response has started may wait to be resumed before it is given up;
    * default 2 min.
    */
-  resumePatience: Milliseconds;
+  resumeTimeout: Milliseconds;
 
   /** Maximum number of failed attempts of one request, not counting preemptions; default 4. */
   maxFailures: number;
@@ -55,9 +55,9 @@
   /** Maximum number of retries in a burst, as after a replica crash; default 20. */
   retryBurst: number;
   /** Retries per second that are always allowed, for services with little traffic; default 1. */
-  retryTrickle: number;
+  minRetriesPerSecond: number;
   /** Fraction of the retry burst that is reserved for urgent tiers; default 0.25. */
-  retryReserve: number;
+  urgentRetryShare: number;
   /**
    * Initial delay before a request is sent again to a replica that already failed it; default 50
    * ms.
@@ -71,7 +71,7 @@
    * before another request is preempted for it, as a fraction of its first-token target; default
    * 0.75.
    */
-  preemptionPatience: number;
+  preemptionDelayFactor: number;
   /** Maximum number of times one request may be preempted; default 2. */
   maxPreemptions: number;
   /** How long the scheduler waits for a cancelled attempt to report its end; default 250 ms. */
@@ -83,42 +83,42 @@
    * How many requests may be sent above the share, ahead of less urgent work, as a fraction of the
    * slots of a replica; default 0.25.
    */
-  excess: number;
+  overcommitRatio: number;
   /**
    * Fraction of the slots of a replica, rounded down, that is kept free of tiers that may not
    * preempt while requests of both kinds arrive; default 0.2.
    */
-  reserve: number;
+  reservedSlotRatio: number;
   /**
    * How many requests may wait at a replica while no slots are reserved, as a fraction of its slots
    * and rounded up. A slot that becomes free is then reused at once; default 0.06.
    */
-  ahead: number;
+  replicaQueueRatio: number;
   /** How long slots stay reserved after the last request of either kind; default 30 s. */
-  reserveMemory: Milliseconds;
+  reserveRetention: Milliseconds;
   /** Load reports older than this are ignored; default 10 s. */
   maxReportAge: Milliseconds;
   /**
    * To what degree the other daemons are assumed to react to a load report as this one does, from 0
    * to 1; default 0.5.
    */
-  stampedeDamping: number;
+  peerCorrelation: number;
   /**
    * The replica that has the prefix cached is preferred up to this multiple of the mean load;
    * default 1.25.
    */
-  affinityBound: number;
+  affinityLoadFactor: number;
 
   /** Consecutive failed attempts that put a replica into cooldown; default 3. */
-  failuresToAvoid: number;
+  failuresBeforeCooldown: number;
   /**
    * Initial cooldown of a replica that fails or is unreachable; doubles each time; default 250 ms.
    */
-  avoidance: Milliseconds;
+  cooldown: Milliseconds;
   /** Maximum cooldown of a replica; default 10 s. */
-  maxAvoidance: Milliseconds;
+  maxCooldown: Milliseconds;
   /** Cooldown of a replica after a path to it stopped responding; default 1 s. */
-  silenceAvoidance: Milliseconds;
+  silenceCooldown: Milliseconds;
 
   /**
    * A replica that is this many times slower than its peers is marked as a straggler; default 3.
@@ -127,15 +127,15 @@
   /**
    * A straggler that is at most this many times slower than its peers has recovered; default 1.5.
    */
-  acquittalFactor: number;
+  recoveryFactor: number;
   /**
    * A delay counts as slow only if it exceeds the median of its class by this much; default 20 ms.
    */
-  stragglerExcess: Milliseconds;
+  minStragglerExcess: Milliseconds;
   /** Minimum number of samples needed to classify a replica; default 5. */
-  stragglerSamples: number;
+  minStragglerSamples: number;
   /** Maximum fraction of a pool that may be marked as stragglers at once; default 1/3. */
-  maxConvicted: number;
+  maxStragglerRatio: number;
   /**
    * Interval at which a straggler is sent one request to check whether it has recovered; default 1
    * s.
@@ -146,24 +146,24 @@
    * First-token timeout of a repeatable request, as a multiple of its first-token target; default
    * 5.
    */
-  firstTokenPatience: number;
+  firstTokenTimeoutFactor: number;
   /** Minimum first-token timeout; default 1 s. */
   minFirstTokenTimeout: Milliseconds;
   /** Timeout for the next token, as a multiple of the inter-token target; default 40. */
-  tokenGapPatience: number;
+  tokenGapTimeoutFactor: number;
   /** Minimum timeout for the next token; default 3 s. */
   minTokenGapTimeout: Milliseconds;
   /**
    * How much later than its owner the scheduler itself ends an attempt that timed out; default 500
    * ms.
    */
-  silenceMargin: Milliseconds;
+  silenceTimeoutMargin: Milliseconds;
 
   /**
    * How long a notice that a replica is leaving is kept after the replica is gone from the list;
    * default 1 min.
    */
-  leavingMemory: Milliseconds;
+  leavingRetention: Milliseconds;
 }
 
 /**
@@ -182,39 +182,39 @@
   minDrainObservation: 3000,
   refusalMargin: 1.5,
   drainWindow: 5000,
-  resumePatience: 120_000,
+  resumeTimeout: 120_000,
   maxFailures: 4,
   retryRatio: 0.2,
   retryBurst: 20,
-  retryTrickle: 1,
-  retryReserve: 0.25,
+  minRetriesPerSecond: 1,
+  urgentRetryShare: 0.25,
   retryBackoff: 50,
   maxRetryBackoff: 2000,
-  preemptionPatience: 0.75,
+  preemptionDelayFactor: 0.75,
   maxPreemptions: 2,
   cancelGrace: 250,
   subsetSize: 64,
-  excess: 0.25,
-  reserve: 0.2,
-  ahead: 0.06,
-  reserveMemory: 30_000,
+  overcommitRatio: 0.25,
+  reservedSlotRatio: 0.2,
+  replicaQueueRatio: 0.06,
+  reserveRetention: 30_000,
   maxReportAge: 10_000,
-  stampedeDamping: 0.5,
-  affinityBound: 1.25,
-  failuresToAvoid: 3,
-  avoidance: 250,
-  maxAvoidance: 10_000,
-  silenceAvoidance: 1000,
+  peerCorrelation: 0.5,
+  affinityLoadFactor: 1.25,
+  failuresBeforeCooldown: 3,
+  cooldown: 250,
+  maxCooldown: 10_000,
+  silenceCooldown: 1000,
   stragglerFactor: 3,
-  acquittalFactor: 1.5,
-  stragglerExcess: 20,
-  stragglerSamples: 5,
-  maxConvicted: 1 / 3,
+  recoveryFactor: 1.5,
+  minStragglerExcess: 20,
+  minStragglerSamples: 5,
+  maxStragglerRatio: 1 / 3,
   probeInterval: 1000,
-  firstTokenPatience: 5,
+  firstTokenTimeoutFactor: 5,
   minFirstTokenTimeout: 1000,
-  tokenGapPatience: 40,
+  tokenGapTimeoutFactor: 40,
   minTokenGapTimeout: 3000,
-  silenceMargin: 500,
-  leavingMemory: 60_000,
+  silenceTimeoutMargin: 500,
+  leavingRetention: 60_000,
 };
--- a/packages/policy/src/lib/structures/LinkedList.ts
+++ b/packages/policy/src/lib/structures/LinkedList.ts
@@ -84,7 +84,7 @@
    * @param getKey - returns undefined for values to be skipped
    * @param limit - maximum number of values to examine, starting at the tail
    */
-  findLeast(getKey: (value: Value) => number | undefined, limit: number): Value | undefined {
+  findMin(getKey: (value: Value) => number | undefined, limit: number): Value | undefined {
     let min: { value: Value; key: number } | undefined;
     let node = this.last;
     for (let examined = 0; node !== undefined && examined < limit; examined += 1) {
--- a/packages/policy/src/test/Harness.ts
+++ b/packages/policy/src/test/Harness.ts
@@ -38,11 +38,11 @@
     const list = Array.from({ length: replicas }, (_, index) =>
       createReplica(`replica-${index + 1}`, { slots }),
     );
-    this.tell({ kind: 'replicas', replicas: list });
+    this.send({ kind: 'replicas', replicas: list });
   }
 
   /** Sends a message and returns the resulting effects. */
-  tell(message: SchedulerMessage): SchedulerEffect[] {
+  send(message: SchedulerMessage): SchedulerEffect[] {
     const before = this.effects.length;
     this.scheduler.handle(message);
     return this.effects.slice(before);
@@ -57,21 +57,21 @@
 
   /** Submits a request that arrives now. */
   submit(request: ScheduledRequest): SchedulerEffect[] {
-    return this.tell({ kind: 'submit', request: { ...request, arrivedAt: this.clock.now() } });
+    return this.send({ kind: 'submit', request: { ...request, arrivedAt: this.clock.now() } });
   }
 
   progress(id: string, tokens = 1): SchedulerEffect[] {
-    return this.tell({ kind: 'progress', id, attempt: this.getDispatch(id).attempt, tokens });
+    return this.send({ kind: 'progress', id, attempt: this.getDispatch(id).attempt, tokens });
   }
 
-  end(id: string, status: AttemptStatus, retryAfter?: Milliseconds): SchedulerEffect[] {
+  endAttempt(id: string, status: AttemptStatus, retryAfter?: Milliseconds): SchedulerEffect[] {
     const { attempt } = this.getDispatch(id);
-    return this.tell({ kind: 'attempt-ended', id, attempt, end: status, retryAfter });
+    return this.send({ kind: 'attempt-ended', id, attempt, end: status, retryAfter });
   }
 
   /** The last dispatch of a request. */
   getDispatch(id: string): Effect<'dispatch'> {
-    const dispatch = this.getAll('dispatch').findLast((effect) => effect.id === id);
+    const dispatch = this.getEffects('dispatch').findLast((effect) => effect.id === id);
     if (dispatch === undefined) {
       throw new Error(`${id} was not dispatched`);
     }
@@ -79,12 +79,12 @@
   }
 
   /** All effects of one kind so far. */
-  getAll<Kind extends SchedulerEffect['kind']>(kind: Kind): Effect<Kind>[] {
+  getEffects<Kind extends SchedulerEffect['kind']>(kind: Kind): Effect<Kind>[] {
     return this.effects.filter((effect): effect is Effect<Kind> => effect.kind === kind);
   }
 }
 
 /** Summarizes each effect by its kind and request, as in `dispatch gate-1`. */
-export function getBrief(effects: readonly SchedulerEffect[]): string[] {
+export function summarizeEffects(effects: readonly SchedulerEffect[]): string[] {
   return effects.map(({ kind, id }) => `${kind} ${id}`);
 }
--- a/packages/policy/src/test/SchedulerOracle.ts
+++ b/packages/policy/src/test/SchedulerOracle.ts
@@ -22,7 +22,7 @@
  * the simplest possible record of them, and throws at the first effect that violates an invariant.
  */
 export class SchedulerOracle {
-  readonly stories = new Map<string, RequestHistory>();
+  readonly histories = new Map<string, RequestHistory>();
 
   readonly listed = new Set<string>();
 
@@ -43,12 +43,12 @@
   }
 
   /** Requests that are not finished. */
-  getOpen(): RequestHistory[] {
-    return [...this.stories.values()].filter(({ isFinished }) => !isFinished);
+  getUnfinished(): RequestHistory[] {
+    return [...this.histories.values()].filter(({ isFinished }) => !isFinished);
   }
 
   /** The attempt of a request that may still deliver tokens, if any. */
-  getLive(history: RequestHistory, now: Milliseconds): SentAttempt | undefined {
+  getLiveAttempt(history: RequestHistory, now: Milliseconds): SentAttempt | undefined {
     const last = history.attempts.at(-1);
     const hasEnded =
       last?.status !== undefined ||
@@ -56,9 +56,9 @@
     return hasEnded ? undefined : last;
   }
 
-  hear(message: SchedulerMessage): void {
+  recordMessage(message: SchedulerMessage): void {
     if (message.kind === 'submit') {
-      this.stories.set(message.request.id, new RequestHistory(message.request));
+      this.histories.set(message.request.id, new RequestHistory(message.request));
     } else if (message.kind === 'replicas') {
       this.listed.clear();
       message.replicas.forEach(({ id }) => this.listed.add(id));
@@ -73,8 +73,8 @@
     }
   }
 
-  check(effect: SchedulerEffect, now: Milliseconds): void {
-    const history = this.stories.get(effect.id);
+  checkEffect(effect: SchedulerEffect, now: Milliseconds): void {
+    const history = this.histories.get(effect.id);
     assert(
       history !== undefined && !history.isFinished,
       `request ${effect.id} must be in progress: ${effect.kind}`,
@@ -95,7 +95,7 @@
   }
 
   /** To be called after all effects of a message have been checked. */
-  checkRest(): void {
+  checkPreemptionsUsed(): void {
     assert(
       this.unusedPreemptions.length === 0,
       'each preemption must make room for a more urgent request',
@@ -103,7 +103,7 @@
   }
 
   private recordRequestMessage(message: SchedulerMessage): void {
-    const history = 'id' in message ? this.stories.get(message.id) : undefined;
+    const history = 'id' in message ? this.histories.get(message.id) : undefined;
     if (history === undefined) {
       return;
     }
@@ -124,7 +124,7 @@
     const { request, attempts } = history;
     const { serviceClass, resumable } = request;
     assert(
-      this.getLive(history, now) === undefined,
+      this.getLiveAttempt(history, now) === undefined,
       'a request must have at most one live attempt',
     );
     assert(effect.attempt === attempts.length + 1, 'attempts must be numbered consecutively');
@@ -149,7 +149,7 @@
   }
 
   private checkCancel(history: RequestHistory, effect: Cancel, now: Milliseconds): void {
-    const live = this.getLive(history, now);
+    const live = this.getLiveAttempt(history, now);
     assert(live?.number === effect.attempt, 'only the live attempt may be cancelled');
     live.cancelledAt = now;
     if (effect.reason === CancelReason.CallerLeft) {
@@ -172,8 +172,8 @@
 
   /** Whether a more urgent request at the replica is waiting for its first token. */
   private isAwaitedByMoreUrgent(replica: string, tier: number, now: Milliseconds): boolean {
-    return this.getOpen().some((history) => {
-      const live = this.getLive(history, now);
+    return this.getUnfinished().some((history) => {
+      const live = this.getLiveAttempt(history, now);
       const otherTier = history.request.serviceClass.tier;
       const goesFirst = otherTier < tier && otherTier <= PREEMPTING_TIER;
       return goesFirst && live?.replica === replica && live.hasOutput !== true;
@@ -184,7 +184,7 @@
     const { attempts, request } = history;
     const { tier, repeatable } = request.serviceClass;
     assert(
-      this.getLive(history, now) === undefined,
+      this.getLiveAttempt(history, now) === undefined,
       'a request must not be given up while it runs',
     );
     const notRun = !attempts.some(mayHaveRun);
@@ -199,7 +199,7 @@
     assert(effect.retryAfter > 0, 'a refusal must state a retry delay');
     history.finish();
     if (effect.reason === GiveUpReason.Overload) {
-      const isLeastUrgent = this.getOpen().every(
+      const isLeastUrgent = this.getUnfinished().every(
         (other) => other.attempts.length > 0 || other.request.serviceClass.tier <= tier,
       );
       assert(isLeastUrgent, 'no less urgent request may wait while one is shed');
