--- a/packages/relay/src/lib/decide/Delegation/Delegation.ts
+++ b/packages/relay/src/lib/decide/Delegation/Delegation.ts
@@ -6,51 +6,52 @@
 import type { PlacementOptions } from '../placementOptions.js';
 import type { RequestRecord } from '../RequestRecord.js';
 
-/** What the delegation is made of. */
+/** Dependencies of {@link Delegation}. */
 export interface DelegationParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
   fleet: Fleet;
   keys: AttemptKeys;
-  /** A placer gave no answer in time. */
-  onSilent: (record: RequestRecord) => void;
+  /** Called when a placer did not respond in time. */
+  onTimeout: (record: RequestRecord) => void;
 }
 
-/** A request that waits for a placer's answer. */
-export interface OpenAsk {
+/** A query that awaits the response of a placer. */
+export interface PendingQuery {
   record: RequestRecord;
   placer: string;
-  askedAt: Milliseconds;
+  sentAt: Milliseconds;
   timer: Timer;
 }
 
 /**
- * The requests of this daemon for which another one chooses the replica.
+ * Delegates the choice of a replica to a placer, and tracks the pending queries.
  *
- * Load pattern: some 65 daemons before 42 engines, each with five requests a second. By itself a
- * daemon knows of one request in 65; told of all, it spends its time on listening, and still hears
- * a second late. Engines that it believes idle have a queue, and every belief that is learned from
- * waits is wrong. So one daemon chooses for all requests of a group of engines, and knows all that
- * is under way there. An answer that doesn't come is done without: the deputy is asked, then the
- * daemon chooses by what it knows itself.
+ * With some 65 daemons in front of 42 engines, each daemon receiving five requests per second, a
+ * daemon alone sees one request in 65. If all daemons announced every request to each other, they
+ * would spend their time on processing updates, which would still arrive a second late. Engines that
+ * seem idle would have a queue, and all estimates learned from waits would be wrong. Therefore one
+ * daemon, the placer, chooses the replica for all requests of a group of engines and knows every
+ * attempt in flight there. If it does not respond, the deputy is queried; if that does not respond
+ * either, the daemon chooses a replica by what it knows itself.
  */
 export class Delegation {
-  private readonly open = new Map<string, OpenAsk>();
+  private readonly pending = new Map<string, PendingQuery>();
 
-  /** Placers that gave no answer: until when they aren't asked, and how long that is. */
-  private readonly silent = new Map<string, { until: Milliseconds; span: Milliseconds }>();
+  /** Placers that did not respond: until when they are not queried, and the length of that backoff. */
+  private readonly unresponsive = new Map<string, { until: Milliseconds; span: Milliseconds }>();
 
   constructor(private readonly parts: DelegationParts) {}
 
-  /** Requests that wait for an answer. */
+  /** Number of pending queries. */
   get size(): number {
-    return this.open.size;
+    return this.pending.size;
   }
 
   /**
-   * The daemon that is to choose for a request: this one's own name where it is the placer, undefined
-   * where nobody else will answer.
+   * Returns the first placer of a group that is neither in backoff nor already queried for the
+   * request: possibly this daemon itself, undefined if none is left.
    */
   findPlacer(record: RequestRecord, { name }: ReplicaGroup): string | undefined {
     const now = this.parts.clock.now();
@@ -58,75 +59,83 @@
       .getPlacers(name)
       .find(
         (daemon) =>
-          !record.queriedPlacers.has(daemon) && now >= (this.silent.get(daemon)?.until ?? 0),
+          !record.queriedPlacers.has(daemon) && now >= (this.unresponsive.get(daemon)?.until ?? 0),
       );
   }
 
-  ask(record: RequestRecord, placer: string): void {
+  sendQuery(record: RequestRecord, placer: string): void {
     const { clock, emit, keys, options } = this.parts;
     const { service, rank, latencyTarget, pauseTarget, prompt } = record.request;
     const key = keys.next();
     record.queriedPlacers.add(placer);
-    const timer = clock.setTimer(options.askTimeout, () => this.expire(key));
-    this.open.set(key, { record, placer, askedAt: clock.now(), timer });
-    const wish = { service, rank, latencyTarget, pauseTarget, prompt };
-    const tried = [...record.triedReplicas];
-    const ask = { key, wish, availabilityZone: options.availabilityZone, tried };
-    emit({ kind: 'share', to: placer, update: { kind: 'ask', query: ask } });
+    const timer = clock.setTimer(options.askTimeout, () => this.handleTimeout(key));
+    this.pending.set(key, { record, placer, sentAt: clock.now(), timer });
+    const criteria = { service, rank, latencyTarget, pauseTarget, prompt };
+    const excludedReplicas = [...record.triedReplicas];
+    const query = {
+      key,
+      wish: criteria,
+      availabilityZone: options.availabilityZone,
+      tried: excludedReplicas,
+    };
+    emit({ kind: 'share', to: placer, update: { kind: 'ask', query } });
   }
 
-  /** @returns undefined where nothing waits for the answer any more; then its placer is told so */
-  take(placer: string, { key, placement }: PlacementResponse): OpenAsk | undefined {
-    this.silent.delete(placer);
-    const ask = this.open.get(key);
-    if (ask?.placer !== placer) {
+  /**
+   * Returns the query that a response belongs to. If it is no longer pending, releases the placement
+   * and returns undefined.
+   */
+  handleResponse(placer: string, { key, placement }: PlacementResponse): PendingQuery | undefined {
+    this.unresponsive.delete(placer);
+    const query = this.pending.get(key);
+    if (query?.placer !== placer) {
       if (placement !== undefined) {
-        this.tellUnused(placer, key);
+        this.releasePlacement(placer, key);
       }
       return undefined;
     }
-    this.open.delete(key);
-    ask.timer.cancel();
-    return ask;
+    this.pending.delete(key);
+    query.timer.cancel();
+    return query;
   }
 
-  /** The placer need not count an attempt that won't be made. */
-  tellUnused(placer: string, key: string): void {
+  /** Tells a placer that the attempt it counts as in flight will not be sent. */
+  releasePlacement(placer: string, key: string): void {
     this.parts.emit({ kind: 'share', to: placer, update: { kind: 'ended', key } });
   }
 
-  /** The request is over. */
-  drop(record: RequestRecord): void {
-    [...this.open]
-      .filter(([, ask]) => ask.record === record)
+  /** Cancels the pending query of a request that has ended. */
+  cancelQueries(record: RequestRecord): void {
+    [...this.pending]
+      .filter(([, query]) => query.record === record)
       .forEach(([key, { placer, timer }]) => {
         timer.cancel();
-        this.open.delete(key);
-        this.tellUnused(placer, key);
+        this.pending.delete(key);
+        this.releasePlacement(placer, key);
       });
   }
 
-  /** Each time that it is asked in vain costs a request the wait: a dead one is asked ever less. */
-  private getSpan(last: Milliseconds | undefined): Milliseconds {
+  /** Doubles the backoff up to a maximum, since each query to a dead placer delays a request. */
+  private getNextBackoff(last: Milliseconds | undefined): Milliseconds {
     const { silentPlacer, longestSilentPlacer } = this.parts.options;
     return last === undefined ? silentPlacer : Math.min(longestSilentPlacer, last * 2);
   }
 
-  private expire(key: string): void {
-    const ask = this.open.get(key);
-    if (ask === undefined) {
+  private handleTimeout(key: string): void {
+    const query = this.pending.get(key);
+    if (query === undefined) {
       return;
     }
-    const { clock, emit, onSilent } = this.parts;
-    this.open.delete(key);
-    const last = this.silent.get(ask.placer);
-    // Asks that ran out together count once.
-    const isCounted = last !== undefined && ask.askedAt < last.until;
-    const span = isCounted ? last.span : this.getSpan(last?.span);
+    const { clock, emit, onTimeout } = this.parts;
+    this.pending.delete(key);
+    const last = this.unresponsive.get(query.placer);
+    // Queries that were in flight together count as one failure.
+    const isCounted = last !== undefined && query.sentAt < last.until;
+    const span = isCounted ? last.span : this.getNextBackoff(last?.span);
     if (!isCounted) {
-      this.silent.set(ask.placer, { until: clock.now() + span, span });
+      this.unresponsive.set(query.placer, { until: clock.now() + span, span });
     }
-    emit({ kind: 'placer-silent', peer: ask.placer, span });
-    onSilent(ask.record);
+    emit({ kind: 'placer-silent', peer: query.placer, span });
+    onTimeout(query.record);
   }
 }
--- a/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
+++ b/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
@@ -11,23 +11,23 @@
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import type { RunningAttempt } from '../RequestRecord.js';
 
-/** News of attempts; breaks are counted with their replica. */
-export type AttemptNews = Extract<
+/** Updates about attempts, except broken ones, which the replica registry counts. */
+export type AttemptUpdate = Extract<
   PlacementUpdate,
   { kind: 'placed' | 'first-byte-received' | 'ended' | 'attempt-list' }
 >;
 
 /**
- * An attempt for which this daemon chose so lately may be missing in the other's list of all: that
- * was written before it heard where the attempt goes.
+ * An attempt placed this recently may be missing from the peer's attempt list, which may have been
+ * written before the peer received the placement.
  */
-const LIST_LAG: Milliseconds = 500;
+const LIST_GRACE_PERIOD: Milliseconds = 500;
 
 /**
- * A daemon tells the one that chose for its attempts of them every second, as long as there are any:
- * where nothing came for so long, it was killed.
+ * A daemon with attempts in flight sends its attempt list to their placers every second. If none has
+ * arrived for this long, the daemon has been killed.
  */
-const LIST_EXPIRY: Milliseconds = 5_000;
+const LIST_TIMEOUT: Milliseconds = 5_000;
 
 /** Dependencies of {@link PeerAttempts}. */
 export interface PeerAttemptsParts {
@@ -37,74 +37,76 @@
   onSent: (replica: string) => void;
 }
 
-/** An attempt as other daemons are told of it. */
-export function getShared(attempt: RunningAttempt): SharedAttempt {
+/** Creates the representation of an attempt that is sent to other daemons. */
+export function createSharedAttempt(attempt: RunningAttempt): SharedAttempt {
   const { key, state, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt } = attempt;
   const replica = state.replica.id;
   return { key, replica, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt };
 }
 
 /**
- * What other daemons have under way at the replicas. A daemon sees one request in so many as there
- * are daemons; by its own alone an engine that others have just sent ten prompts looks idle, all
- * daemons choose it at once, and first tokens that were expected in 50 ms took 1,000.
+ * Tracks the attempts that other daemons have in flight.
+ *
+ * With N daemons, each sees one request in N. If daemons counted only their own attempts, an engine
+ * that just received ten prompts from others would look idle and be chosen by all daemons at once:
+ * first tokens expected within 50 ms took 1,000 ms.
  */
 export class PeerAttempts {
   private readonly byPeer = new Map<string, Map<string, RunningAttempt>>();
 
-  /** When a daemon last told of all its attempts. */
-  private readonly listedAt = new Map<string, Milliseconds>();
+  /** When each peer last sent its attempt list. */
+  private readonly lastListAt = new Map<string, Milliseconds>();
 
-  private sweptAt: Milliseconds;
+  private lastExpiryCheckAt: Milliseconds;
 
   constructor(private readonly parts: PeerAttemptsParts) {
-    this.sweptAt = parts.clock.now();
+    this.lastExpiryCheckAt = parts.clock.now();
   }
 
-  take(peer: string, news: AttemptNews): void {
+  handleUpdate(peer: string, update: AttemptUpdate): void {
     const attempts = this.getAttempts(peer);
-    switch (news.kind) {
+    switch (update.kind) {
       case 'placed':
-        this.add(attempts, news.attempt);
+        this.add(attempts, update.attempt);
         break;
       case 'first-byte-received':
-        this.noteAnswering(attempts.get(news.key));
+        this.recordFirstByte(attempts.get(update.key));
         break;
       case 'ended':
-        this.learn(attempts.get(news.key), news.result);
-        PeerAttempts.remove(attempts, news.key);
+        this.recordResult(attempts.get(update.key), update.result);
+        PeerAttempts.remove(attempts, update.key);
         break;
       case 'attempt-list':
-        this.listedAt.set(peer, this.parts.clock.now());
-        this.replace(attempts, news.attempts);
-        this.sweep();
+        this.lastListAt.set(peer, this.parts.clock.now());
+        this.reconcile(attempts, update.attempts);
+        this.removeExpired();
         break;
       default:
-        news satisfies never;
+        update satisfies never;
     }
   }
 
-  /** A daemon that is gone has nothing under way. */
-  forget(peer: string): void {
+  /** Removes the attempts of a peer that is gone. */
+  removePeer(peer: string): void {
     const attempts = this.getAttempts(peer);
     [...attempts.keys()].forEach((key) => PeerAttempts.remove(attempts, key));
     this.byPeer.delete(peer);
-    this.listedAt.delete(peer);
+    this.lastListAt.delete(peer);
   }
 
   has(peer: string, key: string): boolean {
     return this.byPeer.get(peer)?.has(key) === true;
   }
 
-  /** An attempt of another daemon for which this one chose the replica. */
-  place(
+  /** Adds an attempt of a peer for which this daemon chose the replica. */
+  addPlaced(
     peer: string,
     key: string,
-    wish: PlacementCriteria,
+    criteria: PlacementCriteria,
     { state, choice }: ChosenReplica,
   ): void {
-    const { prompt, pauseTarget } = wish;
-    this.begin(this.getAttempts(peer), {
+    const { prompt, pauseTarget } = criteria;
+    this.start(this.getAttempts(peer), {
       number: 0,
       key,
       isOwn: false,
@@ -136,7 +138,7 @@
       return;
     }
     const { key, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt } = shared;
-    this.begin(attempts, {
+    this.start(attempts, {
       number: 0,
       key,
       isOwn: false,
@@ -156,7 +158,7 @@
     });
   }
 
-  private begin(attempts: Map<string, RunningAttempt>, attempt: RunningAttempt): void {
+  private start(attempts: Map<string, RunningAttempt>, attempt: RunningAttempt): void {
     const { key, state, prompt } = attempt;
     const now = this.parts.clock.now();
     attempts.set(key, attempt);
@@ -167,8 +169,8 @@
     }
   }
 
-  /** What the end of an attempt says of its replica. */
-  private learn(
+  /** Updates the state of the replica with the result of an attempt. */
+  private recordResult(
     attempt: RunningAttempt | undefined,
     result: SharedAttemptResult | undefined,
   ): void {
@@ -190,14 +192,14 @@
       case AttemptEnd.Misdirected:
       case AttemptEnd.Broken:
       case AttemptEnd.Cancelled:
-        // Breaks are told to all by themselves.
+        // Broken attempts are announced to all daemons by a separate update.
         break;
       default:
         result.end satisfies never;
     }
   }
 
-  private noteAnswering(attempt: RunningAttempt | undefined): void {
+  private recordFirstByte(attempt: RunningAttempt | undefined): void {
     if (attempt === undefined || attempt.isAnswering) {
       return;
     }
@@ -206,36 +208,36 @@
     attempt.state.recordFirstByte(attempt, now);
   }
 
-  /** News can be lost on the way: the whole list puts right what that left behind. */
-  private replace(attempts: Map<string, RunningAttempt>, shared: SharedAttempt[]): void {
+  /** Replaces the attempts of a peer by its list, which corrects the effects of lost updates. */
+  private reconcile(attempts: Map<string, RunningAttempt>, shared: SharedAttempt[]): void {
     const current = new Set(shared.map(({ key }) => key));
-    const old = this.parts.clock.now() - LIST_LAG;
+    const latestExpected = this.parts.clock.now() - LIST_GRACE_PERIOD;
     [...attempts]
       .filter(([key]) => !current.has(key))
-      .filter(([, { isPlacedForPeer: isForOther, sentAt }]) => !isForOther || sentAt <= old)
+      .filter(([, { isPlacedForPeer, sentAt }]) => !isPlacedForPeer || sentAt <= latestExpected)
       .forEach(([key]) => PeerAttempts.remove(attempts, key));
     shared.forEach((attempt) => {
       this.add(attempts, attempt);
       if (attempt.isAnswering) {
-        this.noteAnswering(attempts.get(attempt.key));
+        this.recordFirstByte(attempts.get(attempt.key));
       }
     });
   }
 
   /**
-   * What goes wrong without it: a large fleet takes half a minute to notice that daemons are gone, and
-   * engines seem full of their attempts all the while.
+   * Removes placed attempts of peers that no longer send attempt lists. A large fleet takes half a
+   * minute to notice that daemons are gone; until then, their attempts would make engines seem full.
    */
-  private sweep(): void {
-    const expired = this.parts.clock.now() - LIST_EXPIRY;
-    if (this.sweptAt > expired) {
+  private removeExpired(): void {
+    const expired = this.parts.clock.now() - LIST_TIMEOUT;
+    if (this.lastExpiryCheckAt > expired) {
       return;
     }
-    this.sweptAt = this.parts.clock.now();
+    this.lastExpiryCheckAt = this.parts.clock.now();
     this.byPeer.forEach((attempts, peer) => {
-      if ((this.listedAt.get(peer) ?? Number.NEGATIVE_INFINITY) < expired) {
+      if ((this.lastListAt.get(peer) ?? Number.NEGATIVE_INFINITY) < expired) {
         [...attempts]
-          .filter(([, { isPlacedForPeer: isForOther, sentAt }]) => isForOther && sentAt < expired)
+          .filter(([, { isPlacedForPeer, sentAt }]) => isPlacedForPeer && sentAt < expired)
           .forEach(([key]) => PeerAttempts.remove(attempts, key));
       }
     });
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
@@ -8,10 +8,10 @@
 const SEED = Number(process.env.APRICOTRILL_FUZZ_SEED ?? 20_261_202);
 
 const KINDS = [
-  { kind: RouteKind.Idempotent, repeatable: true },
-  { kind: RouteKind.Once, repeatable: false },
-  { kind: RouteKind.Stream, repeatable: true },
-  { kind: RouteKind.Stream, repeatable: false },
+  { kind: RouteKind.Idempotent, isRetryable: true },
+  { kind: RouteKind.Once, isRetryable: false },
+  { kind: RouteKind.Stream, isRetryable: true },
+  { kind: RouteKind.Stream, isRetryable: false },
 ];
 
 const ENDS = Object.values(AttemptEnd).filter((end) => end !== AttemptEnd.Cancelled);
@@ -22,9 +22,9 @@
     kind: fc.nat(3),
     attempts: fc.integer({ min: 1, max: 3 }),
   }),
-  fc.record({ do: fc.constant('end' as const), pick: fc.nat(), end: fc.constantFrom(...ENDS) }),
-  fc.record({ do: fc.constant('first-byte-received' as const), pick: fc.nat() }),
-  fc.record({ do: fc.constant('leave' as const), pick: fc.nat() }),
+  fc.record({ do: fc.constant('end' as const), index: fc.nat(), end: fc.constantFrom(...ENDS) }),
+  fc.record({ do: fc.constant('first-byte-received' as const), index: fc.nat() }),
+  fc.record({ do: fc.constant('leave' as const), index: fc.nat() }),
   fc.record({ do: fc.constant('advance' as const), span: fc.integer({ min: 1, max: 900 }) }),
   fc.record({ do: fc.constant('replicas' as const), mask: fc.nat(15) }),
   fc.record({ do: fc.constant('healthy' as const), replica: fc.nat(3) }),
@@ -34,34 +34,36 @@
 
 const REPLICAS = ['i-0', 'i-1', 'i-2', 'i-3'].map((id) => createReplica(id));
 
-/** What a simple observer knows of each request. */
-interface Story {
-  repeatable: boolean;
-  attempts: number;
+/** What the observer knows about a request. */
+interface ObservedRequest {
+  isRetryable: boolean;
+  maxAttempts: number;
+  /** Attempts that count against the maximum. */
   sent: number;
   /** Attempts that may have run. */
-  ran: number;
+  possibleRuns: number;
   running: number | undefined;
-  over: string | undefined;
+  /** How the request ended. */
+  ending: string | undefined;
 }
 
-/** Plays steps against the core and checks each order against what the observer knows. */
+/** Applies steps to a core and checks each effect against a simple model of the requests. */
 class Observer {
   readonly harness = new CoreHarness([createService('app')], REPLICAS, { retrySlack: 3 });
 
-  readonly stories = new Map<string, Story>();
+  readonly requests = new Map<string, ObservedRequest>();
 
-  private seen = 0;
+  private checkedEffects = 0;
 
-  play(steps: Step[]): void {
+  run(steps: Step[]): void {
     steps.forEach((next) => {
       this.act(next);
       this.check();
     });
-    // Every request ends by its deadline at the latest.
+    // Every request ends at its deadline at the latest.
     this.harness.clock.advance(10_000);
     this.check();
-    this.stories.forEach((story) => expect(story.over).toBeDefined());
+    this.requests.forEach((request) => expect(request.ending).toBeDefined());
     expect(this.harness.core.openRequests).toBe(0);
   }
 
@@ -69,24 +71,26 @@
     const { harness } = this;
     switch (next.do) {
       case 'submit': {
-        const id = `r${this.stories.size}`;
-        const { kind, repeatable } = KINDS[next.kind]!;
-        const story = { repeatable, attempts: next.attempts, sent: 0, ran: 0 };
-        this.stories.set(id, { ...story, running: undefined, over: undefined });
-        harness.submit(createRequest(id, { kind, repeatable, maxAttempts: next.attempts }));
+        const id = `r${this.requests.size}`;
+        const { kind, isRetryable } = KINDS[next.kind]!;
+        const request = { isRetryable, maxAttempts: next.attempts, sent: 0, possibleRuns: 0 };
+        this.requests.set(id, { ...request, running: undefined, ending: undefined });
+        harness.submit(
+          createRequest(id, { kind, repeatable: isRetryable, maxAttempts: next.attempts }),
+        );
         break;
       }
       case 'end':
-        this.end(next.pick, next.end);
+        this.end(next.index, next.end);
         break;
       case 'first-byte-received':
-        this.withRunning(next.pick, (id, attempt) =>
+        this.withRunning(next.index, (id, attempt) =>
           harness.core.handle({ kind: 'first-byte-received', id, attempt }),
         );
         break;
       case 'leave':
-        this.withOpen(next.pick, (id, story) => {
-          Object.assign(story, { over: 'left' });
+        this.withOpen(next.index, (id, request) => {
+          Object.assign(request, { ending: 'left' });
           harness.core.handle({ kind: 'caller-left', id });
         });
         break;
@@ -108,14 +112,14 @@
     }
   }
 
-  private end(pick: number, end: AttemptEnd): void {
-    this.withRunning(pick, (id, attempt, story) => {
-      const counted = end !== AttemptEnd.NotSent && end !== AttemptEnd.Misdirected;
-      const ran = counted && end !== AttemptEnd.Refused;
-      Object.assign(story, {
+  private end(index: number, end: AttemptEnd): void {
+    this.withRunning(index, (id, attempt, request) => {
+      const isCounted = end !== AttemptEnd.NotSent && end !== AttemptEnd.Misdirected;
+      const mayHaveRun = isCounted && end !== AttemptEnd.Refused;
+      Object.assign(request, {
         running: undefined,
-        sent: story.sent + Number(counted),
-        ran: story.ran + Number(ran),
+        sent: request.sent + Number(isCounted),
+        possibleRuns: request.possibleRuns + Number(mayHaveRun),
       });
       this.harness.end(id, attempt, end);
     });
@@ -123,12 +127,12 @@
 
   private check(): void {
     const { effects } = this.harness;
-    for (; this.seen < effects.length; this.seen += 1) {
-      const effect = effects[this.seen]!;
+    for (; this.checkedEffects < effects.length; this.checkedEffects += 1) {
+      const effect = effects[this.checkedEffects]!;
       if (effect.kind === 'send') {
         this.checkSend(effect.id, effect.attempt);
       } else if (effect.kind === 'cancel') {
-        this.noteCancel(effect.id, effect.attempt);
+        this.recordCancel(effect.id, effect.attempt);
       } else if (effect.kind === 'give-up') {
         this.checkGiveUp(effect.id, effect.outcome);
       } else if (effect.kind === 'settle') {
@@ -138,64 +142,64 @@
   }
 
   private checkSend(id: string, attempt: number): void {
-    const story = this.stories.get(id)!;
-    expect(story.over).toBeUndefined();
-    expect(story.running).toBeUndefined();
-    // What may run once is sent again only if nothing can have run.
-    expect(story.repeatable || story.ran === 0).toBe(true);
-    expect(story.sent).toBeLessThan(story.attempts);
-    Object.assign(story, { running: attempt });
+    const request = this.requests.get(id)!;
+    expect(request.ending).toBeUndefined();
+    expect(request.running).toBeUndefined();
+    // A request that is not retryable is sent again only if no attempt can have run.
+    expect(request.isRetryable || request.possibleRuns === 0).toBe(true);
+    expect(request.sent).toBeLessThan(request.maxAttempts);
+    Object.assign(request, { running: attempt });
   }
 
   /** A cancelled attempt reached its replica and may have run. */
-  private noteCancel(id: string, attempt: number): void {
-    const story = this.stories.get(id)!;
-    expect(story.running).toBe(attempt);
-    Object.assign(story, {
+  private recordCancel(id: string, attempt: number): void {
+    const request = this.requests.get(id)!;
+    expect(request.running).toBe(attempt);
+    Object.assign(request, {
       running: undefined,
-      sent: story.sent + 1,
-      ran: story.ran + 1,
+      sent: request.sent + 1,
+      possibleRuns: request.possibleRuns + 1,
     });
   }
 
   private checkGiveUp(id: string, outcome: Outcome): void {
-    const story = this.stories.get(id)!;
-    expect(outcome === Outcome.NotRun && story.ran > 0).toBe(false);
+    const request = this.requests.get(id)!;
+    expect(outcome === Outcome.NotRun && request.possibleRuns > 0).toBe(false);
     this.finish(id, 'given up');
   }
 
-  private finish(id: string, over: string): void {
-    const story = this.stories.get(id)!;
-    expect(story.over).toBeUndefined();
-    Object.assign(story, { over });
+  private finish(id: string, ending: string): void {
+    const request = this.requests.get(id)!;
+    expect(request.ending).toBeUndefined();
+    Object.assign(request, { ending });
   }
 
   private withRunning(
-    pick: number,
-    act: (id: string, attempt: number, story: Story) => void,
+    index: number,
+    act: (id: string, attempt: number, request: ObservedRequest) => void,
   ): void {
-    const running = [...this.stories].filter(
-      ([, story]) => story.running !== undefined && story.over === undefined,
+    const running = [...this.requests].filter(
+      ([, request]) => request.running !== undefined && request.ending === undefined,
     );
-    const found = running[pick % Math.max(1, running.length)];
+    const found = running[index % Math.max(1, running.length)];
     if (found !== undefined) {
       act(found[0], found[1].running!, found[1]);
     }
   }
 
-  private withOpen(pick: number, act: (id: string, story: Story) => void): void {
-    const open = [...this.stories].filter(([, story]) => story.over === undefined);
-    const found = open[pick % Math.max(1, open.length)];
+  private withOpen(index: number, act: (id: string, request: ObservedRequest) => void): void {
+    const open = [...this.requests].filter(([, request]) => request.ending === undefined);
+    const found = open[index % Math.max(1, open.length)];
     if (found !== undefined) {
       act(...found);
     }
   }
 }
 
-describe('PlacementCore, any order of events', () => {
-  it('runs once at most what may run once, never says "not run" of what may have, ends all', () => {
+describe('PlacementCore with events in any order', () => {
+  it('reruns only retryable requests, reports not-run only if nothing ran, and ends each request', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 60 }), (steps) => new Observer().play(steps)),
+      fc.property(fc.array(step, { maxLength: 60 }), (steps) => new Observer().run(steps)),
       { numRuns: RUNS, seed: SEED },
     );
   });
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
@@ -14,9 +14,9 @@
 const TWO = [createReplica('i-1'), createReplica('i-2')];
 
 describe('PlacementCore', () => {
-  // Symptom: a caller is told to come back although its request ran. Sequence: a payment is sent,
-  // the connection breaks. Cause: a broken attempt was taken for one that did not run.
-  it('never repeats what may run once, and says that it may have run', () => {
+  // Guards against telling a caller to retry although its request may have run, because a broken
+  // attempt was treated as one that did not run.
+  it('does not retry a non-idempotent request after a broken attempt, and reports outcome unknown', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, maxAttempts: 2 }));
     harness.end('p', 1, AttemptEnd.Broken);
@@ -26,7 +26,7 @@
     ]);
   });
 
-  it('sends what may run once elsewhere after a refusal, while attempts are left', () => {
+  it('retries a refused non-idempotent request elsewhere, up to the maximum number of attempts', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, maxAttempts: 2 }));
     harness.end('p', 1, AttemptEnd.Refused);
@@ -36,7 +36,7 @@
     expect(harness.get('give-up')[0]!.retryAfter).toBeGreaterThan(0);
   });
 
-  it('counts no attempt that never left, and gives up after a few of them', () => {
+  it('does not count attempts that were not sent, but gives up after three of them', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('a', { maxAttempts: 1 }));
     harness.end('a', 1, AttemptEnd.NotSent);
@@ -48,9 +48,9 @@
     ]);
   });
 
-  // Symptom: a failing service gets a multiple of its load. Sequence: every answer is a failure,
-  // every request is repeated. Cause: nothing bounds the repeats of all requests together.
-  it('hands failures on once the repeats of the service are spent', () => {
+  // Guards against multiplying the load of a failing service: every response is a failure and every
+  // request is retried. The retry budget bounds the retries of all requests together.
+  it('passes failures on once the retry budget of the service is exhausted', () => {
     const harness = new CoreHarness(APP, TWO, { retryRatio: 0.2, retrySlack: 1 });
     for (let index = 0; index < 50; index += 1) {
       const id = `r${index}`;
@@ -65,7 +65,7 @@
     expect(harness.get('settle')).toHaveLength(50);
   });
 
-  it('answers at once when its time is over, and cancels what is under way', () => {
+  it('gives a request up at its deadline and cancels the attempt in flight', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, deadline: 700 }));
     harness.clock.advance(700);
@@ -76,7 +76,7 @@
     expect(harness.core.openRequests).toBe(0);
   });
 
-  it('cancels what a caller left behind', () => {
+  it('cancels the attempt in flight when the caller leaves', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('a'));
     harness.core.handle({ kind: 'caller-left', id: 'a' });
@@ -84,9 +84,9 @@
     expect(harness.get('give-up')).toHaveLength(0);
   });
 
-  // Symptom: answers of a status check take until their timeout. Sequence: a replica runs a request
-  // and its answer is lost; nothing ever comes on the connection. Cause: only the deadline ended it.
-  it('asks another replica when the first is silent, where a request may be repeated', () => {
+  // Guards against requests that wait until their deadline because the response of a replica was lost
+  // and nothing more arrives on the connection.
+  it('sends a retryable request to another replica when the first does not respond', () => {
     const harness = new CoreHarness(APP, TWO, { retrySlack: 5 });
     harness.submit(createRequest('a'));
     harness.clock.advance(250);
@@ -94,17 +94,16 @@
     expect(new Set(harness.getReplicas('a')).size).toBe(2);
   });
 
-  it('waits for a silent replica where a request may run once', () => {
+  it('keeps waiting for an unresponsive replica if the request is not retryable', () => {
     const harness = new CoreHarness(APP, TWO, { retrySlack: 5 });
     harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false }));
     harness.clock.advance(1_400);
     expect(harness.get('cancel')).toHaveLength(0);
   });
 
-  // Symptom: requests go on failing on a replica that is down until the list says so, seconds
-  // later. Sequence: the replica crashes; connections to it are refused. Cause: only the list
-  // decided who gets requests.
-  it('avoids a replica that refuses connections until it answers a health check', () => {
+  // Guards against requests that keep failing on a crashed replica, which refuses connections, until
+  // the list of replicas is updated seconds later.
+  it('avoids a replica that refuses connections until it passes a health check', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('a'));
     const [down] = harness.getReplicas('a');
@@ -123,7 +122,7 @@
     expect(after).toContain(down);
   });
 
-  it('sends nothing to replicas that drain, are gone, or say that another is there', () => {
+  it('does not use replicas that are draining or whose address belongs to another replica', () => {
     const harness = new CoreHarness(APP, [
       createReplica('i-1', { isDraining: true }),
       createReplica('i-2'),
@@ -140,19 +139,18 @@
     expect(harness.getReplicas('b')).toEqual([second]);
   });
 
-  // Symptom: a replica that started again gets nothing, though it is well. Sequence: it breaks
-  // attempts and is suspect; it starts again under its name. Cause: what was believed of the life
-  // before was believed of the next one.
-  it('begins anew with a replica that started again under its name', () => {
+  // Guards against avoiding a healthy replica that restarted under its old name, because the suspicion
+  // of its predecessor was carried over.
+  it('resets the state of a replica that restarted under the same name', () => {
     const first = createReplica('i-1@5', { name: 'i-1', startedAt: 5 });
     const next = createReplica('i-1@9', { name: 'i-1', startedAt: 9 });
     const harness = new CoreHarness(APP, [first, TWO[1]!]);
     harness.core.handle({ kind: 'leaving', replica: first.id });
     harness.core.handle({ kind: 'replicas', replicas: [next, TWO[1]!] });
-    // Another daemon that has not heard of the restart yet tells of the life before.
-    const news = { kind: 'attempt-broken', replica: first.id } as const;
+    // A peer that does not know of the restart yet reports a broken attempt at the predecessor.
+    const update = { kind: 'attempt-broken', replica: first.id } as const;
     for (let index = 0; index < 5; index += 1) {
-      harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: news });
+      harness.core.handle({ kind: 'peer-update', peer: 'd-2', update });
       harness.core.handle({ kind: 'leaving', replica: first.id });
     }
     expect(harness.get('start-cooldown')).toHaveLength(0);
@@ -162,7 +160,7 @@
     expect(used).not.toContain(first.id);
   });
 
-  it('refuses at once where no replica is known, and says when to come back', () => {
+  it('gives a request up immediately if no replica is known, with retry-after', () => {
     const harness = new CoreHarness(APP, []);
     harness.submit(createRequest('a'));
     const [effect] = harness.get('give-up');
@@ -170,7 +168,7 @@
     expect(effect!.retryAfter).toBeGreaterThan(0);
   });
 
-  it('lets the most urgent of those that wait go first', () => {
+  it('sends the most urgent waiting request first', () => {
     const harness = new CoreHarness([createService('app', { maxConnections: 24 })], [TWO[0]!]);
     const ids = ['a', 'b'];
     ids.forEach((id) => harness.submit(createRequest(id)));
@@ -198,13 +196,13 @@
     return harness.getReplicas(id)[0]!;
   }
 
-  function answer(harness: CoreHarness, id: string): void {
+  function complete(harness: CoreHarness, id: string): void {
     harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
     harness.end(id, 1, AttemptEnd.Completed);
   }
 
-  // Load pattern: one session asks again and again, while the others are idle.
-  it('sends a session to the engine that has read it, and to another when that falls behind', () => {
+  // Load pattern: one session sends many requests while the others are idle.
+  it('sends a session to the engine that has cached it, and to others when that is overloaded', () => {
     const harness = createHarness();
     const session: [string, number][] = [
       ['catalogue', 2_500],
@@ -212,7 +210,7 @@
     ];
     const first = submit(harness, 'a', [...session, ['own-a', 1_000]]);
     harness.clock.advance(300);
-    answer(harness, 'a');
+    complete(harness, 'a');
     expect(submit(harness, 'b', [...session, ['own-b', 1_000]])).toBe(first);
     const used = new Set<string>();
     for (let index = 0; index < 12; index += 1) {
@@ -221,7 +219,7 @@
     expect(used.size).toBeGreaterThan(1);
   });
 
-  it('lets an engine copy what another has read', () => {
+  it('lets an engine copy cached tokens from another', () => {
     const harness = createHarness();
     const first = submit(harness, 'a', [
       ['catalogue', 2_500],
@@ -240,10 +238,10 @@
     expect(elsewhere.some(({ choice }) => choice.fetchFrom?.id === first)).toBe(true);
   });
 
-  // Load pattern: eight daemons get requests of different sessions in the same moment. Symptom:
-  // first tokens expected in 50 ms take over a second. Cause: each daemon takes the engine that the
-  // others have just chosen for idle.
-  it('counts what other daemons have just placed', () => {
+  // Load pattern: eight daemons receive requests of different sessions at the same moment. Guards
+  // against each daemon considering the engine idle that the others have just chosen: first tokens
+  // expected within 50 ms took over a second.
+  it('counts the attempts that other daemons have just placed', () => {
     const alone = createHarness();
     const preferred = submit(alone, 'x', [
       ['session', 1_000],
@@ -273,10 +271,10 @@
     ).toBe(preferred);
   });
 
-  // Load pattern: long prompts with short answers beside short prompts with long answers. Symptom:
-  // the pauses of the long answers pass their target. Cause: an engine that reads a long prompt
-  // makes its other requests wait between tokens.
-  it('keeps long prompts away from engines where many streams run', () => {
+  // Load pattern: long prompts with short responses and short prompts with long responses. Prefill of
+  // a long prompt delays the tokens of the other requests of the engine, so that the inter-token
+  // pauses of the long responses exceed their target.
+  it('keeps long prompts away from engines with many running streams', () => {
     const harness = createHarness();
     const streams = engines.slice(0, 3).flatMap(({ id }, engine) =>
       [0, 1, 2, 3, 4, 5, 6, 7].map((index) => ({
@@ -296,7 +294,7 @@
     for (let index = 0; index < 3; index += 1) {
       expect(submit(harness, `p${index}`, [[`own${index}`, 6_000]])).toBe('e-4');
       harness.clock.advance(200);
-      answer(harness, `p${index}`);
+      complete(harness, `p${index}`);
       harness.clock.advance(2_000);
     }
   });
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
@@ -13,7 +13,7 @@
 } from '../messages.js';
 import { limitOptions } from '../limits/limitOptions.js';
 import { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
-import { PeerAttempts, getShared } from '../PeerAttempts/PeerAttempts.js';
+import { PeerAttempts, createSharedAttempt } from '../PeerAttempts/PeerAttempts.js';
 import { Placer } from '../Placer/Placer.js';
 import { Placing, PlacingResult } from '../Placing/Placing.js';
 import { placementOptions } from '../placementOptions.js';
@@ -27,7 +27,7 @@
 
 const SECOND: Milliseconds = 1_000;
 
-/** What a core is made of. */
+/** Dependencies of {@link PlacementCore}. */
 export interface PlacementCoreParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
@@ -35,8 +35,8 @@
 }
 
 /**
- * Decides which request goes to which replica and when, what follows a failed attempt, and when a
- * request is given up: messages in, effects out, no I/O.
+ * Decides when and to which replica each request is sent, what follows a failed attempt, and when a
+ * request is given up. Receives messages and emits effects; does no I/O.
  *
  * @example
  * ```ts
@@ -54,13 +54,13 @@
 
   private readonly options: PlacementOptions;
 
-  /** What is believed of services and replicas. */
+  /** Services and replicas, with their estimated state. */
   readonly registry: ReplicaRegistry;
 
   /** Request rate limits stated by replicas. */
   readonly limits: ReplicaLimits;
 
-  private readonly silence: ResponseTimeouts;
+  private readonly responseTimeouts: ResponseTimeouts;
 
   /** Pending retries for services whose replicas are all rate-limited. */
   private readonly retryTimers = new Map<ServiceState, Timer>();
@@ -76,8 +76,8 @@
 
   private readonly placer: Placer;
 
-  /** What other daemons have under way. */
-  private readonly peers: PeerAttempts;
+  /** Attempts that other daemons have in flight. */
+  private readonly peerAttempts: PeerAttempts;
 
   constructor({ clock, emit, options }: PlacementCoreParts) {
     this.clock = clock;
@@ -93,31 +93,31 @@
     });
     const { limits } = this;
     this.registry = new ReplicaRegistry({ clock, emit, options: this.options, limits });
-    this.silence = new ResponseTimeouts({
+    this.responseTimeouts = new ResponseTimeouts({
       clock,
       emit,
       options: this.options,
       registry: this.registry,
     });
-    this.peers = new PeerAttempts({
+    this.peerAttempts = new PeerAttempts({
       clock,
       findReplica: (id) => this.registry.findReplica(id),
-      onSent: (replica) => limits.noteSent(replica),
+      onSent: (replica) => limits.recordSent(replica),
     });
     this.quarantine = new Quarantine({
       clock,
       emit,
       fleet,
-      onQuarantined: (fingerprint) => this.rejectOpen(fingerprint),
+      onQuarantined: (fingerprint) => this.rejectQuarantined(fingerprint),
     });
     const parts = { clock, emit, options: this.options, registry: this.registry, fleet, limits };
-    this.placer = new Placer({ ...parts, peers: this.peers });
+    this.placer = new Placer({ ...parts, peerAttempts: this.peerAttempts });
     this.placing = new Placing({
       ...parts,
       keys: new AttemptKeys(clock.now()),
       quarantine: this.quarantine,
-      onSent: (record, attempt) => this.silence.start(record, attempt),
-      onAgain: (record) => this.placeOrWait(record),
+      onSent: (record, attempt) => this.responseTimeouts.start(record, attempt),
+      onQueryFailed: (record) => this.placeOrWait(record),
     });
   }
 
@@ -131,22 +131,22 @@
       case 'replicas':
         this.registry
           .setReplicas(message.replicas)
-          .forEach((replica) => this.quarantine.noteGone(replica));
+          .forEach((replica) => this.quarantine.recordGone(replica));
         this.limits.retain(new Set(message.replicas.map(({ id }) => id)));
-        this.placer.updateFollowed();
+        this.placer.updateFollowedEngines();
         this.drainAll();
         break;
       case 'submit':
         this.submit(message.request);
         break;
       case 'caller-left':
-        this.leave(message.id);
+        this.handleCallerLeft(message.id);
         break;
       case 'first-byte-received':
-        this.noteAnswering(message);
+        this.handleFirstByte(message);
         break;
       case 'attempt-ended':
-        this.end(message);
+        this.handleAttemptEnd(message);
         break;
       case 'load':
         this.registry
@@ -154,20 +154,20 @@
           ?.recordLoadReport(message.report, this.clock.now());
         break;
       case 'limit':
-        this.limits.noteAnswer(message);
+        this.limits.recordResponse(message);
         break;
       case 'daemons':
         this.registry.setDaemonCount(message.count);
         break;
       case 'fleet':
         this.fleet.update(message.self, message.daemons);
-        this.placer.updateFollowed();
+        this.placer.updateFollowedEngines();
         break;
       case 'peer-update':
-        this.takeNews(message);
+        this.handlePeerUpdate(message);
         break;
       case 'peer-removed':
-        this.peers.forget(message.peer);
+        this.peerAttempts.removePeer(message.peer);
         break;
       case 'health':
         if (this.registry.recordHealthCheck(message)) {
@@ -178,7 +178,7 @@
         this.registry.recordLivenessCheck(message);
         break;
       case 'probed':
-        this.quarantine.noteProbed(message.replica, message.isUp);
+        this.quarantine.recordProbe(message.replica, message.isUp);
         break;
       case 'quarantine':
         this.quarantine.restore(message.requests);
@@ -211,25 +211,25 @@
     if (state === undefined || !this.limits.maySend(state)) {
       return state === undefined;
     }
-    this.limits.noteSent(replica);
+    this.limits.recordSent(replica);
     return true;
   }
 
-  /** Requests that are not over. */
+  /** Number of requests that have not ended. */
   get openRequests(): number {
     return this.records.size;
   }
 
   /**
-   * All that this daemon has under way, by the daemon that is told of it; undefined stands for all
-   * others.
+   * Returns the attempts that this daemon has in flight, by the peer that is told about them. The
+   * key undefined stands for all peers without an entry of their own.
    */
   getSharedAttempts(): Map<string | undefined, SharedAttempt[]> {
     const shared = new Map<string | undefined, SharedAttempt[]>();
     this.records.forEach(({ running }) => {
       if (running !== undefined && running.placer !== this.fleet.self) {
         const { placer } = running;
-        shared.set(placer, [...(shared.get(placer) ?? []), getShared(running)]);
+        shared.set(placer, [...(shared.get(placer) ?? []), createSharedAttempt(running)]);
       }
     });
     const common = shared.get(undefined) ?? [];
@@ -247,7 +247,9 @@
     const service = this.registry.getService(request.service);
     this.records.set(request.id, record);
     service.retryBudget.recordRequest(now);
-    record.setDeadlineTimer(this.clock.setTimer(request.deadline - now, () => this.expire(record)));
+    record.setDeadlineTimer(
+      this.clock.setTimer(request.deadline - now, () => this.handleDeadline(record)),
+    );
     if (this.quarantine.has(request.fingerprint)) {
       this.giveUp(record, Outcome.NotRun, GiveUpReason.Quarantined);
       return;
@@ -281,8 +283,8 @@
       return;
     }
     const share = limit / Math.max(1, this.fleet.members.length);
-    const most = Math.max(1, Math.ceil((share * limitOptions.longestWait) / SECOND));
-    while (service.waiting.size > most) {
+    const maxWaiting = Math.max(1, Math.ceil((share * limitOptions.maxWait) / SECOND));
+    while (service.waiting.size > maxWaiting) {
       const last = service.waiting.last!;
       this.giveUp(last, last.mayHaveRun ? Outcome.Unknown : Outcome.NotRun, GiveUpReason.Overload);
     }
@@ -304,29 +306,33 @@
     }
   }
 
-  private noteAnswering({ id, attempt }: { id: string; attempt: number }): void {
+  private handleFirstByte({ id, attempt }: { id: string; attempt: number }): void {
     const record = this.records.get(id);
     if (record?.running?.number === attempt) {
       const { running } = record;
       const now = this.clock.now();
       running.isAnswering = true;
       running.state.recordFirstByte(running, now);
-      this.tell(running, { kind: 'first-byte-received', key: running.key });
+      this.announceUpdate(running, { kind: 'first-byte-received', key: running.key });
       record.cancelSilenceTimer();
     }
   }
 
-  private end({ id, attempt, end }: Extract<PlacementMessage, { kind: 'attempt-ended' }>): void {
+  private handleAttemptEnd({
+    id,
+    attempt,
+    end,
+  }: Extract<PlacementMessage, { kind: 'attempt-ended' }>): void {
     const record = this.records.get(id);
     const running = record?.running;
     if (record === undefined || running?.number !== attempt) {
       return;
     }
-    this.release(record, { end, after: this.clock.now() - running.sentAt });
+    this.releaseAttempt(record, { end, after: this.clock.now() - running.sentAt });
     record.countAttempt(end);
     this.registry.recordAttemptEnd(running, end);
     this.updateQuarantine(record, running, end);
-    this.goOn(record, attempt, end);
+    this.continueRequest(record, attempt, end);
     this.drainWaiting(this.registry.getService(record.request.service));
   }
 
@@ -339,13 +345,13 @@
     switch (end) {
       case AttemptEnd.Completed:
       case AttemptEnd.Failed:
-        this.quarantine.noteServed(request.fingerprint);
+        this.quarantine.recordServed(request.fingerprint);
         break;
       case AttemptEnd.Broken:
-        this.quarantine.noteBroken(state.replica, request.fingerprint);
+        this.quarantine.recordBrokenAttempt(state.replica, request.fingerprint);
         break;
       case AttemptEnd.Misdirected:
-        this.quarantine.noteGone(state.replica.id);
+        this.quarantine.recordGone(state.replica.id);
         break;
       case AttemptEnd.NotSent:
       case AttemptEnd.Refused:
@@ -356,7 +362,7 @@
     }
   }
 
-  private goOn(record: RequestRecord, attempt: number, end: AttemptEnd): void {
+  private continueRequest(record: RequestRecord, attempt: number, end: AttemptEnd): void {
     const step = getNextStep(record, end, this.options.unsentLimit);
     if (step.kind === 'settle') {
       this.settle(record, attempt);
@@ -366,13 +372,13 @@
       this.giveUp(record, step.outcome, step.reason);
       return;
     }
-    const { retryBudget: allowance } = this.registry.getService(record.request.service);
+    const { retryBudget } = this.registry.getService(record.request.service);
     if (this.quarantine.isUnderReview(record.request.fingerprint)) {
       const outcome = record.mayHaveRun ? Outcome.Unknown : Outcome.NotRun;
       this.giveUp(record, outcome, GiveUpReason.UnderReview);
       return;
     }
-    if (!step.isRepeat || allowance.tryTake(this.clock.now())) {
+    if (!step.isRepeat || retryBudget.tryTake(this.clock.now())) {
       this.placeOrWait(record);
     } else if (step.otherwise === 'settle') {
       this.settle(record, attempt);
@@ -382,42 +388,42 @@
   }
 
   private settle(record: RequestRecord, attempt: number): void {
-    this.forget(record);
+    this.removeRecord(record);
     this.emit({ kind: 'settle', id: record.request.id, attempt });
   }
 
   private giveUp(record: RequestRecord, outcome: Outcome, reason: GiveUpReason): void {
-    this.forget(record);
+    this.removeRecord(record);
     const { id } = record.request;
     const isRetryable = outcome === Outcome.NotRun && reason !== GiveUpReason.Quarantined;
     const retryAfter = isRetryable ? this.options.retryAfter : undefined;
     this.emit({ kind: 'give-up', id, outcome, reason, retryAfter });
   }
 
-  private expire(record: RequestRecord): void {
-    this.stop(record, CancelReason.Deadline, GiveUpReason.Deadline);
+  private handleDeadline(record: RequestRecord): void {
+    this.abort(record, CancelReason.Deadline, GiveUpReason.Deadline);
   }
 
   /** Gives up all open requests with a fingerprint that has been quarantined. */
-  private rejectOpen(fingerprint: string): void {
+  private rejectQuarantined(fingerprint: string): void {
     [...this.records.values()]
       .filter(({ request }) => request.fingerprint === fingerprint)
-      .forEach((record) => this.stop(record, CancelReason.Quarantined, GiveUpReason.Quarantined));
+      .forEach((record) => this.abort(record, CancelReason.Quarantined, GiveUpReason.Quarantined));
   }
 
   /** Cancels the running attempt of a request, if any, and gives the request up. */
-  private stop(record: RequestRecord, cancel: CancelReason, reason: GiveUpReason): void {
+  private abort(record: RequestRecord, cancel: CancelReason, reason: GiveUpReason): void {
     const { running } = record;
     const outcome = running === undefined && !record.mayHaveRun ? Outcome.NotRun : Outcome.Unknown;
     this.cancelRunning(record, cancel);
     this.giveUp(record, outcome, reason);
   }
 
-  private leave(id: string): void {
+  private handleCallerLeft(id: string): void {
     const record = this.records.get(id);
     if (record !== undefined) {
       this.cancelRunning(record, CancelReason.CallerLeft);
-      this.forget(record);
+      this.removeRecord(record);
       this.drainWaiting(this.registry.getService(record.request.service));
     }
   }
@@ -426,31 +432,31 @@
     const { running, request } = record;
     if (running !== undefined) {
       this.emit({ kind: 'cancel', id: request.id, attempt: running.number, reason });
-      this.release(record);
+      this.releaseAttempt(record);
     }
   }
 
-  /** @param result - absent where the end says nothing of the replica */
-  private release(record: RequestRecord, result?: SharedAttemptResult): void {
+  /** @param result - absent if the end provides no information about the replica */
+  private releaseAttempt(record: RequestRecord, result?: SharedAttemptResult): void {
     const running = record.removeRunning();
     if (running !== undefined) {
       running.state.running.delete(running);
-      // Where all daemons hear of it, each judges by its own attempts alone.
-      const told = running.placer === undefined ? undefined : result;
-      this.tell(running, { kind: 'ended', key: running.key, result: told });
+      // If all daemons are told, each judges the replica by its own attempts alone.
+      const sharedResult = running.placer === undefined ? undefined : result;
+      this.announceUpdate(running, { kind: 'ended', key: running.key, result: sharedResult });
     }
   }
 
-  /** Tells the daemons that count an attempt what became of it. */
-  private tell({ placer }: RunningAttempt, news: PlacementUpdate): void {
+  /** Sends an update about an attempt to the daemons that count it. */
+  private announceUpdate({ placer }: RunningAttempt, update: PlacementUpdate): void {
     if (placer === undefined || placer !== this.fleet.self) {
-      this.emit({ kind: 'share', to: placer, update: news });
+      this.emit({ kind: 'share', to: placer, update });
     }
   }
 
-  private forget(record: RequestRecord): void {
-    this.placing.drop(record);
-    this.release(record);
+  private removeRecord(record: RequestRecord): void {
+    this.placing.cancelQueries(record);
+    this.releaseAttempt(record);
     record.cancelTimers();
     this.registry.getService(record.request.service).waiting.remove(record);
     this.records.delete(record.request.id);
@@ -458,7 +464,7 @@
 
   private drainWaiting(service: ServiceState): void {
     if (service.waiting.size > 0) {
-      service.waiting.drain((record) => this.placing.placeHere(record));
+      service.waiting.drain((record) => this.placing.placeLocally(record));
     }
   }
 
@@ -466,37 +472,37 @@
     this.registry.allServices.forEach((service) => this.drainWaiting(service));
   }
 
-  private takeNews({
+  private handlePeerUpdate({
     peer,
-    update: news,
+    update,
   }: Extract<PlacementMessage, { kind: 'peer-update' }>): void {
-    switch (news.kind) {
+    switch (update.kind) {
       case 'attempt-broken':
-        this.registry.recordBrokenAttempt(news.replica);
+        this.registry.recordBrokenAttempt(update.replica);
         break;
       case 'crashed':
       case 'cleared':
       case 'quarantined':
-        this.quarantine.hear(peer, news);
+        this.quarantine.handlePeerUpdate(peer, update);
         break;
       case 'limits':
-        this.limits.hear(news.limits);
+        this.limits.applyPeerLimits(update.limits);
         this.drainAll();
         break;
       case 'ask':
-        this.placer.answer(peer, news.query);
+        this.placer.handleQuery(peer, update.query);
         break;
       case 'reply':
-        this.placing.takeReply(peer, news.response);
+        this.placing.handleResponse(peer, update.response);
         break;
       case 'placed':
       case 'first-byte-received':
       case 'ended':
       case 'attempt-list':
-        this.peers.take(peer, news);
+        this.peerAttempts.handleUpdate(peer, update);
         break;
       default:
-        news satisfies never;
+        update satisfies never;
     }
   }
 }
--- a/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
@@ -6,12 +6,11 @@
   createRequest,
 } from '../../../test/fixtures.js';
 
-// In a burst of long prompts an engine has a queue of over a second. Each of 65 daemons has one or two
-// requests there, so that a daemon hears nothing of the engine while its request waits. Silence of 1.2 s
-// was taken for death and told to all; three such words within two seconds took the engine from the
-// whole fleet for 2, 4 and 8 s, its work went to the others, and these fell silent in turn. In the first
-// 18 s of a day without any fault the daemons wrote 777 lines 'replica-suspect', all with the reason
-// 'nothing comes from it', and 5,072 lines 'replica-avoided': 18 of 42 engines were left to all.
+// In a burst of long prompts an engine has a queue of over a second, and a daemon of 65 has only one or
+// two requests there. Without liveness checks, daemons announced an engine as broken after 1.2 s without
+// a response. Three such updates within 2 s put it into cooldown for 2, 4 and 8 s for the whole fleet,
+// and its load made other engines unresponsive in turn: in the first 18 s of a day without faults, the
+// logs had 777 'replica-suspect' and 5,072 'replica-avoided' lines, and 18 of 42 engines were in use.
 describe('engines with long queues', () => {
   function createHarness() {
     const harness = new CoreHarness([createEngineService('llm')], createEngines(3));
@@ -29,7 +28,7 @@
     return { harness, submit };
   }
 
-  it('stay in use while they answer that they live, however long a prompt waits', () => {
+  it('stay in use while they pass liveness checks, however long a prompt waits', () => {
     const { harness, submit } = createHarness();
     harness.answerLivenessChecks(true);
     harness.clock.advance(6_000);
@@ -41,24 +40,23 @@
     expect(new Set(used).size).toBe(3);
   });
 
-  it('are left when they give no sign of life, and all daemons are told once', () => {
+  it('become suspect when they fail liveness checks, which is announced once per engine', () => {
     const { harness } = createHarness();
     harness.answerLivenessChecks(false);
     harness.clock.advance(6_000);
     expect(harness.get('suspect').map(({ replica }) => replica.id)).toEqual(
       expect.arrayContaining(['e-0', 'e-1', 'e-2']),
     );
-    const told = harness
+    const announced = harness
       .get('share')
-      .flatMap(({ update: news }) => (news.kind === 'attempt-broken' ? [news.replica] : []));
-    expect(told.sort()).toEqual(['e-0', 'e-1', 'e-2']);
+      .flatMap(({ update }) => (update.kind === 'attempt-broken' ? [update.replica] : []));
+    expect(announced.sort()).toEqual(['e-0', 'e-1', 'e-2']);
   });
 
-  // An engine reads one prompt after the other. The time since the oldest unread one was sent counted
-  // as reading of all that is unread, also while that one waited behind others: an engine with four of
-  // eight prompts still to read, 12,000 tokens, seemed to have nothing to do, and got the next ones as
-  // well. In a burst first tokens came after 1,200 ms where 424 were expected (median).
-  it('have still to read what was sent there, also when it has waited for long', () => {
+  // An engine prefills one prompt after another. Guards against counting the time that a prompt waits
+  // behind others as prefill: an engine with four of eight prompts (12,000 tokens) left seemed idle and
+  // got the next ones too. In a burst, the median first token took 1,200 ms where 424 were expected.
+  it('have all unfinished prompts in their backlog, even after a long wait', () => {
     const harness = new CoreHarness([createEngineService('llm')], createEngines(1));
     const submit = (id: string) => {
       const prompt = createPrompt([[`own-${id}`, 3_000]]);
@@ -66,7 +64,7 @@
     };
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'];
     ids.forEach(submit);
-    // At 40 tokens a millisecond a prompt takes 75 ms.
+    // At 40 tokens per millisecond, the prefill of a prompt takes 75 ms.
     ids.slice(0, 4).forEach((id) => {
       harness.clock.advance(75);
       harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
--- a/packages/relay/src/lib/decide/Placer/Placer.ts
+++ b/packages/relay/src/lib/decide/Placer/Placer.ts
@@ -6,15 +6,15 @@
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaRegistry } from '../ReplicaRegistry/ReplicaRegistry.js';
 
-/** What the placer is made of. */
+/** Dependencies of {@link Placer}. */
 export interface PlacerParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
   options: PlacementOptions;
   registry: ReplicaRegistry;
   fleet: Fleet;
-  /** What other daemons have under way. */
-  peers: PeerAttempts;
+  /** Attempts that other daemons have in flight. */
+  peerAttempts: PeerAttempts;
 }
 
 function getPlacement(replica: string, choice: Choice): Placement {
@@ -30,27 +30,32 @@
   };
 }
 
-/** Chooses replicas for requests of other daemons, and counts these as under way from then on. */
+/** Chooses replicas for requests of other daemons, and counts the attempts as in flight from then on. */
 export class Placer {
-  private followed: string | undefined;
+  /** The IDs that were last emitted, sorted and joined. */
+  private followedKey: string | undefined;
 
   constructor(private readonly parts: PlacerParts) {}
 
-  /** Another daemon asks where to send a request. */
-  answer(peer: string, ask: PlacementQuery): void {
-    const { registry: book, clock, emit, options, peers } = this.parts;
-    const { key, wish, availabilityZone, tried } = ask;
-    if (peers.has(peer, key)) {
-      // The network repeats a datagram at times: counted twice, the first would never be taken out.
+  /** Responds to a peer's placement query. */
+  handleQuery(peer: string, query: PlacementQuery): void {
+    const { registry, clock, emit, options, peerAttempts } = this.parts;
+    const { key, wish: criteria, availabilityZone, tried: excludedReplicas } = query;
+    if (peerAttempts.has(peer, key)) {
+      // Datagrams can be duplicated. A second attempt with this key would replace the first, which
+      // would then never be removed.
       return;
     }
     const now = clock.now();
-    const service = book.getService(wish.service);
-    const group = service.getRequestGroup(wish, key);
+    const service = registry.getService(criteria.service);
+    const group = service.getRequestGroup(criteria, key);
     const chosen = chooseReplica({
-      request: wish,
+      request: criteria,
       service: service.service,
-      candidates: group === undefined ? [] : service.getGroupCandidates(group, new Set(tried), now),
+      candidates:
+        group === undefined
+          ? []
+          : service.getGroupCandidates(group, new Set(excludedReplicas), now),
       now,
       options: { ...options, availabilityZone },
     });
@@ -59,31 +64,31 @@
       return;
     }
     const { state, choice } = chosen;
-    peers.place(peer, key, wish, chosen);
+    peerAttempts.addPlaced(peer, key, criteria, chosen);
     const placement = getPlacement(state.replica.id, choice);
     emit({ kind: 'share', to: peer, update: { kind: 'reply', response: { key, placement } } });
     emit({ kind: 'placed-for', peer, key, replica: state.replica, choice });
   }
 
   /**
-   * The engines whose caches this daemon needs to know have changed: those of the groups that it
-   * chooses for, or would if their placer were gone.
+   * Emits the engines whose caches this daemon needs to follow, if they have changed: those of the
+   * groups for which it is the placer or the deputy.
    */
-  updateFollowed(): void {
-    const engines = this.getFollowed();
+  updateFollowedEngines(): void {
+    const engines = this.getFollowedEngines();
     const followed = engines === undefined ? undefined : [...engines].sort().join(' ');
-    if (followed !== this.followed) {
-      this.followed = followed;
+    if (followed !== this.followedKey) {
+      this.followedKey = followed;
       this.parts.emit({ kind: 'follow-caches', engines });
     }
   }
 
-  private getFollowed(): ReadonlySet<string> | undefined {
-    const { registry: book, fleet } = this.parts;
+  private getFollowedEngines(): ReadonlySet<string> | undefined {
+    const { registry, fleet } = this.parts;
     if (!fleet.isLarge) {
       return undefined;
     }
-    const groups = book.allServices
+    const groups = registry.allServices
       .filter(({ service }) => service?.engine !== undefined)
       .flatMap((service) => service.groups);
     const own = groups.filter(({ name }) => fleet.getPlacers(name).includes(fleet.self));
--- a/packages/relay/src/lib/decide/Placing/Placing.ts
+++ b/packages/relay/src/lib/decide/Placing/Placing.ts
@@ -3,11 +3,11 @@
 import { chooseReplica } from '../chooseReplica.js';
 import type { ChosenReplica } from '../chooseReplica.js';
 import { Delegation } from '../Delegation/Delegation.js';
-import type { OpenAsk } from '../Delegation/Delegation.js';
+import type { PendingQuery } from '../Delegation/Delegation.js';
 import type { Fleet } from '../Fleet/Fleet.js';
 import type { Choice, Placement, PlacementEffect, PlacementResponse } from '../messages.js';
 import { getMemoryTokens } from '../getMemoryTokens.js';
-import { getShared } from '../PeerAttempts/PeerAttempts.js';
+import { createSharedAttempt } from '../PeerAttempts/PeerAttempts.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
 import type { Quarantine } from '../quarantine/Quarantine/Quarantine.js';
@@ -15,15 +15,16 @@
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import type { RequestRecord, RunningAttempt } from '../RequestRecord.js';
 
-/** What became of the wish to send a request. */
+/** Result of placing a request. */
 export enum PlacingResult {
   Sent = 'sent',
-  /** Another daemon is asked where to. */
+  /** A placer has been queried for a replica. */
   Asked = 'asked',
+  /** No replica can take the request now. */
   NoRoom = 'no-room',
 }
 
-/** What the placing is made of. */
+/** Dependencies of {@link Placing}. */
 export interface PlacingParts {
   clock: Clock;
   emit: (effect: PlacementEffect) => void;
@@ -33,31 +34,31 @@
   keys: AttemptKeys;
   quarantine: Quarantine;
   limits: ReplicaLimits;
-  /** An attempt is under way. */
+  /** Called when an attempt is sent. */
   onSent: (record: RequestRecord, attempt: RunningAttempt) => void;
-  /** A placer was asked in vain. */
-  onAgain: (record: RequestRecord) => void;
+  /** Called when a placer did not respond or provided no usable replica. */
+  onQueryFailed: (record: RequestRecord) => void;
 }
 
-/** Who chose a replica, and by which name the attempt is known to others. */
+/** The key of an attempt, and the daemon that counts it. */
 interface Origin {
   key: string;
   placer: string | undefined;
 }
 
-/** Decides where this daemon's requests go, or asks the daemon that decides it for all. */
+/** Chooses replicas for this daemon's requests, or queries the placer that chooses for all daemons. */
 export class Placing {
   private readonly delegation: Delegation;
 
   constructor(private readonly parts: PlacingParts) {
-    this.delegation = new Delegation({ ...parts, onSilent: parts.onAgain });
+    this.delegation = new Delegation({ ...parts, onTimeout: parts.onQueryFailed });
   }
 
-  /** Sends a request to the replica that is best for it, or asks its placer for one. */
+  /** Sends a request to the best replica, or queries its placer for one. */
   place(record: RequestRecord): PlacingResult {
-    const { fleet, registry: book, quarantine } = this.parts;
+    const { fleet, registry, quarantine } = this.parts;
     const { request } = record;
-    const service = book.getService(request.service);
+    const service = registry.getService(request.service);
     const isSuspect = quarantine.isSuspect(request.fingerprint);
     const isDelegable =
       service.getTotalLimit() !== undefined ||
@@ -65,18 +66,18 @@
     const group = isDelegable ? service.getRequestGroup(request, request.id) : undefined;
     const placer = group === undefined ? undefined : this.delegation.findPlacer(record, group);
     if (placer === undefined || placer === fleet.self) {
-      return this.placeHere(record) ? PlacingResult.Sent : PlacingResult.NoRoom;
+      return this.placeLocally(record) ? PlacingResult.Sent : PlacingResult.NoRoom;
     }
-    this.delegation.ask(record, placer);
+    this.delegation.sendQuery(record, placer);
     return PlacingResult.Asked;
   }
 
-  /** Chooses by what this daemon knows itself. @returns false when there is no room now */
-  placeHere(record: RequestRecord): boolean {
-    const { registry: book, clock, keys, options } = this.parts;
+  /** Chooses a replica without a placer. @returns false if none can take the request now */
+  placeLocally(record: RequestRecord): boolean {
+    const { registry, clock, keys, options } = this.parts;
     const { request } = record;
     const now = clock.now();
-    const service = book.getService(request.service);
+    const service = registry.getService(request.service);
     const chosen = chooseReplica({
       request,
       service: service.service,
@@ -87,79 +88,82 @@
     if (chosen === undefined) {
       return false;
     }
-    this.send(record, chosen, { key: keys.next(), placer: this.getPlacerOf(chosen) });
+    this.send(record, chosen, { key: keys.next(), placer: this.getPlacerForReplica(chosen) });
     return true;
   }
 
-  /** A placer has answered. */
-  takeReply(peer: string, reply: PlacementResponse): void {
-    const ask = this.delegation.take(peer, reply);
-    if (ask === undefined) {
+  /** Handles the response of a placer. */
+  handleResponse(peer: string, response: PlacementResponse): void {
+    const query = this.delegation.handleResponse(peer, response);
+    if (query === undefined) {
       return;
     }
-    const chosen = this.getChosen(ask, reply);
+    const chosen = this.getChosenReplica(query, response);
     if (chosen !== undefined) {
-      this.send(ask.record, chosen, { key: reply.key, placer: peer });
+      this.send(query.record, chosen, { key: response.key, placer: peer });
       return;
     }
-    if (reply.placement !== undefined) {
-      this.delegation.tellUnused(peer, reply.key);
+    if (response.placement !== undefined) {
+      this.delegation.releasePlacement(peer, response.key);
     }
-    this.parts.onAgain(ask.record);
+    this.parts.onQueryFailed(query.record);
   }
 
-  /** The request is over. */
-  drop(record: RequestRecord): void {
-    this.delegation.drop(record);
+  /** Cancels the pending query of a request that has ended. */
+  cancelQueries(record: RequestRecord): void {
+    this.delegation.cancelQueries(record);
   }
 
-  private getCandidates({ request, triedReplicas: tried }: RequestRecord): ReplicaState[] {
-    const { registry: book, clock, fleet, quarantine } = this.parts;
+  private getCandidates({ request, triedReplicas }: RequestRecord): ReplicaState[] {
+    const { registry, clock, fleet, quarantine } = this.parts;
     const now = clock.now();
-    const service = book.getService(request.service);
+    const service = registry.getService(request.service);
     if (quarantine.isSuspect(request.fingerprint)) {
-      return quarantine.restrictCandidates(request.fingerprint, service.getCandidates(tried, now));
+      return quarantine.restrictCandidates(
+        request.fingerprint,
+        service.getCandidates(triedReplicas, now),
+      );
     }
     const group = fleet.isLarge ? service.getRequestGroup(request, request.id) : undefined;
-    // Of its own group a daemon knows all that is under way, of the others next to nothing.
+    // A placer knows all attempts in flight at its own group, but hardly any at other groups.
     const own =
       group !== undefined && fleet.getPlacers(group.name)[0] === fleet.self
-        ? service.getGroupCandidates(group, tried, now)
+        ? service.getGroupCandidates(group, triedReplicas, now)
         : [];
-    return own.length > 0 ? own : service.getCandidates(tried, now);
+    return own.length > 0 ? own : service.getCandidates(triedReplicas, now);
   }
 
-  /** The daemon that is told of an attempt at a replica that this daemon chose by itself. */
-  private getPlacerOf({ state }: ChosenReplica): string | undefined {
-    const { registry: book, fleet } = this.parts;
+  /** Returns the daemon that is told about an attempt at a replica that this daemon chose. */
+  private getPlacerForReplica({ state }: ChosenReplica): string | undefined {
+    const { registry, fleet } = this.parts;
     if (!fleet.isLarge) {
       return undefined;
     }
-    const group = book.getService(state.replica.service).getReplicaGroup(state);
+    const group = registry.getService(state.replica.service).getReplicaGroup(state);
     return group === undefined ? fleet.self : fleet.getPlacers(group.name)[0];
   }
 
-  /** @returns undefined where the placer knew of no replica, or of one that won't do any more */
-  private getChosen(
-    { record, placer, askedAt }: OpenAsk,
+  /** @returns undefined if the placer provided no replica, or one that cannot be used */
+  private getChosenReplica(
+    { record, placer, sentAt }: PendingQuery,
     { key, placement }: PlacementResponse,
   ): ChosenReplica | undefined {
-    const { registry: book, clock } = this.parts;
-    const state = placement === undefined ? undefined : book.findReplica(placement.replica);
-    const isGood =
+    const { registry, clock } = this.parts;
+    const state = placement === undefined ? undefined : registry.findReplica(placement.replica);
+    const isUsable =
       state !== undefined &&
       state.isInService &&
       state.replica.service === record.request.service &&
       !record.triedReplicas.has(state.replica.id);
-    if (!isGood) {
+    if (!isUsable) {
       return undefined;
     }
-    const waited = clock.now() - askedAt;
-    const choice = this.getChoice(placement!, state.running.size);
+    const waited = clock.now() - sentAt;
+    const choice = this.createChoice(placement!, state.running.size);
     return { state, choice: { ...choice, placer: { daemon: placer, key, waited } } };
   }
 
-  private getChoice(placement: Placement, inFlight: number): Choice {
+  private createChoice(placement: Placement, inFlight: number): Choice {
     const { fetchFrom, fetchTokens, expected, missingTokens, tokensAhead, copyTime } = placement;
     const source =
       fetchFrom === undefined ? undefined : this.parts.registry.findReplica(fetchFrom)?.replica;
@@ -168,7 +172,7 @@
       expected,
       missingTokens,
       tokensAhead,
-      // What the wait says of the engine is learned by the placer.
+      // The placer, which made the estimates, also learns from the actual wait.
       isTelling: false,
       copyTime,
       fetchFrom: source,
@@ -201,15 +205,19 @@
     };
     record.startAttempt(attempt);
     state.recordSent(attempt, now);
-    limits.noteSent(state.replica.id);
+    limits.recordSent(state.replica.id);
     if (prompt !== undefined) {
       state.cache.addExpected(prompt, now);
     }
     onSent(record, attempt);
     const { placer } = origin;
-    const isTold = choice.placer !== undefined || placer === fleet.self;
-    if (!isTold) {
-      emit({ kind: 'share', to: placer, update: { kind: 'placed', attempt: getShared(attempt) } });
+    const isKnownToPlacer = choice.placer !== undefined || placer === fleet.self;
+    if (!isKnownToPlacer) {
+      emit({
+        kind: 'share',
+        to: placer,
+        update: { kind: 'placed', attempt: createSharedAttempt(attempt) },
+      });
     }
     const { id } = request;
     emit({ kind: 'send', id, attempt: attempt.number, replica: state.replica, choice });
--- a/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
@@ -15,10 +15,10 @@
 const DAEMONS = Array.from({ length: 18 }, (_item, index) => `d-${index}`);
 const ENGINES = createEngines(6);
 
-/** The longest that a datagram is on its way, in milliseconds: some come after a timeout. */
-const LONGEST_WAY = 150;
+/** Maximum delay of a datagram in milliseconds, long enough that some arrive after a timeout. */
+const MAX_DATAGRAM_DELAY = 150;
 
-const REFRESH = 1_000;
+const ATTEMPT_LIST_PERIOD = 1_000;
 
 const daemon = fc.nat(DAEMONS.length - 1);
 
@@ -37,7 +37,7 @@
       ),
     }),
   },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('answer' as const), daemon }) },
+  { weight: 2, arbitrary: fc.record({ do: fc.constant('first-byte' as const), daemon }) },
   { weight: 1, arbitrary: fc.record({ do: fc.constant('leave' as const), daemon }) },
   {
     weight: 1,
@@ -47,7 +47,7 @@
   { weight: 1, arbitrary: fc.record({ do: fc.constant('unmute' as const), daemon }) },
   {
     weight: 1,
-    arbitrary: fc.record({ do: fc.constant('unseen' as const), daemon, other: daemon }),
+    arbitrary: fc.record({ do: fc.constant('hide-peer' as const), daemon, peer: daemon }),
   },
   {
     weight: 6,
@@ -66,8 +66,8 @@
   replica: string;
 }
 
-/** Eighteen daemons, and a network that loses, delays and repeats what they tell each other. */
-class FleetPlay {
+/** Eighteen daemons, and a network that loses, delays and duplicates their datagrams. */
+class FleetSimulation {
   private readonly members = DAEMONS.map(
     () => new CoreHarness([createEngineService('llm')], ENGINES),
   );
@@ -76,29 +76,32 @@
 
   private readonly draining = DAEMONS.map(() => new Set<string>());
 
-  /** Attempts under way, by daemon. */
+  /** Attempts in flight, by daemon. */
   private readonly running = DAEMONS.map(() => new Map<string, Sent>());
 
-  private readonly over = new Set<string>();
+  /** IDs of requests that have ended. */
+  private readonly ended = new Set<string>();
 
-  private readonly read = DAEMONS.map(() => 0);
+  /** Number of effects that have been checked, by daemon. */
+  private readonly checkedEffects = DAEMONS.map(() => 0);
 
   private submitted = 0;
 
+  /** @param fates - from 0 to 99, used in turn: whether each datagram is lost, delayed or duplicated */
   constructor(private readonly fates: readonly number[]) {
     this.members.forEach((member, index) =>
       member.core.handle({ kind: 'fleet', self: DAEMONS[index]!, daemons: DAEMONS }),
     );
   }
 
-  play(steps: readonly Step[]): void {
+  run(steps: readonly Step[]): void {
     steps.forEach((next) => {
       this.act(next);
       this.collect();
     });
   }
 
-  /** Everything ends, and what was lost is told again: nobody counts anything any more. */
+  /** Ends all requests, repeats lost updates, and checks that no daemon counts any attempt. */
   finish(): void {
     this.muted.clear();
     this.members.forEach((member) => {
@@ -112,10 +115,10 @@
           this.members[index]!.end(id, attempt, AttemptEnd.Completed);
         });
       });
-      this.advance(REFRESH, true);
+      this.advance(ATTEMPT_LIST_PERIOD, true);
       this.collect();
     }
-    expect(this.over.size).toBe(this.submitted);
+    expect(this.ended.size).toBe(this.submitted);
     this.members.forEach((member) => {
       expect(member.core.openRequests).toBe(0);
       const left = member.core.registry
@@ -141,7 +144,7 @@
         break;
       }
       case 'end':
-      case 'answer':
+      case 'first-byte':
       case 'leave':
         this.actOnRunning(next);
         break;
@@ -154,12 +157,12 @@
       case 'unmute':
         this.muted.delete(next.daemon);
         break;
-      case 'unseen':
-        // Two daemons that see different others have different placers.
+      case 'hide-peer':
+        // Daemons that reach different peers may have different placers for the same group.
         this.members[next.daemon]!.core.handle({
           kind: 'fleet',
           self: DAEMONS[next.daemon]!,
-          daemons: DAEMONS.filter((_name, index) => index !== next.other || index === next.daemon),
+          daemons: DAEMONS.filter((_name, index) => index !== next.peer || index === next.daemon),
         });
         break;
       case 'advance':
@@ -170,7 +173,7 @@
     }
   }
 
-  private actOnRunning(next: Extract<Step, { do: 'end' | 'answer' | 'leave' }>): void {
+  private actOnRunning(next: Extract<Step, { do: 'end' | 'first-byte' | 'leave' }>): void {
     const member = this.members[next.daemon]!;
     const running = this.running[next.daemon]!;
     const [first] = running.values();
@@ -178,11 +181,11 @@
       return;
     }
     const { id, attempt } = first;
-    if (next.do === 'answer') {
+    if (next.do === 'first-byte') {
       member.core.handle({ kind: 'first-byte-received', id, attempt });
     } else if (next.do === 'leave') {
       running.delete(id);
-      this.over.add(id);
+      this.ended.add(id);
       member.core.handle({ kind: 'caller-left', id });
     } else {
       running.delete(id);
@@ -199,36 +202,40 @@
     });
   }
 
-  private advance(span: number, isRefreshed: boolean): void {
+  private advance(span: number, isListSent: boolean): void {
     for (let passed = 0; passed < span; passed += 10) {
       this.members.forEach((member) => member.clock.advance(10));
       this.collect();
     }
-    if (isRefreshed) {
-      this.members.forEach((member, index) => this.refresh(member, index));
+    if (isListSent) {
+      this.members.forEach((member, index) => this.sendAttemptList(member, index));
     }
   }
 
-  private refresh(member: CoreHarness, index: number): void {
+  private sendAttemptList(member: CoreHarness, index: number): void {
     const shared = member.core.getSharedAttempts();
     this.members.forEach((other, to) => {
       if (to !== index) {
         const attempts: SharedAttempt[] = shared.get(DAEMONS[to]) ?? [];
-        const news: PlacementUpdate = { kind: 'attempt-list', attempts };
-        other.core.handle({ kind: 'peer-update', peer: DAEMONS[index]!, update: news });
+        const update: PlacementUpdate = { kind: 'attempt-list', attempts };
+        other.core.handle({ kind: 'peer-update', peer: DAEMONS[index]!, update });
       }
     });
   }
 
-  /** Takes what the daemons ordered since, checks it, and carries their news. */
+  /** Checks the effects that the daemons emitted since the last call, and transmits their updates. */
   private collect(): void {
     this.members.forEach((member, index) => {
-      for (; this.read[index]! < member.effects.length; this.read[index]! += 1) {
-        const effect = member.effects[this.read[index]!]!;
+      for (
+        ;
+        this.checkedEffects[index]! < member.effects.length;
+        this.checkedEffects[index]! += 1
+      ) {
+        const effect = member.effects[this.checkedEffects[index]!]!;
         switch (effect.kind) {
           case 'send':
             expect(this.running[index]!.has(effect.id)).toBe(false);
-            expect(this.over.has(effect.id)).toBe(false);
+            expect(this.ended.has(effect.id)).toBe(false);
             expect(this.draining[index]!.has(effect.replica.id)).toBe(false);
             this.running[index]!.set(effect.id, {
               id: effect.id,
@@ -241,11 +248,11 @@
             break;
           case 'settle':
           case 'give-up':
-            expect(this.over.has(effect.id)).toBe(false);
-            this.over.add(effect.id);
+            expect(this.ended.has(effect.id)).toBe(false);
+            this.ended.add(effect.id);
             break;
           case 'share':
-            this.carry(index, effect.to, effect.update);
+            this.transmit(index, effect.to, effect.update);
             break;
           default:
             break;
@@ -254,7 +261,7 @@
     });
   }
 
-  private carry(from: number, to: string | undefined, news: PlacementUpdate): void {
+  private transmit(from: number, to: string | undefined, update: PlacementUpdate): void {
     this.members.forEach((member, index) => {
       if (index === from || (to !== undefined && to !== DAEMONS[index])) {
         return;
@@ -265,10 +272,10 @@
         return;
       }
       const deliver = () =>
-        member.core.handle({ kind: 'peer-update', peer: DAEMONS[from]!, update: news });
-      member.clock.setTimer(fate > 90 ? LONGEST_WAY : 2, deliver);
+        member.core.handle({ kind: 'peer-update', peer: DAEMONS[from]!, update });
+      member.clock.setTimer(fate > 90 ? MAX_DATAGRAM_DELAY : 2, deliver);
       if (fate % 10 === 7) {
-        member.clock.setTimer(LONGEST_WAY, deliver);
+        member.clock.setTimer(MAX_DATAGRAM_DELAY, deliver);
       }
     });
   }
@@ -276,16 +283,16 @@
   private fateIndex = 0;
 }
 
-describe('a large fleet whose datagrams are lost, late and repeated', () => {
-  it('ends every request once, sends no two attempts at a time, and forgets what has ended', () => {
+describe('a large fleet with lost, delayed and duplicated datagrams', () => {
+  it('ends each request once, with one attempt at a time, and leaves no attempt counted', () => {
     fc.assert(
       fc.property(
         fc.array(step, { maxLength: 60 }),
         fc.array(fc.nat(99), { minLength: 20, maxLength: 60 }),
         (steps, fates) => {
-          const play = new FleetPlay(fates);
-          play.play(steps);
-          play.finish();
+          const simulation = new FleetSimulation(fates);
+          simulation.run(steps);
+          simulation.finish();
         },
       ),
       { numRuns: RUNS, seed: SEED },
--- a/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.test.ts
+++ b/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.test.ts
@@ -33,8 +33,8 @@
             at += gap;
             return at;
           });
-          const most = (rate * WINDOW) / 1_000 + Math.max(1, rate / 2);
-          expect(getMaximumSends(rate, arrivals)).toBeLessThanOrEqual(Math.ceil(most));
+          const max = (rate * WINDOW) / 1_000 + Math.max(1, rate / 2);
+          expect(getMaximumSends(rate, arrivals)).toBeLessThanOrEqual(Math.ceil(max));
           expect(getMaximumSends(rate, arrivals)).toBeLessThanOrEqual(getAllowed(rate));
         },
       ),
--- a/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.ts
+++ b/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.ts
@@ -4,7 +4,7 @@
 const SECOND: Milliseconds = 1_000;
 
 /** Bounds the debt, in bursts, so that earlier excess requests do not keep a replica idle for long. */
-const MOST_DEBT_BURSTS = 4;
+const MAX_DEBT_BURSTS = 4;
 
 /** Absorbs floating-point error in the accumulated tokens. */
 const ROUNDING_TOLERANCE = 1e-6;
@@ -47,7 +47,7 @@
 
   take(now: Milliseconds): void {
     this.refill(now);
-    this.tokens = Math.max(this.tokens - 1, -MOST_DEBT_BURSTS * this.capacity);
+    this.tokens = Math.max(this.tokens - 1, -MAX_DEBT_BURSTS * this.capacity);
   }
 
   private get capacity(): number {
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.fuzz.test.ts
@@ -58,7 +58,7 @@
 /**
  * Returns the maximum number of requests that a limited replica received in one window.
  *
- * @param countsUninformed - also counts requests of daemons that received no answer with the limit
+ * @param countsUninformed - also counts requests of daemons that received no response with the limit
  */
 function getMaximumArrivals(fleet: CrashFleet, countsUninformed: boolean): number {
   const counts = [...fleet.limitedSince].flatMap(([replica, since]) => {
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
@@ -81,8 +81,8 @@
     expect(harness.core.limits.getRates()).toEqual([]);
   });
 
-  // Guards against a limit being lifted by an answer that predates it.
-  it('keeps a limit when an answer to an earlier request states none', () => {
+  // Guards against a limit being lifted by a response that predates it.
+  it('keeps a limit when a response to an earlier request states none', () => {
     const harness = createHarness();
     harness.clock.advance(100);
     stateLimit(harness, 'i-1', 2);
@@ -121,12 +121,12 @@
     expect(countSent(harness, 20, 10).get('i-1')).toBeGreaterThan(5);
   });
 
-  // Guards against a replica that stays unused because no answer can lift its limit.
+  // Guards against a replica that stays unused because no response can lift its limit.
   it('probes a limit that has been unconfirmed for too long', () => {
     const { pair, counts } = createPair();
     const other = pair[counts.indexOf(0)]!;
     other.clock.advance(limitOptions.confirmationTimeout + limitOptions.probeJitter);
-    // The daemon that places for the group does not answer.
+    // The daemon that places for the group does not respond.
     const ids = ['a', 'b', 'c'];
     ids.forEach((id) => other.submit(createRequest(id)));
     other.clock.advance(placementOptions.askTimeout * 2);
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.ts
@@ -15,30 +15,30 @@
   getGroup: (state: ReplicaState) => string | undefined;
 }
 
-/** The limit that an answer states, if any, and the request it answers. */
-export interface AnswerLimit {
+/** The limit that a response states, if any, and when its request was sent. */
+export interface ResponseLimit {
   replica: string;
   /** When the request was sent. */
   sentAt: Milliseconds;
-  /** Undefined if the answer states no limit. */
+  /** Undefined if the response states no limit. */
   limit: StatedLimit | undefined;
 }
 
 interface KnownLimit {
   rate: RateLimit;
-  /** Time of the last answer that stated the limit. */
+  /** Time of the last response that stated the limit. */
   confirmedAt: Milliseconds;
   /** When this daemon last announced the limit to the others. */
   announcedAt: Milliseconds;
 }
 
 /**
- * Enforces the rate limits that replicas state in their answers across all daemons.
+ * Enforces the rate limits that replicas state in their responses across all daemons.
  *
  * Fixed shares per daemon would be wrong for uneven traffic, and counts shared between daemons arrive
- * late. Therefore only the daemon that places requests for a group of replicas uses its limited
- * replicas, for all daemons. While any replica of a service is limited, the others delegate placement to that daemon;
- * if it does not answer, they choose among the replicas without a limit.
+ * late. Therefore only the placer of a group of replicas uses its limited replicas, on behalf of all
+ * daemons. While any replica of a service is limited, the other daemons delegate placement to the
+ * placer; if it does not respond, they choose among the replicas without a limit.
  */
 export class ReplicaLimits {
   private readonly limits = new Map<string, KnownLimit>();
@@ -73,16 +73,16 @@
   }
 
   /** Counts a request that this or another daemon sent to a replica. */
-  noteSent(replica: string): void {
+  recordSent(replica: string): void {
     this.limits.get(replica)?.rate.take(this.parts.clock.now());
   }
 
-  /** Updates the limit of a replica from one of its answers. */
-  noteAnswer({ replica, sentAt, limit }: AnswerLimit): void {
+  /** Updates the limit of a replica from one of its responses. */
+  recordResponse({ replica, sentAt, limit }: ResponseLimit): void {
     const now = this.parts.clock.now();
     const known = this.limits.get(replica);
     if (limit === undefined) {
-      // An answer to an earlier request may predate the limit.
+      // A response to an earlier request may predate the limit.
       if (known !== undefined && sentAt > known.confirmedAt) {
         this.lift(replica, now);
         this.announce({ replica, perSecond: undefined, age: 0 });
@@ -106,7 +106,7 @@
   }
 
   /** Applies limits received from another daemon if they are newer. */
-  hear(limits: readonly SharedLimit[]): void {
+  applyPeerLimits(limits: readonly SharedLimit[]): void {
     const now = this.parts.clock.now();
     limits.forEach(({ replica, perSecond, age }) => {
       const at = now - age;
--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -2,23 +2,23 @@
 import type { RelayReplica, RelayService, RouteKind } from '../config/RelayConfiguration.js';
 
 /**
- * The messages of the placement core: what the sockets around it tell it, and what it tells them
- * to do. It has no I/O; the daemon, the tests and the experiments speak these and nothing else.
+ * The messages that the placement core receives and the effects that it emits. The core does no I/O;
+ * the daemon, the tests and the experiments communicate with it through these types alone.
  */
 
-/** A part of a prompt that other prompts may share. */
+/** A section of a prompt that other prompts may share. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What a request asks of an engine. */
+/** The prompt that a request sends to an engine, and the length of its output. */
 export interface Prompt {
   model: string;
   inputTokens: number;
-  /** The most tokens that the answer may have. */
+  /** Maximum number of tokens in the response. */
   outputTokens: number;
-  /** In the order in which the engine reads them; the last belongs to this request or session. */
+  /** In the order of prefill; the last one belongs to this request or its session. */
   parts: PromptPart[];
 }
 
@@ -28,63 +28,63 @@
  * @public
  */
 export interface PlacementRequest {
-  /** Unique over all daemons and time. */
+  /** Unique across all daemons, and never reused. */
   id: string;
   /** Identical for repeated requests with the same content from the same caller. */
   fingerprint: string;
   route: string;
   service: string;
   kind: RouteKind;
-  /** Whether a run may be followed by another one: idempotent, or resumed after the last event. */
+  /** Whether it may run again: it is idempotent, or it resumes after the last event received. */
   repeatable: boolean;
   workspace: string;
-  /** Its place among the requests of its service; 0 is the most urgent. */
+  /** Priority among the requests of its service; 0 is the most urgent. */
   rank: number;
   maxAttempts: number;
   latencyTarget: Milliseconds;
-  /** The longest pause between two events that is still in time; absent where there are none. */
+  /** Maximum acceptable pause between two events; absent if the response is not a stream. */
   pauseTarget?: Milliseconds;
-  /** The caller, or the route, waits no longer. */
+  /** Time at which the caller or the route stops waiting. */
   deadline: Milliseconds;
   arrivedAt: Milliseconds;
   prompt?: Prompt;
 }
 
-/** How one attempt at a replica ended. */
+/** How an attempt ended. */
 export enum AttemptEnd {
-  /** The whole answer came, and the replica calls it a success or a fault of the request. */
+  /** The response is complete, and its status is a success or an error caused by the request. */
   Completed = 'completed',
-  /** The whole answer came: the replica ran the request and failed. */
+  /** The response is complete: the replica ran the request and failed. */
   Failed = 'failed',
-  /** No byte of the request left this daemon. */
+  /** No byte of the request was sent. */
   NotSent = 'not-sent',
-  /** The replica says that it did not run the request. */
+  /** The replica states that it did not run the request. */
   Refused = 'refused',
-  /** Another replica answers at this address; nothing ran. */
+  /** A different replica responded at this address; the request did not run. */
   Misdirected = 'misdirected',
-  /** The connection broke, or what came is no whole answer: the request may have run. */
+  /** The connection broke or the response is incomplete; the request may have run. */
   Broken = 'broken',
-  /** Cancelled on order of the core. */
+  /** Cancelled by the core. */
   Cancelled = 'cancelled',
 }
 
-/** What is known of a request that gets no answer of a replica. */
+/** Whether a request ran that ends without a response from a replica. */
 export enum Outcome {
   NotRun = 'not-run',
   Unknown = 'unknown',
 }
 
-/** Why a request is given up. */
+/** Why the core gives up a request. */
 export enum GiveUpReason {
-  /** Its time is over. */
+  /** Its deadline has passed. */
   Deadline = 'deadline',
-  /** No replica of the service is known to work. */
+  /** No replica of the service is available. */
   NoReplica = 'no-replica',
-  /** Every replica it may be sent to refused it, or the budget of repeats is spent. */
+  /** Every eligible replica refused it, or the retry budget is exhausted. */
   Refused = 'refused',
-  /** It may have run and must not run again. */
+  /** It may have run, and must not run again. */
   MayHaveRun = 'may-have-run',
-  /** More of its service waits than could be answered in time. */
+  /** Its service has more waiting requests than can be served in time. */
   Overload = 'overload',
   /** The request is quarantined because it crashes replicas. */
   Quarantined = 'quarantined',
@@ -92,76 +92,77 @@
   UnderReview = 'under-review',
 }
 
-/** A replica's own word on its load. */
+/** Load reported by a replica. */
 export interface LoadReport {
   running: number;
   waiting: number;
   slots: number;
 }
 
-/** A change of what an engine keeps in its memory. */
+/** A change to the prefix cache of an engine. */
 export interface CacheChange {
   kind: 'added' | 'removed';
   part: string;
-  /** Tokens of the part that are kept now. */
+  /** Tokens of the part that are now cached. */
   tokens: number;
   model: string;
 }
 
-/** A request that is under way at a replica, as daemons tell each other. */
+/** An attempt in flight, as announced to other daemons. */
 export interface SharedAttempt {
-  /** Unique among the attempts of one daemon. */
+  /** Unique among the attempts of its daemon. */
   key: string;
   replica: string;
   missingTokens: number;
   memoryTokens: number;
-  /** Absent where the answer is no stream. */
+  /** Absent if the response is not a stream. */
   pauseTarget?: Milliseconds;
   isAnswering: boolean;
-  /** The prompt's parts, which the engine will keep. */
+  /** The prompt, whose parts the engine will cache. */
   prompt?: Prompt;
 }
 
-/** What a choice of a replica depends on. */
+/** The properties of a request on which the choice of a replica depends. */
 export type PlacementCriteria = Pick<
   PlacementRequest,
   'service' | 'rank' | 'latencyTarget' | 'pauseTarget' | 'prompt'
 >;
 
-/** What a daemon asks the one that chooses for a group of replicas. */
+/** Asks the placer of a replica group to choose a replica for an attempt. */
 export interface PlacementQuery {
-  /** Names the attempt among those of the daemon that asks. */
+  /** Identifies the attempt among those of the querying daemon. */
   key: string;
   wish: PlacementCriteria;
-  /** Of the daemon that asks; empty where zones don't matter. */
+  /** Availability zone of the querying daemon; empty if zones are not considered. */
   availabilityZone: string;
-  /** Replicas that are not to be chosen. */
+  /** IDs of replicas that must not be chosen. */
   tried: string[];
 }
 
-/** Where a placer sends another daemon's attempt, and what it expects there. */
+/** The replica that a placer chose for another daemon's attempt, and the estimates behind it. */
 export interface Placement {
   replica: string;
   expected: Milliseconds;
   missingTokens: number;
   tokensAhead: number;
   copyTime: Milliseconds;
-  /** The replica to copy from, and how many tokens. */
+  /** The replica to copy cached tokens from. */
   fetchFrom?: string;
+  /** Number of tokens to copy. */
   fetchTokens?: number;
 }
 
-/** The answer; the placer counts the attempt as under way from then on. */
+/** Response to a placement query. The placer counts the attempt as in flight once it is sent. */
 export interface PlacementResponse {
   key: string;
-  /** Absent where no replica of the group will do. */
+  /** Absent if no replica of the group is suitable. */
   placement?: Placement;
 }
 
-/** How an attempt ended, for the daemon that chooses for its replica. */
+/** How an attempt ended, reported to the placer of its replica. */
 export interface SharedAttemptResult {
   end: AttemptEnd;
-  /** From the send to the end. */
+  /** Time from the send to the end. */
   after: Milliseconds;
 }
 
@@ -170,11 +171,11 @@
   fingerprint: string;
   /** Time until it is accepted again. */
   remaining: Milliseconds;
-  /** IDs of replicas that crashed with it under way; may be incomplete. */
+  /** IDs of replicas that crashed while it was in flight; may be incomplete. */
   replicas: string[];
 }
 
-/** The request rate limit stated in a replica's answer. */
+/** The request rate limit stated in a replica's response. */
 export type StatedLimit =
   | { kind: 'rate'; perSecond: number }
   /** The stated limit cannot be parsed. */
@@ -185,28 +186,28 @@
   replica: string;
   /** Requests per second from all daemons together; undefined if the limit was lifted. */
   perSecond: number | undefined;
-  /** Time since the replica's answer that stated or lifted the limit. */
+  /** Time since the response that stated or lifted the limit. */
   age: Milliseconds;
 }
 
-/** What one daemon tells the others. */
+/** An update that one daemon sends to others. */
 export type PlacementUpdate =
   | { kind: 'placed'; attempt: SharedAttempt }
-  /** The engine has read the prompt. */
+  /** The first byte of the response arrived, so the engine has completed prefill. */
   | { kind: 'first-byte-received'; key: string }
-  /** `result` is absent where the attempt says nothing of its replica. */
+  /** `result` is absent if the attempt provides no information about its replica. */
   | { kind: 'ended'; key: string; result?: SharedAttemptResult }
   | { kind: 'ask'; query: PlacementQuery }
   | { kind: 'reply'; response: PlacementResponse }
-  /** An attempt broke at a replica. */
+  /** An attempt at a replica broke. */
   | { kind: 'attempt-broken'; replica: string }
-  /** Requests that were under way at a replica when it crashed. */
+  /** Requests that were in flight at a replica when it crashed. */
   | { kind: 'crashed'; replica: string; fingerprints: string[] }
-  /** A request that was under way at crashes has been served by a replica that kept running. */
+  /** A request that was in flight at crashes has been served by a replica that kept running. */
   | { kind: 'cleared'; fingerprint: string }
   | { kind: 'quarantined'; requests: QuarantinedRequest[] }
   | { kind: 'limits'; limits: SharedLimit[] }
-  /** All that is under way; what was told before is forgotten. */
+  /** All attempts in flight; replaces everything announced before. */
   | { kind: 'attempt-list'; attempts: SharedAttempt[] };
 
 /** @public */
@@ -215,33 +216,33 @@
   | { kind: 'replicas'; replicas: readonly RelayReplica[] }
   | { kind: 'submit'; request: PlacementRequest }
   | { kind: 'caller-left'; id: string }
-  /** The first byte of an answer came. */
+  /** The first byte of a response arrived. */
   | { kind: 'first-byte-received'; id: string; attempt: number }
   | { kind: 'attempt-ended'; id: string; attempt: number; end: AttemptEnd }
   | { kind: 'load'; replica: string; report: LoadReport }
-  /** The limit stated in a replica's answer; undefined if it states none. */
+  /** The limit stated in a replica's response; undefined if it states none. */
   | { kind: 'limit'; replica: string; sentAt: Milliseconds; limit: StatedLimit | undefined }
-  /** How many daemons there are, this one included. */
+  /** Number of daemons, including this one. */
   | { kind: 'daemons'; count: number }
-  /** The daemons that are heard, this one included. */
+  /** The reachable daemons, including this one. */
   | { kind: 'fleet'; self: string; daemons: readonly string[] }
   | { kind: 'peer-update'; peer: string; update: PlacementUpdate }
-  /** Nothing was heard of another daemon for long. */
+  /** A peer sent nothing for so long that it is considered gone. */
   | { kind: 'peer-removed'; peer: string }
-  /** A replica proved, or failed to prove, that it works. */
+  /** Result of a health check. */
   | { kind: 'health'; replica: string; isHealthy: boolean }
-  /** What came of the question whether an engine lives. */
+  /** Result of a liveness check. */
   | { kind: 'liveness-checked'; replica: string; isAlive: boolean }
   /** Whether a replica with broken attempts accepts connections; undefined if inconclusive. */
   | { kind: 'probed'; replica: string; isUp: boolean | undefined }
   /** Quarantined requests read from the store. */
   | { kind: 'quarantine'; requests: readonly QuarantinedRequest[] }
-  /** A replica refuses, or says by other means, since it is about to leave. */
+  /** A replica announces that it is shutting down, by refusing a request or by other means. */
   | { kind: 'leaving'; replica: string }
   | { kind: 'cache-changed'; replica: string; changes: readonly CacheChange[] }
-  /** All that an engine holds; what was believed before is forgotten. */
+  /** The complete cache of an engine; replaces everything known before. */
   | { kind: 'cache-listed'; replica: string; changes: readonly CacheChange[] }
-  /** What an engine holds is unknown from here on. */
+  /** The cache contents of an engine are no longer known. */
   | { kind: 'cache-lost'; replica: string };
 
 /** @public */
@@ -253,24 +254,24 @@
       id: string;
       outcome: Outcome;
       reason: GiveUpReason;
-      /** When to ask again makes sense; absent where it doesn't. */
+      /** When a retry makes sense; absent if it does not. */
       retryAfter?: Milliseconds;
     }
-  /** The answer of this attempt is final, also where it is a failure. */
+  /** The response of this attempt is final, even if it is a failure. */
   | { kind: 'settle'; id: string; attempt: number }
-  /** For the other daemons, or for one of them. */
+  /** Sends an update to all other daemons, or to one of them. */
   | { kind: 'share'; update: PlacementUpdate; to?: string }
-  /** A replica was chosen for another daemon's attempt. */
+  /** This daemon, as a placer, chose a replica for a peer's attempt. */
   | { kind: 'placed-for'; peer: string; key: string; replica: RelayReplica; choice: Choice }
-  /** A placer gave no answer in time; it isn't asked for a while. */
+  /** A placer did not respond in time and is not queried for `span`. */
   | { kind: 'placer-silent'; peer: string; span: Milliseconds }
-  /** The engines whose caches this daemon needs to know; absent for all. */
+  /** IDs of the engines whose caches this daemon needs to follow; absent for all. */
   | { kind: 'follow-caches'; engines?: ReadonlySet<string> }
-  /** Nothing comes from an engine: it is to be asked whether it lives. */
+  /** An engine has sent nothing for a while: check whether it is alive. */
   | { kind: 'check-liveness'; replica: RelayReplica }
   /** Attempts at a replica broke: check whether it still accepts connections. */
   | { kind: 'probe'; replica: RelayReplica }
-  /** A replica crashed with these requests of this daemon under way. */
+  /** A replica crashed while these requests of this daemon were in flight. */
   | { kind: 'crashed'; replica: string; fingerprints: readonly string[] }
   /** A request has been quarantined; `isOwn` if this daemon reports it to the others. */
   | { kind: 'quarantined'; request: QuarantinedRequest; isOwn: boolean }
@@ -283,59 +284,59 @@
   | { kind: 'limit-refused'; replica: string; text: string }
   | { kind: 'suspect'; replica: RelayReplica; reason: string }
   | { kind: 'mark-healthy'; replica: RelayReplica }
-  /** Too many attempts of all daemons broke there: for a while it gets nothing. */
+  /** Too many attempts of all daemons broke there: it gets no requests for `span`. */
   | { kind: 'start-cooldown'; replica: RelayReplica; span: Milliseconds };
 
 /** Why an attempt is cancelled. */
 export enum CancelReason {
   CallerLeft = 'caller-left',
   Deadline = 'deadline',
-  /** The replica gave no sign for too long, and the request may run elsewhere. */
+  /** The replica sent nothing for too long, and the request may run elsewhere. */
   Silent = 'silent',
   /** The request is quarantined because it crashes replicas. */
   Quarantined = 'quarantined',
 }
 
-/** What a choice of an engine makes of pauses between events, for the log. */
+/** Estimates of inter-token pauses behind the choice of an engine, for the log. */
 export interface PauseEstimate {
-  /** Tokens a millisecond that the engine is believed to read. */
+  /** Estimated prefill rate of the engine, in tokens per millisecond. */
   readRate: number;
-  /** How long it may read without a break for the request's pauses; absent where it always may. */
+  /** Longest uninterrupted prefill that meets the request's pause target; absent if unlimited. */
   slack?: Milliseconds;
-  /** The part of its time that it spent on reading lately. */
+  /** Share of recent time that the engine spent on prefill. */
   readingShare: number;
-  /** Streams of others that are expected to pause too long for the choice. */
+  /** Number of other streams whose pause target this choice is expected to break. */
   harmed: number;
 }
 
-/** The inputs of a choice, for the log. */
+/** A choice of a replica with its inputs, for the log. */
 export interface Choice {
-  /** What the choice weighs: the expected wait, and what it costs others. */
+  /** The value that the choice minimizes: the expected wait plus the cost to other requests. */
   cost: Milliseconds;
-  /** From the send to the first byte. */
+  /** Expected time from the send to the first byte. */
   expected: Milliseconds;
-  /** Prompt tokens that the engine would have to read. */
+  /** Prompt tokens that the engine has to prefill. */
   missingTokens: number;
-  /** The same with those of others that it reads before. */
+  /** The same, plus the tokens of requests that it prefills before. */
   tokensAhead: number;
-  /** Whether these are known, and not guessed of an engine that was never heard. */
+  /** Whether these are reliable: the cache is known, or the replica is the home of the session. */
   isTelling: boolean;
-  /** What copying takes. */
+  /** Expected time to copy cached tokens. */
   copyTime: Milliseconds;
-  /** The replica from which it is to copy what it lacks of the prompt. */
+  /** The replica to copy cached tokens of the prompt from. */
   fetchFrom?: RelayReplica;
-  /** Tokens that it would copy. */
+  /** Number of tokens to copy. */
   fetchTokens?: number;
-  /** Present where the request has a prompt. */
+  /** Present if the request has a prompt. */
   pauses?: PauseEstimate;
-  /** The daemon that chose, where it was another, and what its answer took. */
+  /** The daemon that chose, if it was a peer, and how long its response took. */
   placer?: { daemon: string; key: string; waited: Milliseconds };
-  /** Requests that are under way there, as far as this daemon is told. */
+  /** Requests in flight at the replica, as far as this daemon knows. */
   inFlight: number;
-  /** The replica's last report. */
+  /** The last load report of the replica. */
   reported?: LoadReport;
   /** Age of that report. */
   reportAge?: Milliseconds;
-  /** The next best. */
+  /** The second-best replica. */
   runnerUp?: { replica: string; cost: Milliseconds };
 }
--- a/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.test.ts
+++ b/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.test.ts
@@ -4,7 +4,7 @@
 
 const NONE_QUARANTINED = () => false;
 
-/** Records consecutive crashes, each with the given requests under way. */
+/** Records consecutive crashes, each with the given requests in flight. */
 function crash(ledger: CrashLedger, clock: ManualClock, crashes: readonly string[][]): void {
   crashes.forEach((fingerprints) => {
     clock.advance(100);
@@ -56,7 +56,7 @@
     expect(ledger.findResponsible(NONE_QUARANTINED)).toEqual(['crashing']);
   });
 
-  // Guards against rejecting a request that was under way at several correlated replica failures.
+  // Guards against rejecting a request that was in flight at several correlated replica failures.
   it('holds no request responsible while more replicas crash without it', () => {
     const { clock, ledger } = create();
     for (let failure = 0; failure < 3; failure += 1) {
@@ -92,12 +92,15 @@
 
   it('stays within its limits with many crashes and requests', () => {
     const { clock, ledger } = create();
-    const { mostCrashes, mostPerCrash } = quarantineOptions;
-    for (let index = 0; index < mostCrashes * 3; index += 1) {
-      const others = Array.from({ length: mostPerCrash }, (_item, item) => `${index}-${item}`);
+    const { maxCrashes, maxRequestsPerCrash } = quarantineOptions;
+    for (let index = 0; index < maxCrashes * 3; index += 1) {
+      const others = Array.from(
+        { length: maxRequestsPerCrash },
+        (_item, item) => `${index}-${item}`,
+      );
       crash(ledger, clock, [['crashing', ...others]]);
     }
-    expect(ledger.getReplicas('crashing').length).toBeLessThanOrEqual(mostCrashes);
+    expect(ledger.getReplicas('crashing').length).toBeLessThanOrEqual(maxCrashes);
     expect(ledger.has('i-100')).toBe(false);
     expect(ledger.getReplicas('0-0')).toEqual([]);
   });
--- a/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.ts
+++ b/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.ts
@@ -1,12 +1,12 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { quarantineOptions } from '../quarantineOptions.js';
 
-/** A replica that crashed, with the requests that were under way there. */
+/** A replica that crashed, with the requests that were in flight there. */
 interface Crash {
   replica: string;
   at: Milliseconds;
   fingerprints: Set<string>;
-  /** Requests that were under way there and have been served by another replica since. */
+  /** Requests that were in flight there and have been served by another replica since. */
   cleared: Set<string>;
 }
 
@@ -45,7 +45,7 @@
 }
 
 /**
- * Records which requests were under way on replicas that crashed, and determines which requests are
+ * Records which requests were in flight on replicas that crashed, and determines which requests are
  * responsible.
  *
  * A crash ends all requests on its replica, so presence at one crash is not sufficient evidence.
@@ -57,7 +57,7 @@
   /** By replica ID, oldest first. */
   private readonly crashes = new Map<string, Crash>();
 
-  /** IDs of crashed replicas, by fingerprint of the requests that were under way. */
+  /** IDs of crashed replicas, by fingerprint of the requests that were in flight. */
   private readonly replicas = new Map<string, Set<string>>();
 
   constructor(private readonly clock: Clock) {}
@@ -69,7 +69,7 @@
    */
   add(replica: string, fingerprints: readonly string[]): string[] {
     const crash = this.getCrash(replica);
-    const room = quarantineOptions.mostPerCrash - crash.fingerprints.size;
+    const room = quarantineOptions.maxRequestsPerCrash - crash.fingerprints.size;
     const added = fingerprints
       .filter((name) => !crash.fingerprints.has(name) && !crash.cleared.has(name))
       .slice(0, Math.max(0, room));
@@ -95,7 +95,7 @@
     return this.crashes.has(replica);
   }
 
-  /** Returns the IDs of replicas that crashed with the request under way. */
+  /** Returns the IDs of replicas that crashed with the request in flight. */
   getReplicas(fingerprint: string): string[] {
     return [...(this.replicas.get(fingerprint) ?? [])];
   }
@@ -133,7 +133,7 @@
     if (crashes.length >= quarantineOptions.certainThreshold) {
       return true;
     }
-    // Requests that were under way at the same crashes can only be distinguished by a further crash.
+    // Requests that were in flight at the same crashes can only be distinguished by a further crash.
     if (crashes.length === quarantineOptions.crashThreshold && isAmbiguous(candidate, candidates)) {
       return false;
     }
@@ -160,7 +160,7 @@
   private evict(): void {
     const oldest = this.clock.now() - quarantineOptions.crashRetention;
     [...this.crashes.values()].forEach((crash) => {
-      if (crash.at < oldest || this.crashes.size >= quarantineOptions.mostCrashes) {
+      if (crash.at < oldest || this.crashes.size >= quarantineOptions.maxCrashes) {
         this.remove(crash);
       }
     });
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.fuzz.test.ts
@@ -8,7 +8,7 @@
 /** Limits on crashes, detection time and further sends of a request that crashes replicas. */
 const CRASHES = 3;
 const DETECTION_TIME = 3_000;
-const MOST_RETRIES = 3;
+const MAX_RETRIES = 3;
 
 interface Scenario {
   seed: number;
@@ -111,7 +111,7 @@
         (inputs) => {
           const fleet = simulate(inputs);
           for (let index = 0; index < inputs.crashing; index += 1) {
-            expect(getLateSends(fleet, `deadly-${index}`)).toBeLessThanOrEqual(MOST_RETRIES);
+            expect(getLateSends(fleet, `deadly-${index}`)).toBeLessThanOrEqual(MAX_RETRIES);
           }
           const harmless = [...fleet.rejected].filter((name) => name.startsWith('innocent'));
           expect(harmless).toEqual([]);
@@ -126,7 +126,7 @@
     const fleet = simulate({ ...inputs, failures: 1, restarts: 4, isContentShared: true });
     ['deadly-0', 'deadly-1'].forEach((name) => {
       expect(fleet.crashes.get(name)!.length).toBeGreaterThanOrEqual(CRASHES);
-      expect(getLateSends(fleet, name)).toBeLessThanOrEqual(MOST_RETRIES);
+      expect(getLateSends(fleet, name)).toBeLessThanOrEqual(MAX_RETRIES);
     });
     expect([...fleet.rejected].filter((name) => name.startsWith('innocent'))).toEqual([]);
   });
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
@@ -53,7 +53,7 @@
     expect(last!.retryAfter).toBeGreaterThan(0);
   });
 
-  it('cancels attempts under way, with outcome unknown', () => {
+  it('cancels attempts in flight, with outcome unknown', () => {
     const harness = create();
     harness.submit(createRequest('early', { fingerprint: 'crashing' }));
     quarantine(harness);
@@ -104,8 +104,8 @@
       { kind: 'released', fingerprint: 'crashing', isOwn: true },
     ]);
     const request = { fingerprint: 'crashing', remaining: 60_000, replicas: [] };
-    const news = { kind: 'quarantined' as const, requests: [request] };
-    harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: news });
+    const update = { kind: 'quarantined' as const, requests: [request] };
+    harness.core.handle({ kind: 'peer-update', peer: 'd-2', update });
     expect(harness.core.quarantine.size).toBe(0);
     expect(harness.get('share').at(-1)).toEqual({ kind: 'share', update: cleared, to: 'd-2' });
   });
@@ -141,8 +141,8 @@
     crash(harness, 'b', 'same');
     harness.submit(createRequest('c', { fingerprint: 'same' }));
     harness.end('c', 1, AttemptEnd.Completed);
-    const news = harness.get('share').map((effect) => effect.update);
-    expect(news).toContainEqual({ kind: 'cleared', fingerprint: 'same' });
+    const updates = harness.get('share').map((effect) => effect.update);
+    expect(updates).toContainEqual({ kind: 'cleared', fingerprint: 'same' });
     crash(harness, 'd', 'same');
     harness.clock.advance(quarantineOptions.evaluationDelay);
     expect(harness.get('quarantined')).toEqual([]);
@@ -151,8 +151,8 @@
   it('combines crash reports from several daemons', () => {
     const harness = create();
     ['i-8', 'i-9'].forEach((replica) => {
-      const news = { kind: 'crashed' as const, replica, fingerprints: ['crashing'] };
-      harness.core.handle({ kind: 'peer-update', peer: replica, update: news });
+      const update = { kind: 'crashed' as const, replica, fingerprints: ['crashing'] };
+      harness.core.handle({ kind: 'peer-update', peer: replica, update });
     });
     crash(harness, 'a');
     harness.clock.advance(quarantineOptions.evaluationDelay);
@@ -165,8 +165,8 @@
       const harness = create();
       // Gives each daemon a different load.
       harness.submit(createRequest(`load-${peer}`));
-      const news = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['crashing'] };
-      harness.core.handle({ kind: 'peer-update', peer, update: news });
+      const update = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['crashing'] };
+      harness.core.handle({ kind: 'peer-update', peer, update });
       harness.submit(createRequest('a', { fingerprint: 'crashing' }));
       return harness.getReplicas('a')[0];
     });
@@ -177,8 +177,8 @@
     const first = create();
     quarantine(first);
     const second = create();
-    first.core.quarantine.getPeriodicUpdates().forEach((news) => {
-      second.core.handle({ kind: 'peer-update', peer: 'd-1', update: news });
+    first.core.quarantine.getPeriodicUpdates().forEach((update) => {
+      second.core.handle({ kind: 'peer-update', peer: 'd-1', update });
     });
     second.submit(createRequest('a', { fingerprint: 'crashing' }));
     expect(second.get('give-up')).toMatchObject([{ reason: GiveUpReason.Quarantined }]);
@@ -200,7 +200,7 @@
     expect(harness.getReplicas('f')).toEqual([]);
   });
 
-  // Guards against quarantining content that many callers send and that is under way at each crash.
+  // Guards against quarantining content that many callers send and that is in flight at each crash.
   it('does not hold a recently served request responsible for a crash', () => {
     const harness = create();
     harness.submit(createRequest('served', { fingerprint: 'common' }));
@@ -214,21 +214,21 @@
     const harness = create();
     harness.submit(createRequest('served', { fingerprint: 'common' }));
     harness.end('served', 1, AttemptEnd.Completed);
-    const news = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['common'] };
-    harness.core.handle({ kind: 'peer-update', peer: 'd-1', update: news });
+    const update = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['common'] };
+    harness.core.handle({ kind: 'peer-update', peer: 'd-1', update });
     const shared = harness.get('share').map((effect) => effect.update);
     expect(shared).toContainEqual({ kind: 'cleared', fingerprint: 'common' });
   });
 
   it('stays within its limit of quarantined requests', () => {
     const harness = create();
-    const requests = Array.from({ length: quarantineOptions.mostEntries * 2 }, (_item, index) => ({
+    const requests = Array.from({ length: quarantineOptions.maxEntries * 2 }, (_item, index) => ({
       fingerprint: `f-${index}`,
       remaining: 1_000 + index,
       replicas: [],
     }));
     harness.core.handle({ kind: 'quarantine', requests });
-    expect(harness.core.quarantine.size).toBe(quarantineOptions.mostEntries);
+    expect(harness.core.quarantine.size).toBe(quarantineOptions.maxEntries);
     expect(harness.core.quarantine.has(`f-${requests.length - 1}`)).toBe(true);
   });
 });
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.ts
@@ -16,8 +16,8 @@
   onQuarantined: (fingerprint: string) => void;
 }
 
-/** Messages about crashes and the requests responsible for them. */
-export type QuarantineNews = Extract<
+/** Updates about crashes and the requests responsible for them. */
+export type QuarantineUpdate = Extract<
   PlacementUpdate,
   { kind: 'crashed' | 'cleared' | 'quarantined' }
 >;
@@ -44,8 +44,8 @@
   isOwn: boolean;
 }
 
-/** How many daemons of a large fleet collect the crashes of one request. */
-const COLLECTORS = 2;
+/** Number of daemons in a large fleet that collect the crashes of one request. */
+const COLLECTOR_COUNT = 2;
 
 function chunk<Item>(items: readonly Item[], size: number): Item[][] {
   const count = Math.ceil(items.length / size);
@@ -58,7 +58,7 @@
  * Rejects requests that crash the replicas that run them.
  *
  * Callers may repeat such a request at any daemon, and each run ends all requests on its replica.
- * Daemons therefore share which requests were under way at crashes, and which requests they have
+ * Daemons therefore share which requests were in flight at crashes, and which requests they have
  * quarantined, so that crashes are counted across the fleet. In a large fleet, two daemons selected
  * by rendezvous hashing collect the crashes of a request, which limits the number of messages.
  */
@@ -103,7 +103,7 @@
     return until > this.parts.clock.now();
   }
 
-  /** Whether a replica crashed, or may have, with the request under way. */
+  /** Whether a replica crashed, or may have, with the request in flight. */
   isSuspect(fingerprint: string): boolean {
     this.expirePossibleCrashes();
     return (
@@ -132,10 +132,10 @@
     return this.evaluationTimer !== undefined && length >= quarantineOptions.crashThreshold;
   }
 
-  /** Probes the replica of a broken attempt, unless the crash is known or the replica is tracked. */
-  noteBroken(replica: RelayReplica, fingerprint: string): void {
+  /** Probes the replica of a broken attempt, unless its crash is known or a probe was requested. */
+  recordBrokenAttempt(replica: RelayReplica, fingerprint: string): void {
     if (this.ledger.has(replica.id)) {
-      this.noteCrash(replica.id, [fingerprint]);
+      this.recordCrash(replica.id, [fingerprint]);
       return;
     }
     const possible = this.possibleCrashes.get(replica.id);
@@ -152,28 +152,28 @@
     this.parts.emit({ kind: 'probe', replica });
   }
 
-  /** Handles the result of a probe. */
-  noteProbed(replica: string, isUp: boolean | undefined): void {
+  /** Records the result of a probe. */
+  recordProbe(replica: string, isUp: boolean | undefined): void {
     const possible = this.possibleCrashes.get(replica);
     if (isUp === false) {
-      this.noteGone(replica);
+      this.recordGone(replica);
     } else if (isUp === true && possible !== undefined) {
       possible.isUp = true;
     }
   }
 
   /** Records a crash if attempts at the replica broke before it disappeared. */
-  noteGone(replica: string): void {
+  recordGone(replica: string): void {
     this.expirePossibleCrashes();
     const possible = this.possibleCrashes.get(replica);
     this.possibleCrashes.delete(replica);
     if (possible !== undefined) {
-      this.noteCrash(replica, [...possible.fingerprints]);
+      this.recordCrash(replica, [...possible.fingerprints]);
     }
   }
 
   /** Clears a request that a replica has served and kept running. */
-  noteServed(fingerprint: string): void {
+  recordServed(fingerprint: string): void {
     this.servedAt.delete(fingerprint);
     this.servedAt.set(fingerprint, this.parts.clock.now());
     this.expireServed();
@@ -211,19 +211,19 @@
     return isRefuted;
   }
 
-  hear(peer: string, news: QuarantineNews): void {
-    switch (news.kind) {
+  handlePeerUpdate(peer: string, update: QuarantineUpdate): void {
+    switch (update.kind) {
       case 'crashed':
-        this.handleCrash(news.replica, news.fingerprints);
+        this.handleCrash(update.replica, update.fingerprints);
         break;
       case 'cleared':
-        this.clear(news.fingerprint);
+        this.clear(update.fingerprint);
         break;
       case 'quarantined':
-        this.restore(news.requests.filter(({ fingerprint }) => !this.refute(peer, fingerprint)));
+        this.restore(update.requests.filter(({ fingerprint }) => !this.refute(peer, fingerprint)));
         break;
       default:
-        news satisfies never;
+        update satisfies never;
     }
   }
 
@@ -231,10 +231,10 @@
   restore(requests: readonly QuarantinedRequest[]): void {
     const now = this.parts.clock.now();
     requests.forEach(({ fingerprint, remaining, replicas }) => {
-      const term = Math.min(remaining, quarantineOptions.duration);
-      if (term > 0) {
+      const duration = Math.min(remaining, quarantineOptions.duration);
+      if (duration > 0) {
         replicas.forEach((replica) => this.ledger.add(replica, [fingerprint]));
-        const entry = { until: now + term, replicas: [...replicas], isOwn: false };
+        const entry = { until: now + duration, replicas: [...replicas], isOwn: false };
         this.addEntry(fingerprint, entry);
       }
     });
@@ -242,28 +242,31 @@
 
   /** Returns what each regular message repeats, since datagrams can be lost. */
   getPeriodicUpdates(): PlacementUpdate[] {
-    const { maxRequestsPerDatagram: mostRequestsPerDatagram } = quarantineOptions;
+    const { maxRequestsPerDatagram } = quarantineOptions;
     this.expire();
     const now = this.parts.clock.now();
     this.ownCrashes = this.ownCrashes.filter(({ at }) => at > now - quarantineOptions.repeatPeriod);
     const entries = [...this.entries];
     const first = this.nextRepeated < entries.length ? this.nextRepeated : 0;
-    const repeated = entries.slice(first, first + mostRequestsPerDatagram);
+    const repeated = entries.slice(first, first + maxRequestsPerDatagram);
     this.nextRepeated = first + repeated.length;
-    const news: PlacementUpdate[] = [];
+    const updates: PlacementUpdate[] = [];
     if (repeated.length > 0) {
-      news.push({ kind: 'quarantined', requests: repeated.map((entry) => this.toRequest(entry)) });
+      updates.push({
+        kind: 'quarantined',
+        requests: repeated.map((entry) => this.toRequest(entry)),
+      });
     }
     if (!this.parts.fleet.isLarge) {
-      this.ownCrashes.slice(-mostRequestsPerDatagram).forEach(({ replica, fingerprints }) => {
+      this.ownCrashes.slice(-maxRequestsPerDatagram).forEach(({ replica, fingerprints }) => {
         const part = fingerprints.slice(0, quarantineOptions.maxFingerprintsPerDatagram);
-        news.push({ kind: 'crashed', replica, fingerprints: part });
+        updates.push({ kind: 'crashed', replica, fingerprints: part });
       });
     }
-    return news;
+    return updates;
   }
 
-  private noteCrash(replica: string, fingerprints: readonly string[]): void {
+  private recordCrash(replica: string, fingerprints: readonly string[]): void {
     const { clock, emit, fleet } = this.parts;
     const unserved = fingerprints.filter((fingerprint) => !this.wasServedRecently(fingerprint));
     const added = this.ledger.add(replica, unserved);
@@ -282,12 +285,12 @@
   }
 
   private handleCrash(replica: string, fingerprints: readonly string[]): void {
-    this.noteAnnounced(replica);
+    this.recordAnnounced(replica);
     const possible = this.possibleCrashes.get(replica);
     const served = fingerprints.filter((fingerprint) => this.wasServedRecently(fingerprint));
     const added = this.ledger.add(replica, fingerprints);
     if (possible !== undefined) {
-      this.noteGone(replica);
+      this.recordGone(replica);
     }
     served.forEach((fingerprint) => {
       this.clear(fingerprint);
@@ -306,7 +309,7 @@
   }
 
   private getCollectors(fingerprint: string): string[] {
-    return getRendezvousOrder(fingerprint, this.parts.fleet.members).slice(0, COLLECTORS);
+    return getRendezvousOrder(fingerprint, this.parts.fleet.members).slice(0, COLLECTOR_COUNT);
   }
 
   /** Sends a crash to the collectors of each request. */
@@ -349,24 +352,24 @@
     const delay = getHash(`${replica} ${fleet.self}`) % quarantineOptions.announcementJitter;
     clock.setTimer(delay, () => {
       if (!this.announced.has(replica)) {
-        this.noteAnnounced(replica);
+        this.recordAnnounced(replica);
         this.share({ kind: 'crashed', replica, fingerprints: [] });
       }
     });
   }
 
-  private noteAnnounced(replica: string): void {
-    const newest = [...this.announced].slice(-quarantineOptions.mostCrashes);
+  private recordAnnounced(replica: string): void {
+    const newest = [...this.announced].slice(-quarantineOptions.maxCrashes);
     this.announced = new Set([...newest, replica]);
   }
 
   /** Evaluates crashes after the last of a series of reports, within an upper bound. */
   private scheduleEvaluation(): void {
     const { clock } = this.parts;
-    const { evaluationDelay, longestEvaluationDelay } = quarantineOptions;
+    const { evaluationDelay, maxEvaluationDelay } = quarantineOptions;
     const now = clock.now();
     if (this.evaluationTimer === undefined) {
-      this.evaluationDeadline = now + longestEvaluationDelay;
+      this.evaluationDeadline = now + maxEvaluationDelay;
     }
     this.evaluationTimer?.cancel();
     const delay = Math.min(evaluationDelay, this.evaluationDeadline - now);
@@ -418,7 +421,7 @@
 
   private evict(): void {
     this.expire();
-    if (this.entries.size >= quarantineOptions.mostEntries) {
+    if (this.entries.size >= quarantineOptions.maxEntries) {
       const [first] = [...this.entries].sort(([, left], [, right]) => left.until - right.until);
       this.entries.delete(first![0]);
     }
@@ -448,7 +451,7 @@
   private expireServed(): void {
     const oldest = this.parts.clock.now() - quarantineOptions.servedRetention;
     for (const [fingerprint, at] of this.servedAt) {
-      if (at >= oldest && this.servedAt.size <= quarantineOptions.mostServed) {
+      if (at >= oldest && this.servedAt.size <= quarantineOptions.maxServed) {
         return;
       }
       this.servedAt.delete(fingerprint);
@@ -464,7 +467,7 @@
     });
   }
 
-  private share(news: QuarantineNews, to?: string): void {
-    this.parts.emit({ kind: 'share', update: news, to });
+  private share(update: QuarantineUpdate, to?: string): void {
+    this.parts.emit({ kind: 'share', update, to });
   }
 }
--- a/packages/relay/src/lib/decide/quarantine/quarantineOptions.ts
+++ b/packages/relay/src/lib/decide/quarantine/quarantineOptions.ts
@@ -2,7 +2,7 @@
 
 /** Thresholds, durations and limits for detecting and rejecting requests that crash replicas. */
 export const quarantineOptions = {
-  /** Crashes with the request under way before it can be quarantined. */
+  /** Crashes with the request in flight before it can be quarantined. */
   crashThreshold: 3,
   /** Crashes after which a request is quarantined regardless of other crashes. */
   certainThreshold: 4,
@@ -11,7 +11,7 @@
   /** Delay between a report and its evaluation, so that reports of the same crash can arrive. */
   evaluationDelay: 150 satisfies Milliseconds,
   /** Upper bound of that delay, which each further report extends. */
-  longestEvaluationDelay: 600 satisfies Milliseconds,
+  maxEvaluationDelay: 600 satisfies Milliseconds,
   /** Upper bound of the delay before a daemon announces a crash, to avoid duplicate announcements. */
   announcementJitter: 100 satisfies Milliseconds,
   /** How long a broken replica is tracked while it is unknown whether it crashed. */
@@ -27,13 +27,13 @@
   /** How long quarantine reports from other daemons are rejected for a released request. */
   releaseRetention: 60_000 satisfies Milliseconds,
   /** Limit on stored served requests; the least recently served are evicted first. */
-  mostServed: 5_000,
+  maxServed: 5_000,
   /** Limit on stored crashes; the oldest are evicted first. */
-  mostCrashes: 64,
+  maxCrashes: 64,
   /** Limit on stored requests of one crash. */
-  mostPerCrash: 256,
+  maxRequestsPerCrash: 256,
   /** Limit on quarantined requests; the one that expires first is evicted. */
-  mostEntries: 500,
+  maxEntries: 500,
   /** Limits per datagram that keep it below an MTU of 1,500 bytes. */
   maxRequestsPerDatagram: 8,
   maxFingerprintsPerDatagram: 40,
