--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -152,7 +152,7 @@
   fetchTokens?: number;
 }
 
-/** Response to a placement query. The placer counts the attempt as in flight once it is sent. */
+/** Response to a placement query. From then on, the placer counts the attempt as in flight. */
 export interface PlacementResponse {
   key: string;
   /** Absent if no replica of the group is suitable. */
@@ -199,7 +199,7 @@
   | { kind: 'ended'; key: string; result?: SharedAttemptResult }
   | { kind: 'ask'; query: PlacementQuery }
   | { kind: 'reply'; response: PlacementResponse }
-  /** An attempt at a replica broke. */
+  /** An attempt at a replica broke, or a liveness check of the replica failed. */
   | { kind: 'attempt-broken'; replica: string }
   /** Requests that were in flight at a replica when it crashed. */
   | { kind: 'crashed'; replica: string; fingerprints: string[] }
@@ -305,7 +305,7 @@
   slack?: Milliseconds;
   /** Share of recent time that the engine spent on prefill. */
   readingShare: number;
-  /** Number of other streams whose pause target this choice is expected to break. */
+  /** Number of other streams expected to exceed their pause target because of this choice. */
   harmed: number;
 }
 
