--- a/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
+++ b/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
@@ -211,10 +211,10 @@
   /** Replaces the attempts of a peer by its list, which corrects the effects of lost updates. */
   private reconcile(attempts: Map<string, RunningAttempt>, shared: SharedAttempt[]): void {
     const current = new Set(shared.map(({ key }) => key));
-    const latestExpected = this.parts.clock.now() - LIST_GRACE_PERIOD;
+    const graceCutoff = this.parts.clock.now() - LIST_GRACE_PERIOD;
     [...attempts]
       .filter(([key]) => !current.has(key))
-      .filter(([, { isPlacedForPeer, sentAt }]) => !isPlacedForPeer || sentAt <= latestExpected)
+      .filter(([, { isPlacedForPeer, sentAt }]) => !isPlacedForPeer || sentAt <= graceCutoff)
       .forEach(([key]) => PeerAttempts.remove(attempts, key));
     shared.forEach((attempt) => {
       this.add(attempts, attempt);
@@ -229,15 +229,15 @@
    * minute to notice that daemons are gone; until then, their attempts would make engines seem full.
    */
   private removeExpired(): void {
-    const expired = this.parts.clock.now() - LIST_TIMEOUT;
-    if (this.lastExpiryCheckAt > expired) {
+    const expiryCutoff = this.parts.clock.now() - LIST_TIMEOUT;
+    if (this.lastExpiryCheckAt > expiryCutoff) {
       return;
     }
     this.lastExpiryCheckAt = this.parts.clock.now();
     this.byPeer.forEach((attempts, peer) => {
-      if ((this.lastListAt.get(peer) ?? Number.NEGATIVE_INFINITY) < expired) {
+      if ((this.lastListAt.get(peer) ?? Number.NEGATIVE_INFINITY) < expiryCutoff) {
         [...attempts]
-          .filter(([, { isPlacedForPeer, sentAt }]) => isPlacedForPeer && sentAt < expired)
+          .filter(([, { isPlacedForPeer, sentAt }]) => isPlacedForPeer && sentAt < expiryCutoff)
           .forEach(([key]) => PeerAttempts.remove(attempts, key));
       }
     });
--- a/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
+++ b/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
@@ -174,7 +174,7 @@
   // second later, each engine would look idle to every daemon; a placer counts each from its choice on.
   it('considers its earlier choices when it chooses for peers', () => {
     const { placer } = createMember();
-    const chooser = new Member(placer);
+    const placerMember = new Member(placer);
     const choose = (peer: string, key: string) => {
       const criteria = {
         service: 'llm',
@@ -183,8 +183,8 @@
         prompt: createPrompt([[`own-${peer}-${key}`, 3_000]]),
       };
       const query = { key, wish: criteria, availabilityZone: '', tried: [] };
-      chooser.receive(peer, { kind: 'ask', query });
-      return chooser.getShared('reply').at(-1)!.update.response.placement!;
+      placerMember.receive(peer, { kind: 'ask', query });
+      return placerMember.getShared('reply').at(-1)!.update.response.placement!;
     };
     const first = DAEMONS.slice(0, 4).map((peer) => choose(peer, 'a'));
     expect(new Set(first.map(({ replica }) => replica)).size).toBe(4);
@@ -192,16 +192,16 @@
     expect(second.tokensAhead).toBeGreaterThan(4_000);
     // An attempt that has ended frees its engine.
     const index = first.findIndex(({ replica }) => replica !== second.replica);
-    chooser.receive(`d-${index}`, { kind: 'first-byte-received', key: 'a' });
+    placerMember.receive(`d-${index}`, { kind: 'first-byte-received', key: 'a' });
     const result = { end: AttemptEnd.Completed, after: 100 };
-    chooser.receive(`d-${index}`, { kind: 'ended', key: 'a', result });
+    placerMember.receive(`d-${index}`, { kind: 'ended', key: 'a', result });
     expect(choose('d-10', 'a').replica).toBe(first[index]!.replica);
-    expect(chooser.harness.get('placed-for')).toHaveLength(6);
+    expect(placerMember.harness.get('placed-for')).toHaveLength(6);
   });
 
   it('removes the attempts of a peer that is gone, or that no longer lists them', () => {
     const { placer } = createMember();
-    const chooser = new Member(placer);
+    const placerMember = new Member(placer);
     const criteria = {
       service: 'llm',
       rank: 1,
@@ -209,21 +209,21 @@
       prompt: createPrompt([['own', 3_000]]),
     };
     const getRunning = () =>
-      chooser.harness.core.registry
+      placerMember.harness.core.registry
         .getService('llm')
         .getReplicasInService()
         .reduce((sum, { running }) => sum + running.size, 0);
     ['d-0', 'd-1'].forEach((peer) => {
       const query = { key: 'a', wish: criteria, availabilityZone: '', tried: [] };
-      chooser.receive(peer, { kind: 'ask', query });
+      placerMember.receive(peer, { kind: 'ask', query });
     });
     // This list may have been written before the peer received the placement.
-    chooser.receive('d-0', { kind: 'attempt-list', attempts: [] });
+    placerMember.receive('d-0', { kind: 'attempt-list', attempts: [] });
     expect(getRunning()).toBe(2);
-    chooser.harness.clock.advance(1_000);
-    chooser.receive('d-0', { kind: 'attempt-list', attempts: [] });
+    placerMember.harness.clock.advance(1_000);
+    placerMember.receive('d-0', { kind: 'attempt-list', attempts: [] });
     expect(getRunning()).toBe(1);
-    chooser.harness.core.handle({ kind: 'peer-removed', peer: 'd-1' });
+    placerMember.harness.core.handle({ kind: 'peer-removed', peer: 'd-1' });
     expect(getRunning()).toBe(0);
   });
 
--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -68,7 +68,7 @@
   Cancelled = 'cancelled',
 }
 
-/** Whether a request ran that ends without a response from a replica. */
+/** For a request that ends without a response from a replica: whether it ran. */
 export enum Outcome {
   NotRun = 'not-run',
   Unknown = 'unknown',
