--- a/packages/relay/src/lib/decide/EngineReading/EngineLessons.ts
+++ b/packages/relay/src/lib/decide/PrefillEstimator/EngineStatistics.ts
@@ -1,5 +1,5 @@
 import type { EngineProfile } from '../../config/RelayConfiguration.js';
-import { ReadRate } from '../ReadRate/ReadRate.js';
+import { ReadRate } from '../PrefillRate/PrefillRate.js';
 import { SetupTime } from '../SetupTime/SetupTime.js';
 
 /** What is learned of the engines of one service, all together. */
--- a/packages/relay/src/lib/decide/EngineReading/EngineReading.ts
+++ b/packages/relay/src/lib/decide/PrefillEstimator/PrefillEstimator.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { EngineProfile } from '../../config/RelayConfiguration.js';
-import { ReadRate } from '../ReadRate/ReadRate.js';
+import { ReadRate } from '../PrefillRate/PrefillRate.js';
 import type { RunningAttempt } from '../RequestRecord.js';
-import type { EngineLessons } from './EngineLessons.js';
+import type { EngineLessons } from './EngineStatistics.js';
 
 /** Waits behind fewer tokens tell of the set-up, those behind more of the rate. */
 const LEAST_TOKENS = 1_500;
--- a/packages/relay/src/lib/decide/ReadRate/ReadRate.test.ts
+++ b/packages/relay/src/lib/decide/PrefillRate/PrefillRate.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
 import { createRandom } from '@apricotrill/utils';
-import { ReadRate, rateOptions } from './ReadRate.js';
+import { ReadRate, rateOptions } from '../PrefillRate/PrefillRate.js';
 
 /** Prompts of an engine that reads so fast; what one seems to take too long the next takes too little. */
 function teach(rate: ReadRate, speed: number, count: number): void {
--- a/packages/relay/src/lib/decide/BreakWindow/BreakWindow.test.ts
+++ b/packages/relay/src/lib/decide/ReplicaCooldown/ReplicaCooldown.test.ts
@@ -6,7 +6,7 @@
 } from '../../../test/fixtures.js';
 import { CoreHarness } from '../../../test/CoreHarness.js';
 import { AttemptEnd } from '../messages.js';
-import { BreakWindow, breakOptions } from './BreakWindow.js';
+import { BreakWindow, breakOptions } from '../ReplicaCooldown/ReplicaCooldown.js';
 
 describe('BreakWindow', () => {
   it('avoids a replica from the third break in the window on, and no longer than the span', () => {
--- a/packages/relay/src/lib/decide/ReplicaRegistry/ServiceState.ts
+++ b/packages/relay/src/lib/decide/ReplicaRegistry/ServiceState.ts
@@ -1,13 +1,13 @@
 import type { ScalableService, ZoneSupply } from '@apricotrill/duties';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RelayReplica, RelayService } from '../../config/RelayConfiguration.js';
-import { getFleetShare } from '../fleetShare.js';
-import { getHomes, getSessionPart } from '../getHoldings.js';
+import { getFleetShare } from '../getFleetShare.js';
+import { getHomes, getSessionPart } from '../getCachedPrefixes.js';
 import { getReplicaGroups } from '../groups/getReplicaGroups.js';
 import type { ReplicaGroup } from '../groups/getReplicaGroups.js';
 import type { ReplicaLimits } from '../limits/ReplicaLimits/ReplicaLimits.js';
 import type { PlacementCriteria } from '../messages.js';
-import { EngineLessons } from '../EngineReading/EngineLessons.js';
+import { EngineLessons } from '../PrefillEstimator/EngineStatistics.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import { RetryBudget } from '../RetryBudget/RetryBudget.js';
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { EngineProfile, RelayReplica } from '../../config/RelayConfiguration.js';
-import { BreakWindow } from '../BreakWindow/BreakWindow.js';
+import { BreakWindow } from '../ReplicaCooldown/ReplicaCooldown.js';
 import { CacheView } from '../CacheView/CacheView.js';
-import { EngineReading } from '../EngineReading/EngineReading.js';
-import type { EngineLessons } from '../EngineReading/EngineLessons.js';
+import { EngineReading } from '../PrefillEstimator/PrefillEstimator.js';
+import type { EngineLessons } from '../PrefillEstimator/EngineStatistics.js';
 import type { LoadReport } from '../messages.js';
 import { getHarm, getPauseSlack } from '../pauses.js';
 import type { PlacementOptions } from '../placementOptions.js';
--- a/packages/relay/src/lib/decide/SetupTime/SetupTime.ts
+++ b/packages/relay/src/lib/decide/SetupTime/SetupTime.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { quantileOf } from './quantileOf.js';
+import { quantileOf } from './getQuantile.js';
 
 /** How the set-up time is learned. */
 export const setupOptions = {
--- a/packages/relay/src/lib/decide/chooseReplica.ts
+++ b/packages/relay/src/lib/decide/chooseReplica.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { getHoldings, getHomes, getSessionPart } from './getHoldings.js';
-import type { Holding } from './getHoldings.js';
+import { getHoldings, getHomes, getSessionPart } from './getCachedPrefixes.js';
+import type { Holding } from './getCachedPrefixes.js';
 import type { Choice } from './messages.js';
-import { getEngineOffer } from './offers/getEngineOffer.js';
-import { getPlainOffer } from './offers/getPlainOffer.js';
-import type { ChoiceInputs, EngineInputs, Offer, Source } from './offers/Offer.js';
+import { getEngineOffer } from './estimates/getEngineEstimate.js';
+import { getPlainOffer } from './estimates/getPlainEstimate.js';
+import type { ChoiceInputs, EngineInputs, Offer, Source } from './estimates/ReplicaEstimate.js';
 import type { ReplicaState } from './ReplicaState/ReplicaState.js';
 
 /** The replica chosen, and why. */
--- a/packages/relay/src/lib/decide/offers/Offer.ts
+++ b/packages/relay/src/lib/decide/estimates/ReplicaEstimate.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RelayService } from '../../config/RelayConfiguration.js';
-import type { Holding } from '../getHoldings.js';
+import type { Holding } from '../getCachedPrefixes.js';
 import type { PauseEstimate, PlacementCriteria } from '../messages.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
--- a/packages/relay/src/lib/decide/offers/getCrossingCost.ts
+++ b/packages/relay/src/lib/decide/estimates/getCrossZoneCost.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
-import type { ChoiceInputs } from './Offer.js';
+import type { ChoiceInputs } from '../estimates/ReplicaEstimate.js';
 
 const TOKENS_PER_THOUSAND = 1_000;
 
--- a/packages/relay/src/lib/decide/offers/getEngineOffer.ts
+++ b/packages/relay/src/lib/decide/estimates/getEngineEstimate.ts
@@ -3,8 +3,8 @@
 import { getHarm } from '../pauses.js';
 import type { PlacementOptions } from '../placementOptions.js';
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
-import { getCrossingCost } from './getCrossingCost.js';
-import type { ChoiceInputs, Copy, EngineInputs, Offer } from './Offer.js';
+import { getCrossingCost } from '../estimates/getCrossZoneCost.js';
+import type { ChoiceInputs, Copy, EngineInputs, Offer } from '../estimates/ReplicaEstimate.js';
 
 /** Where the expected wait, as a part of the target, begins to be late, and where it surely is. */
 const SURELY_IN_TIME = 0.5;
--- a/packages/relay/src/lib/decide/offers/getPlainOffer.ts
+++ b/packages/relay/src/lib/decide/estimates/getPlainEstimate.ts
@@ -1,6 +1,6 @@
 import type { ReplicaState } from '../ReplicaState/ReplicaState.js';
-import { getCrossingCost } from './getCrossingCost.js';
-import type { ChoiceInputs, Offer } from './Offer.js';
+import { getCrossingCost } from '../estimates/getCrossZoneCost.js';
+import type { ChoiceInputs, Offer } from '../estimates/ReplicaEstimate.js';
 
 /** The wait for an answer of a plain service: its time, and more for what waits before. */
 export function getPlainOffer(inputs: ChoiceInputs, state: ReplicaState): Offer {
--- a/packages/relay/src/lib/decide/getHoldings.test.ts
+++ b/packages/relay/src/lib/decide/getCachedPrefixes.test.ts
@@ -6,8 +6,8 @@
   createRequest,
 } from '../../test/fixtures.js';
 import { CoreHarness } from '../../test/CoreHarness.js';
-import { EngineLessons } from './EngineReading/EngineLessons.js';
-import { getHoldings } from './getHoldings.js';
+import { EngineLessons } from './PrefillEstimator/EngineStatistics.js';
+import { getHoldings } from './getCachedPrefixes.js';
 import { placementOptions } from './placementOptions.js';
 import { ReplicaState } from './ReplicaState/ReplicaState.js';
 
--- a/packages/relay/src/lib/decide/fleetShare.test.ts
+++ b/packages/relay/src/lib/decide/getFleetShare.test.ts
@@ -1,5 +1,5 @@
 import * as fc from 'fast-check';
-import { getFleetShare, shareOptions } from './fleetShare.js';
+import { getFleetShare, shareOptions } from './getFleetShare.js';
 
 const BOUND = 1_000;
 
--- a/packages/relay/src/lib/decide/groups/getReplicaGroups.test.ts
+++ b/packages/relay/src/lib/decide/groups/getReplicaGroups.test.ts
@@ -1,5 +1,5 @@
 import { createReplica } from '../../../test/fixtures.js';
-import { EngineLessons } from '../EngineReading/EngineLessons.js';
+import { EngineLessons } from '../PrefillEstimator/EngineStatistics.js';
 import { placementOptions } from '../placementOptions.js';
 import { ReplicaState } from '../ReplicaState/ReplicaState.js';
 import { getReplicaGroups, groupOptions } from './getReplicaGroups.js';
