--- a/packages/relay/src/lib/config/ActiveConfiguration.ts
+++ b/packages/relay/src/lib/config/ActiveConfiguration.ts
@@ -3,16 +3,16 @@
 import type { RelayConfiguration } from './RelayConfiguration.js';
 import { RouteTable } from './RouteTable.js';
 
-/** One version of the configuration with its look-up tables, taken over as a whole. */
+/** A version of the configuration with its lookup tables, which are replaced together. */
 export interface ActiveConfiguration {
   configuration: RelayConfiguration;
   routes: RouteTable;
   ranks: PriorityRanks;
-  /** Absent where callers need no keys. */
+  /** Undefined if callers need no keys. */
   keys: KeyTable | undefined;
 }
 
-/** Builds the look-up tables of a version. */
+/** Builds the lookup tables of a configuration. */
 export function createActiveConfiguration(configuration: RelayConfiguration): ActiveConfiguration {
   const { routes, workspaces } = configuration;
   return {
--- a/packages/relay/src/lib/config/KeyTable.ts
+++ b/packages/relay/src/lib/config/KeyTable.ts
@@ -1,6 +1,6 @@
 import type { RelayWorkspace } from './RelayConfiguration.js';
 
-/** Finds the workspace that holds a key. */
+/** Finds the workspace that a key belongs to. */
 export class KeyTable {
   private readonly byKey = new Map<string, RelayWorkspace>();
 
--- a/packages/relay/src/lib/config/PriorityRanks.test.ts
+++ b/packages/relay/src/lib/config/PriorityRanks.test.ts
@@ -16,10 +16,9 @@
 }
 
 describe('PriorityRanks', () => {
-  // Symptom: an engine out of memory stops supervisors' questions while overnight summaries run on.
-  // Sequence: every workspace states priority 1; a burst fills an engine. Cause: the priority of the
-  // workspace took the place of the route's, so that both kinds had the same one at the engine.
-  it('lets the priority of the route decide among workspaces of equal priority', () => {
+  // Guards against an engine that runs out of memory and preempts urgent requests while less urgent ones
+  // keep running: all workspaces had priority 1, which replaced the priority of the route.
+  it('ranks by the priority of the route among workspaces of equal priority', () => {
     const question = createRoute({ name: 'question', priority: 1, latencyTarget: 600 });
     const summary = createRoute({ name: 'summary', priority: 2, latencyTarget: 1_500 });
     const help = createRoute({ name: 'help', priority: 0, latencyTarget: 400 });
@@ -32,7 +31,7 @@
     expect(second).toBeLessThan(third!);
   });
 
-  it('lets the priority of the workspace decide first, and the target last', () => {
+  it('ranks by the priority of the workspace first, and by the latency target last', () => {
     const slow = createRoute({ name: 'slow', priority: 1, latencyTarget: 900 });
     const fast = createRoute({ name: 'fast', priority: 1, latencyTarget: 300 });
     const urgent = createWorkspace('urgent', 0);
@@ -42,14 +41,14 @@
     expect(ranks.get(fast, 'app', calm)).toBeLessThan(ranks.get(slow, 'app', calm));
   });
 
-  it('ranks only among the requests of one service', () => {
+  it('ranks the requests of each service separately', () => {
     const other = createRoute({ priority: 0, targets: [{ service: 'other', weight: 1 }] });
     const own = createRoute({ priority: 4 });
     const ranks = new PriorityRanks(createConfiguration([other, own]));
     expect(ranks.get(own, 'app', undefined)).toBe(0);
   });
 
-  it('agrees with the order of what is stated, and leaves no rank out', () => {
+  it('agrees with the order of the priorities', () => {
     const priority = fc.integer({ min: 0, max: 12 });
     const routes = fc.array(
       fc.record({ priority, latencyTarget: fc.constantFrom(100, 200, 400) }),
--- a/packages/relay/src/lib/config/PriorityRanks.ts
+++ b/packages/relay/src/lib/config/PriorityRanks.ts
@@ -1,83 +1,84 @@
 import type { RelayConfiguration, RelayRoute, RelayWorkspace } from './RelayConfiguration.js';
 
-/** A place in the order of urgency, compared from the first number to the last. */
-type Place = readonly [
-  /** Of the workspace; of the route where the workspace states none. */
+/** The urgency of a request; elements are compared in order, lower is more urgent. */
+type Urgency = readonly [
+  /** Priority of the workspace, or of the route if the workspace has none. */
   stated: number,
-  /** Of the route: decides among requests of workspaces of equal priority. */
+  /** Priority of the route, for workspaces of equal priority. */
   route: number,
   /** 0 for the shortest latency target among the service's routes, else 1. */
-  haste: number,
+  latency: number,
 ];
 
-function comparePlaces(left: Place, right: Place): number {
+function compareUrgencies(left: Urgency, right: Urgency): number {
   const index = left.findIndex((value, at) => value !== right[at]);
   return index === -1 ? 0 : left[index]! - right[index]!;
 }
 
-/** The places that occur, each once, the most urgent first. */
-function getOrder(places: readonly Place[]): Place[] {
-  const ordered = [...places].sort(comparePlaces);
+/** Returns the distinct urgencies, the most urgent first. */
+function getDistinctUrgencies(urgencies: readonly Urgency[]): Urgency[] {
+  const ordered = [...urgencies].sort(compareUrgencies);
   return ordered.filter(
-    (place, index) => index === 0 || comparePlaces(place, ordered[index - 1]!) !== 0,
+    (urgency, index) => index === 0 || compareUrgencies(urgency, ordered[index - 1]!) !== 0,
   );
 }
 
 /**
- * The order of urgency among the requests of each service, as one number a request.
+ * Ranks the requests of each service by urgency. The rank is sent to the engines.
  *
- * What goes wrong without it: every workspace states the same priority, and where that alone goes
- * to the engines, a supervisor's question and an overnight summary look alike there. An engine that
- * runs out of memory then stops whichever came last. One notices requests of an urgent route that
- * are stopped while those of a less urgent one run on. So the workspace's priority decides first,
- * the route's among equals, and after both the latency target: a short question that waits behind a
- * long prompt is late, while the prompt that lets it pass loses a fraction of the question's few
- * milliseconds.
+ * The priority of the workspace decides first, then the priority of the route, then the latency target.
+ * The priority of the workspace alone is not sufficient: if all workspaces have the same one, an engine
+ * that runs out of memory preempts the latest request, even if it belongs to an urgent route while
+ * requests of a less urgent route keep running. The latency target decides last because a short prompt
+ * that waits behind a long one misses its target, while the long one is delayed by only a few
+ * milliseconds if the short one runs first.
  *
  * @example
  * ```ts
  * const ranks = new PriorityRanks(configuration);
- * ranks.get(route, workspace); // 0 is the most urgent
+ * ranks.get(route, 'app', workspace); // 0 is the most urgent
  * ```
  */
 export class PriorityRanks {
-  private readonly orders = new Map<string, Place[]>();
+  private readonly byService = new Map<string, Urgency[]>();
 
-  private readonly shortestTargets = new Map<string, number>();
+  private readonly minLatencyTargets = new Map<string, number>();
 
   constructor({ routes, workspaces }: RelayConfiguration) {
-    routes.forEach((route) => this.noteTarget(route));
-    const stated = new Set((workspaces ?? []).map(({ priority }) => priority));
-    stated.add(undefined);
-    const places = new Map<string, Place[]>();
+    routes.forEach((route) => this.recordLatencyTarget(route));
+    const priorities = new Set((workspaces ?? []).map(({ priority }) => priority));
+    priorities.add(undefined);
+    const urgencies = new Map<string, Urgency[]>();
     routes.forEach((route) => {
-      const ofRoute = [...stated].map((priority) => this.getPlace(route, priority));
+      const routeUrgencies = [...priorities].map((priority) => this.getUrgency(route, priority));
       route.targets.forEach(({ service }) => {
-        places.set(service, [...(places.get(service) ?? []), ...ofRoute]);
+        urgencies.set(service, [...(urgencies.get(service) ?? []), ...routeUrgencies]);
       });
     });
-    places.forEach((ofService, service) => this.orders.set(service, getOrder(ofService)));
+    urgencies.forEach((serviceUrgencies, service) =>
+      this.byService.set(service, getDistinctUrgencies(serviceUrgencies)),
+    );
   }
 
-  /** The rank of a request at a service; 0 is the most urgent. */
+  /** Returns the rank of a request to a service; 0 is the most urgent. */
   get(route: RelayRoute, service: string, workspace: RelayWorkspace | undefined): number {
-    const place = this.getPlace(route, workspace?.priority);
-    const order = this.orders.get(service) ?? [];
-    const rank = order.findIndex((other) => comparePlaces(other, place) === 0);
-    return rank === -1 ? order.length : rank;
+    const urgency = this.getUrgency(route, workspace?.priority);
+    const urgencies = this.byService.get(service) ?? [];
+    const rank = urgencies.findIndex((other) => compareUrgencies(other, urgency) === 0);
+    return rank === -1 ? urgencies.length : rank;
   }
 
-  private noteTarget({ targets, latencyTarget }: RelayRoute): void {
+  private recordLatencyTarget({ targets, latencyTarget }: RelayRoute): void {
     targets.forEach(({ service }) => {
-      const shortest = this.shortestTargets.get(service) ?? Number.POSITIVE_INFINITY;
-      this.shortestTargets.set(service, Math.min(shortest, latencyTarget));
+      const minTarget = this.minLatencyTargets.get(service) ?? Number.POSITIVE_INFINITY;
+      this.minLatencyTargets.set(service, Math.min(minTarget, latencyTarget));
     });
   }
 
-  private getPlace(route: RelayRoute, stated: number | undefined): Place {
-    const isBeaten = route.targets.some(
-      ({ service }) => this.shortestTargets.get(service)! < route.latencyTarget,
+  private getUrgency(route: RelayRoute, priority: number | undefined): Urgency {
+    const hasShorterTarget = route.targets.some(
+      ({ service }) => this.minLatencyTargets.get(service)! < route.latencyTarget,
     );
-    return [stated ?? route.priority, route.priority, isBeaten ? 1 : 0];
+    return [priority ?? route.priority, route.priority, hasShorterTarget ? 1 : 0];
   }
 }
--- a/packages/relay/src/lib/config/RelayConfiguration.ts
+++ b/packages/relay/src/lib/config/RelayConfiguration.ts
@@ -1,25 +1,25 @@
 import type { ScalingLimits } from '@apricotrill/duties';
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** What may happen to a request more than once. */
+/** How often a request may run, and how its response is delivered. */
 export enum RouteKind {
   /** May run any number of times. */
   Idempotent = 'idempotent',
-  /** May run once at most. */
+  /** May run at most once. */
   Once = 'once',
-  /** Answered by a series of events; may run once at most, unless the route can be resumed. */
+  /** The response is a stream of events. May run at most once, unless the route is resumable. */
   Stream = 'stream',
 }
 
-/** A service that takes a part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   service: string;
-  /** Its part, against the sum of all weights of the route. */
+  /** Its share, relative to the sum of the route's weights. */
   weight: number;
 }
 
 /**
- * Where requests with a certain host and path go, and what may be done with them.
+ * A route: the services for requests with a host and path prefix, and the rules that apply to them.
  *
  * @public
  */
@@ -29,38 +29,38 @@
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** For streams: a broken answer may go on at another replica after the last whole event. */
+  /** For streams: another replica can continue a broken response after the last complete event. */
   resumable: boolean;
-  /** The longest time that a request may be kept without its last byte. */
+  /** Maximum time until the last byte of the response. */
   timeout: Milliseconds;
-  /** An answer (for streams: its first event) within this time is worth most. */
+  /** Target for the time until the response, or until its first event for streams. */
   latencyTarget: Milliseconds;
-  /** The longest pause between events that still counts as in time; absent for other kinds. */
+  /** Target for the maximum pause between events; absent for other kinds. */
   pauseTarget?: Milliseconds;
   /** 0 is the most urgent. */
   priority: number;
-  /** How many replicas one request may be sent to. */
+  /** Maximum number of replicas that a request may be sent to. */
   maxAttempts: number;
-  /** Needs no key. */
+  /** Whether callers need no key. */
   isPublic: boolean;
   targets: RouteTarget[];
 }
 
 /**
- * What is known of a model service's engines before any of them has reported.
+ * Properties of a model service's engines, used until the first load report.
  *
  * @public
  */
 export interface EngineProfile {
-  /** Requests that run at once in one engine. */
+  /** Maximum number of concurrent requests in an engine. */
   slots: number;
-  /** Tokens that running requests and cached prompts share. */
+  /** Size of the KV-cache memory in tokens, shared by running requests and cached prompts. */
   memoryTokens: number;
-  /** How many callers of one engine's cache events may wait at once. */
+  /** Maximum number of concurrent listeners to the cache events of an engine. */
   cacheListeners: number;
-  /** Tokens of one event of a stream. */
+  /** Number of tokens per stream event. */
   eventTokens: number;
-  /** How long one engine takes to copy a token of another's memory; absent where it can't. */
+  /** Time to copy the cache of one token from another engine; absent if copies are not supported. */
   copyTime?: Milliseconds;
 }
 
@@ -68,11 +68,11 @@
 export interface RelayService {
   name: string;
   healthPath: string;
-  /** Connections that one replica takes, from all daemons together. */
+  /** Maximum number of connections to a replica, across all daemons. */
   maxConnections: number;
   /** Present for services whose replicas are model engines. */
   engine?: EngineProfile;
-  /** Present for services whose replicas can be ordered. */
+  /** Present for services whose number of replicas can be scaled. */
   scaling?: ScalingLimits;
 }
 
@@ -80,49 +80,49 @@
 export interface RelayWorkspace {
   name: string;
   keys: string[];
-  /** Goes before the priority of the route; 0 is the most urgent. */
+  /** Takes precedence over the priority of the route; 0 is the most urgent. */
   priority?: number;
 }
 
-/** What one caller may use. */
+/** Limits that apply to each caller. */
 export interface CallerLimits {
   headerBytes: number;
   bodyBytes: number;
   headerTimeout: Milliseconds;
-  /** A kept connection may rest this long between two requests. */
+  /** Maximum idle time of a connection between two requests. */
   idleTimeout: Milliseconds;
 }
 
 /**
- * One version of what operators want, whole.
+ * A version of the complete configuration.
  *
  * @public
  */
 export interface RelayConfiguration {
-  /** Only grows. */
+  /** Increases with every change. */
   version: number;
   routes: RelayRoute[];
   services: RelayService[];
-  /** Absent where callers need no keys. */
+  /** Absent if callers need no keys. */
   workspaces?: RelayWorkspace[];
   limits: CallerLimits;
 }
 
 /**
- * One life of a backend server, from its start to its end; a restart is another replica.
+ * A replica: one run of a backend server, from its start to its end. A restart creates another replica.
  *
- * What goes wrong otherwise: a replica that starts again under its old name holds none of the
- * prompts it had read, is neither slow nor suspect any more, and has nothing under way. Believed to
- * be the one before, it gets prompts for which it has nothing, or nothing at all.
+ * After a restart under the same name, the server has no cached prompts and no requests in flight, and
+ * is neither slow nor suspect any longer. If it were treated as the same replica, it would receive
+ * requests whose prompts it no longer has cached, or no requests at all.
  *
  * @public
  */
 export interface RelayReplica {
-  /** Of this life alone: what is believed of a replica is kept under it, and ends with it. */
+  /** Unique to this run; all state about the replica is stored under this id. */
   id: string;
-  /** What the replica calls itself; the next life may have the same. */
+  /** The name stated by the replica, which may be the same after a restart. */
   name: string;
-  /** When this life began, in Unix milliseconds by the replica's clock; absent where it doesn't say. */
+  /** Start time in Unix milliseconds by the replica's clock; absent if it is not stated. */
   startedAt?: number;
   service: string;
   /** IP address and port, as in `10.0.0.1:80`. */
@@ -130,8 +130,8 @@
   availabilityZone: string;
   slots: number;
   isDraining: boolean;
-  /** Whether the platform may take it back at short notice; absent where it doesn't say. */
+  /** Whether the platform may terminate it at short notice; absent if it is not stated. */
   isPreemptible?: boolean;
-  /** How much longer it works slowly after its start. */
+  /** Remaining time of the warm-up after its start, during which it is slow. */
   warmupLeft: Milliseconds;
 }
--- a/packages/relay/src/lib/config/RouteTable.test.ts
+++ b/packages/relay/src/lib/config/RouteTable.test.ts
@@ -3,7 +3,7 @@
 import { RouteTable } from './RouteTable.js';
 
 describe('RouteTable', () => {
-  it('takes the longest prefix that begins the path, of that host alone', () => {
+  it('finds the route of the host with the longest matching prefix', () => {
     const short = createRoute({ name: 'short', pathPrefix: '/a/' });
     const long = createRoute({ name: 'long', pathPrefix: '/a/b/' });
     const other = createRoute({ name: 'other', host: 'b.example', pathPrefix: '/' });
@@ -15,7 +15,7 @@
     expect(table.find('c.example', '/')).toBeUndefined();
   });
 
-  it('agrees with a look at every route', () => {
+  it('agrees with a linear search over all routes', () => {
     const segment = fc.constantFrom('a', 'b', 'ab', '');
     const prefix = fc.array(segment, { maxLength: 3 }).map((parts) => `/${parts.join('/')}/`);
     const path = fc.array(segment, { maxLength: 5 }).map((parts) => `/${parts.join('/')}`);
--- a/packages/relay/src/lib/config/RouteTable.ts
+++ b/packages/relay/src/lib/config/RouteTable.ts
@@ -1,14 +1,14 @@
 import type { RelayRoute } from './RelayConfiguration.js';
 
-/** Longer prefixes go first. */
+/** Sorts longer prefixes first. */
 function compareByPrefix(left: RelayRoute, right: RelayRoute): number {
   return right.pathPrefix.length - left.pathPrefix.length;
 }
 
 /**
- * Finds the route of a request: of the routes of its host, the one whose prefix is the longest that
- * begins the path. A path is looked up by its prefixes, so that the cost does not grow with the
- * number of routes of a host.
+ * Finds the route of a request: the route of its host with the longest prefix that matches the path. The
+ * prefixes of the path are looked up one by one, so that the cost does not depend on the number of
+ * routes.
  */
 export class RouteTable {
   private readonly hosts = new Map<string, Map<string, RelayRoute>>();
@@ -23,8 +23,8 @@
   }
 
   /**
-   * @param host - the request's host, with or without a port
-   * @param target - path and query as the caller sent them
+   * @param host - host of the request, with or without a port
+   * @param target - path and query as sent by the caller
    */
   find(host: string, target: string): RelayRoute | undefined {
     const prefixes = this.hosts.get(host.replace(/:\d+$/, '').toLowerCase());
--- a/packages/relay/src/lib/http/HttpClient.test.ts
+++ b/packages/relay/src/lib/http/HttpClient.test.ts
@@ -6,16 +6,16 @@
 
 const TIMEOUT = 200;
 
-const CHUNKS = 8;
+const CHUNK_COUNT = 8;
 
-/** Keeps this process from doing anything else. */
-function block(span: number): void {
+/** Blocks the event loop. */
+function blockEventLoop(span: number): void {
   const end = performance.now() + span;
   while (performance.now() < end);
 }
 
-describe('HttpCaller', () => {
-  const caller = new HttpClient();
+describe('HttpClient', () => {
+  const client = new HttpClient();
 
   let server: Server;
 
@@ -26,7 +26,7 @@
     });
     const { port } = server.address() as AddressInfo;
     const address = `127.0.0.1:${port}`;
-    return caller.send({ step: 'read', method: 'GET', address, path: '/', timeout: TIMEOUT });
+    return client.send({ step: 'read', method: 'GET', address, path: '/', timeout: TIMEOUT });
   }
 
   afterEach(() => {
@@ -34,13 +34,13 @@
     server.closeAllConnections();
   });
 
-  afterAll(() => caller.dispose());
+  afterAll(() => client.dispose());
 
-  // Guards against a large answer on a slow link that is given up and begun again for ever.
-  it('lets an answer take longer than its timeout while it makes progress', async () => {
+  // Guards against a large response over a slow link that is aborted and retried forever.
+  it('allows a response to exceed the timeout while it makes progress', async () => {
     const { text } = await call((_request, response) => {
       const write = async () => {
-        for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
+        for (let chunk = 0; chunk < CHUNK_COUNT; chunk += 1) {
           response.write('x');
           // eslint-disable-next-line no-await-in-loop
           await wait(TIMEOUT / 4);
@@ -49,23 +49,23 @@
       };
       write().catch(() => response.destroy());
     });
-    expect(text).toHaveLength(CHUNKS);
+    expect(text).toHaveLength(CHUNK_COUNT);
   });
 
-  // Guards against connections that go silent in the middle of an answer.
-  it('gives up an answer that stops', async () => {
-    const answer = call((_request, response) => {
+  // Guards against connections that stall during a response.
+  it('aborts a response that stalls', async () => {
+    const result = call((_request, response) => {
       response.write('x');
     });
-    await expect(answer).rejects.toThrow(/nothing came for \d+ ms/);
+    await expect(result).rejects.toThrow(/no data received for \d+ ms/);
   });
 
-  // Guards against answers that are dropped since this process was busy when they came.
-  it('takes an answer that came while this process was busy', async () => {
-    const answer = call((_request, response) => {
+  // Guards against responses that are dropped because the event loop was blocked when they arrived.
+  it('accepts a response that arrived while the event loop was blocked', async () => {
+    const result = call((_request, response) => {
       response.end('whole');
-      setImmediate(() => block(2 * TIMEOUT));
+      setImmediate(() => blockEventLoop(2 * TIMEOUT));
     });
-    expect((await answer).text).toBe('whole');
+    expect((await result).text).toBe('whole');
   });
 });
--- a/packages/relay/src/lib/http/HttpClient.ts
+++ b/packages/relay/src/lib/http/HttpClient.ts
@@ -5,15 +5,15 @@
 import type { Dispatcher } from 'undici';
 import { Watchdog } from './Watchdog.js';
 
-/** A whole answer. */
+/** A complete response. */
 export interface HttpResponse {
   status: number;
   text: string;
 }
 
-/** A call to the store or to a replica's own interface. */
+/** A request to the store or to a replica's own API. */
 export interface HttpRequest {
-  /** Names the call in errors. */
+  /** Name of the call in error messages. */
   step: string;
   method: 'GET' | 'POST' | 'PUT' | 'DELETE';
   /** IP address and port. */
@@ -21,15 +21,15 @@
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** The call fails when no byte of the answer came for so long. */
+  /** The call fails if no data is received for this long. */
   timeout: Milliseconds;
   signal?: AbortSignal;
 }
 
-/** Opening a connection takes milliseconds; a lost opening packet is sent again after a second. */
+/** Opening a connection takes milliseconds; a lost SYN packet is sent again only after a second. */
 const CONNECT_TIMEOUT: Milliseconds = 500;
 
-/** Shorter than any of the peers keeps a connection that rests. */
+/** Shorter than the idle timeout of every server that is called. */
 const IDLE_TIMEOUT: Milliseconds = 3_000;
 
 async function readBody(
@@ -46,8 +46,8 @@
 }
 
 /**
- * Calls over HTTP; each ends in a whole answer or in an error, and in time. A call that got no
- * answer takes its connection with it, since that may have gone silent for good.
+ * An HTTP client whose calls end with a complete response or an error before their timeout. A call
+ * without a response closes its connection, since the connection may be dead.
  */
 export class HttpClient {
   private readonly agent = new Agent({
@@ -58,7 +58,7 @@
     connect: { timeout: CONNECT_TIMEOUT },
   });
 
-  /** @throws StepError when no whole answer came in time */
+  /** @throws StepError if no complete response is received in time */
   async send(request: HttpRequest): Promise<HttpResponse> {
     const { step, method, address, path, headers, body, timeout, signal } = request;
     const watchdog = new Watchdog(timeout);
@@ -74,14 +74,14 @@
         },
         signal: signal === undefined ? watchdog.signal : AbortSignal.any([watchdog.signal, signal]),
       });
-      watchdog.noteProgress();
-      const text = await readBody(response, () => watchdog.noteProgress());
+      watchdog.recordProgress();
+      const text = await readBody(response, () => watchdog.recordProgress());
       return { status: response.statusCode, text };
     } catch (cause) {
       const message = cause instanceof Error ? cause.message : String(cause);
       throw new StepError(message, { step, peer: address, cause });
     } finally {
-      watchdog.end();
+      watchdog.stop();
     }
   }
 
@@ -90,11 +90,11 @@
   }
 }
 
-/** Reads a JSON answer. @throws StepError when it is none */
+/** Parses a JSON response. @throws StepError if it is not valid JSON */
 export function parseJson(text: string, step: string, peer: string): unknown {
   try {
     return JSON.parse(text);
   } catch (cause) {
-    throw new StepError('the answer is no JSON', { step, peer, cause });
+    throw new StepError('response is not valid JSON', { step, peer, cause });
   }
 }
--- a/packages/relay/src/lib/http/Watchdog.ts
+++ b/packages/relay/src/lib/http/Watchdog.ts
@@ -1,10 +1,10 @@
 import { waitForSocketEvents } from '@apricotrill/callers';
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** A call that makes progress may take so long: a large answer on a slow link. */
-const LONGEST_CALL: Milliseconds = 10_000;
+/** Limit for calls that make progress, such as a large response over a slow link. */
+const MAX_CALL_DURATION: Milliseconds = 10_000;
 
-/** Aborts a call when nothing has come for too long. */
+/** Aborts a call if no data is received within the timeout. */
 export class Watchdog {
   private readonly controller = new AbortController();
 
@@ -12,46 +12,48 @@
 
   private readonly startedAt = performance.now();
 
-  private heardAt = this.startedAt;
+  private lastProgressAt = this.startedAt;
 
-  private isOver = false;
+  private isStopped = false;
 
   constructor(private readonly timeout: Milliseconds) {
-    this.timer = this.wait(timeout);
+    this.timer = this.startTimer(timeout);
   }
 
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** Bytes came. */
-  noteProgress(): void {
-    this.heardAt = performance.now();
+  recordProgress(): void {
+    this.lastProgressAt = performance.now();
   }
 
-  end(): void {
-    this.isOver = true;
+  stop(): void {
+    this.isStopped = true;
     clearTimeout(this.timer);
   }
 
-  private wait(span: Milliseconds): NodeJS.Timeout {
+  private startTimer(delay: Milliseconds): NodeJS.Timeout {
     return setTimeout(() => {
       this.check().catch((error: unknown) => this.controller.abort(error));
-    }, span);
+    }, delay);
   }
 
   private async check(): Promise<void> {
-    // Timers run before sockets are read: after a busy second the answer may be there already.
+    // Timers run before sockets are read, so that data may be pending if the event loop was blocked.
     await waitForSocketEvents();
     const now = performance.now();
-    const left = Math.min(this.heardAt + this.timeout, this.startedAt + LONGEST_CALL) - now;
-    if (this.isOver) {
+    const remaining =
+      Math.min(this.lastProgressAt + this.timeout, this.startedAt + MAX_CALL_DURATION) - now;
+    if (this.isStopped) {
       return;
     }
-    if (left > 0) {
-      this.timer = this.wait(left);
+    if (remaining > 0) {
+      this.timer = this.startTimer(remaining);
     } else {
-      this.controller.abort(new Error(`nothing came for ${Math.round(now - this.heardAt)} ms`));
+      this.controller.abort(
+        new Error(`no data received for ${Math.round(now - this.lastProgressAt)} ms`),
+      );
     }
   }
 }
--- a/packages/relay/src/lib/protocol/RelayProtocol.ts
+++ b/packages/relay/src/lib/protocol/RelayProtocol.ts
@@ -4,57 +4,57 @@
 import type { LoadReport, Prompt, StatedLimit } from '../decide/messages.js';
 import type { ResponseHead } from '../upstream/UpstreamExchange/UpstreamExchange.js';
 
-/** What a caller states about its request beside method, target and body. */
+/** Fields of a request that a caller states in its headers. */
 export interface RequestFields {
-  /** Unique for each attempt of a caller; absent where it names none. */
+  /** Unique to each attempt of a caller; undefined if it is not stated. */
   requestId: string | undefined;
   key: string | undefined;
-  /** How long the caller will wait; absent where it doesn't say. */
+  /** How long the caller waits; undefined if it is not stated. */
   timeout: Milliseconds | undefined;
   prompt: Prompt | undefined;
-  /** The last event that the caller has of a stream it wants to go on with. */
+  /** The last event that the caller received of a stream that it resumes. */
   resumeAfter: string | undefined;
 }
 
-/** What a replica is told about a request. */
+/** Fields of a request that are sent to a replica. */
 export interface UpstreamFields {
   replica: RelayReplica;
   workspace: string | undefined;
   timeLeft: Milliseconds;
-  /** Its place among the requests of its service; 0 is the most urgent. */
+  /** Urgency among the requests of its service; 0 is the most urgent. */
   rank: number;
-  /** The replica from which to copy what the engine lacks of the prompt. */
+  /** The replica from which to copy the part of the prompt that the engine has not cached. */
   fetchFrom: RelayReplica | undefined;
-  /** The caller has the stream up to this event. */
+  /** The last event of the stream that the caller has received. */
   resumeAfter: string | undefined;
 }
 
-/** What a replica states about its answer. */
+/** Fields of a response that a replica states in its headers. */
 export interface ResponseFields {
-  /** The request it answers; absent where it doesn't say. */
+  /** The id of the request; undefined if it is not stated. */
   requestId: string | undefined;
-  /** The replica vouches for the answer as its own. */
+  /** Whether the replica signed the response as its own. */
   isSigned: boolean;
-  /** The replica did not run the request. */
+  /** Whether the replica refused the request and did not run it. */
   isRefusal: boolean;
-  /** The replica is another one than the one that was meant, and did not run the request. */
+  /** Whether the request reached a replica that it was not intended for, and was not run. */
   isMisdirected: boolean;
   load: LoadReport | undefined;
-  /** The replica's rate limit across all daemons; undefined if the answer states none. */
+  /** The replica's rate limit across all daemons; undefined if the response states none. */
   limit: StatedLimit | undefined;
 }
 
 /**
- * How the relay's own fields stand in the headers of callers and replicas. What no field names is
- * passed on as it came.
+ * Maps the relay's fields to and from the headers of callers and replicas. All other headers are
+ * forwarded unchanged.
  *
  * @public
  */
 export interface RelayProtocol {
   readRequest(headers: IncomingHttpHeaders): RequestFields;
   /**
-   * @param rawHeaders - the caller's, names and values in turn, without those of one connection
-   * @returns what the replica gets
+   * @param rawHeaders - the caller's headers as alternating names and values, without hop-by-hop headers
+   * @returns the headers for the replica
    */
   getUpstreamHeaders(rawHeaders: readonly string[], fields: UpstreamFields): string[];
   readResponse(head: ResponseHead): ResponseFields;
--- a/packages/relay/src/lib/protocol/connectionHeaders.ts
+++ b/packages/relay/src/lib/protocol/connectionHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection and are never passed on. */
+/** Hop-by-hop headers, which are never forwarded. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -12,7 +12,7 @@
   'expect',
 ]);
 
-/** Calls back for each header of a list of names and values in turn. */
+/** Calls a function for each header in a list of alternating names and values. */
 function forEachHeader(
   rawHeaders: readonly string[],
   callback: (name: string, value: string) => void,
@@ -22,8 +22,8 @@
   }
 }
 
-/** Names that the `Connection` header declares to be of this connection too. */
-function getDeclared(rawHeaders: readonly string[]): Set<string> {
+/** Returns the names of further hop-by-hop headers, which the `Connection` header lists. */
+function getConnectionTokens(rawHeaders: readonly string[]): Set<string> {
   const declared = new Set<string>();
   forEachHeader(rawHeaders, (name, value) => {
     if (name.toLowerCase() === 'connection') {
@@ -34,10 +34,10 @@
 }
 
 /**
- * The headers of a message that may be passed on.
+ * Returns the headers of a message that may be forwarded.
  *
- * @param rawHeaders - names and values in turn
- * @param dropped - further names to leave out, in lower case
+ * @param rawHeaders - alternating names and values
+ * @param excluded - further names to omit, in lower case
  * @example
  * ```ts
  * getEndToEndHeaders(['Connection', 'close', 'X-Order', '7']); // ['X-Order', '7']
@@ -46,13 +46,13 @@
  */
 export function getEndToEndHeaders(
   rawHeaders: readonly string[],
-  dropped: ReadonlySet<string> = new Set(),
+  excluded: ReadonlySet<string> = new Set(),
 ): string[] {
-  const declared = getDeclared(rawHeaders);
+  const declared = getConnectionTokens(rawHeaders);
   const kept: string[] = [];
   forEachHeader(rawHeaders, (name, value) => {
     const key = name.toLowerCase();
-    if (!CONNECTION_HEADERS.has(key) && !declared.has(key) && !dropped.has(key)) {
+    if (!CONNECTION_HEADERS.has(key) && !declared.has(key) && !excluded.has(key)) {
       kept.push(name, value);
     }
   });
@@ -60,7 +60,7 @@
 }
 
 /**
- * The first value of a header in a list of names and values in turn.
+ * Returns the first value of a header in a list of alternating names and values.
  *
  * @example
  * ```ts
@@ -68,10 +68,10 @@
  * ```
  * @public
  */
-export function findHeader(rawHeaders: readonly string[], wanted: string): string | undefined {
+export function findHeader(rawHeaders: readonly string[], wantedName: string): string | undefined {
   let found: string | undefined;
   forEachHeader(rawHeaders, (name, value) => {
-    if (found === undefined && name.toLowerCase() === wanted) {
+    if (found === undefined && name.toLowerCase() === wantedName) {
       found = value;
     }
   });
--- a/packages/relay/src/lib/status/StatusServer.ts
+++ b/packages/relay/src/lib/status/StatusServer.ts
@@ -4,25 +4,25 @@
 import polka from 'polka';
 import type { RelayMetrics } from '../observe/RelayMetrics.js';
 
-/** What the status port shows. */
-export interface StatusView {
+/** Dependencies of {@link StatusServer}. */
+export interface StatusServerParts {
   isReady: () => boolean;
-  /** Further paths at which readiness is asked for. */
+  /** Additional paths of the readiness endpoint. */
   readyPaths: readonly string[];
   metrics: RelayMetrics;
-  /** What operators are shown of duties; undefined where there are none. */
+  /** The state of the duties, for operators; undefined if there are none. */
   getDuties: () => unknown;
 }
 
-/** Answers the balancer's question for readiness, and serves metrics. */
+/** Serves readiness to the load balancer, and metrics and the state of duties to operators. */
 export class StatusServer {
   private readonly servers: Server[] = [];
 
   private readonly handler: (request: IncomingMessage, response: ServerResponse) => void;
 
-  constructor(private readonly view: StatusView) {
+  constructor(private readonly parts: StatusServerParts) {
     const app = polka({ server: createServer() });
-    ['/ready', ...view.readyPaths].forEach((path) => {
+    ['/ready', ...parts.readyPaths].forEach((path) => {
       app.get(path, (_request, response) => this.writeReady(response));
     });
     app.get('/duties', (_request, response) => this.writeDuties(response));
@@ -30,7 +30,7 @@
     this.handler = app.handler.bind(app) as unknown as typeof this.handler;
   }
 
-  /** @returns the port, for when the machine chose it */
+  /** @returns the port, which the operating system chooses if 0 is given */
   listen(host: string, port: number): Promise<number> {
     const server = createServer(this.handler);
     this.servers.push(server);
@@ -48,21 +48,21 @@
   }
 
   private writeReady(response: ServerResponse): void {
-    const isReady = this.view.isReady();
+    const isReady = this.parts.isReady();
     response.statusCode = isReady ? 200 : 503;
     response.setHeader('content-type', 'application/json');
     response.end(JSON.stringify({ ready: isReady }));
   }
 
   private writeDuties(response: ServerResponse): void {
-    const duties = this.view.getDuties();
+    const duties = this.parts.getDuties();
     response.statusCode = duties === undefined ? 404 : 200;
     response.setHeader('content-type', 'application/json');
     response.end(JSON.stringify(duties ?? { reason: 'the platform wants no duties' }));
   }
 
   private async writeMetrics(response: ServerResponse): Promise<void> {
-    const { registry } = this.view.metrics;
+    const { registry } = this.parts.metrics;
     const text = await registry.metrics();
     response.setHeader('content-type', registry.contentType);
     response.end(text);
