--- a/packages/relay/src/lib/duties/DemandCounter/DemandCounter.ts
+++ b/packages/relay/src/lib/duties/DemandCounter/DemandCounter.ts
@@ -3,45 +3,45 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Demand is measured over this long. */
-const SPAN: Milliseconds = 2_000;
+/** Period over which demand is measured. */
+const DEMAND_WINDOW: Milliseconds = 2_000;
 
-interface Sent {
+interface SentPrompt {
   tokens: number;
   at: Milliseconds;
 }
 
-interface Counts {
-  sent: Sent[];
+interface ServiceCounts {
+  sent: SentPrompt[];
   running: number;
 }
 
-/** What this daemon had under way for each service lately. */
+/** Measures the demand that this daemon sends to each service. */
 export class DemandCounter {
-  private readonly services = new Map<string, Counts>();
+  private readonly services = new Map<string, ServiceCounts>();
 
-  /** @param tokens - prompt tokens that the engine has to read */
-  noteSent(service: string, tokens: number, now: Milliseconds): void {
+  /** @param tokens - prompt tokens that the engine has to compute */
+  recordSent(service: string, tokens: number, now: Milliseconds): void {
     const counts = this.services.get(service) ?? { sent: [], running: 0 };
     this.services.set(service, counts);
     counts.running += 1;
     counts.sent.push({ tokens, at: now });
   }
 
-  noteEnded(service: string): void {
+  recordEnded(service: string): void {
     const counts = this.services.get(service);
     if (counts !== undefined) {
       counts.running = Math.max(0, counts.running - 1);
     }
   }
 
-  /** The demand of the last seconds; services without any are left out. */
+  /** Returns the recent demand by service, without services that have none. */
   getDemand(now: Milliseconds): ServiceDemand[] {
     return [...this.services].flatMap(([service, counts]) => {
-      const recent = counts.sent.filter(({ at }) => now - at <= SPAN);
+      const recent = counts.sent.filter(({ at }) => now - at <= DEMAND_WINDOW);
       Object.assign(counts, { sent: recent });
       const tokens = recent.reduce((sum, sent) => sum + sent.tokens, 0);
-      const tokensPerSecond = (tokens * MILLISECONDS_PER_SECOND) / SPAN;
+      const tokensPerSecond = (tokens * MILLISECONDS_PER_SECOND) / DEMAND_WINDOW;
       return tokens > 0 || counts.running > 0
         ? [{ service, tokensPerSecond, running: counts.running }]
         : [];
--- a/packages/relay/src/lib/duties/DutyUpdate.ts
+++ b/packages/relay/src/lib/duties/DutyUpdate.ts
@@ -1,7 +1,7 @@
 import type { ServiceDemand, SourceUsage } from '@apricotrill/duties';
 
-/** What daemons tell those that stand by for the duties. */
+/** An update that a daemon sends to the candidates for the lease of the duties. */
 export type DutyUpdate =
-  | { kind: 'usage'; share: SourceUsage }
-  /** Of the daemon that sends it. */
+  | { kind: 'usage'; usage: SourceUsage }
+  /** The demand at the daemon that sends the update. */
   | { kind: 'demand'; demand: ServiceDemand[] };
--- a/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
+++ b/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
@@ -13,54 +13,54 @@
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
 import { DemandCounter } from '../DemandCounter/DemandCounter.js';
 import type { DutyUpdate } from '../DutyUpdate.js';
-import { RunStarts } from '../RunStarts/RunStarts.js';
+import { RunStartEstimator } from '../RunStarts/RunStarts.js';
 import type { EndedAttempt } from '../RunStarts/RunStarts.js';
 
-/** How daemons tell of their counts. */
+/** Options for the exchange of usage counts and demand between daemons. */
 export const fleetDutyOptions = {
-  /** Counts that have changed are told this often in a small fleet. */
-  tellPeriod: 200 satisfies Milliseconds,
-  /** Above so many daemons they are told less often, which bounds what those that stand by hear. */
-  mostAtPeriod: 80,
-  /** Every so many times all counts are told, since datagrams can be lost. */
-  repeatEvery: 5,
-  /** Counts in one message: it stays under the 1,500 bytes that pass in one piece. */
-  mostCounts: 40,
-  /** How long after a window's end its counts are still told. */
-  keepAfter: 8_000 satisfies Milliseconds,
+  /** How often changed counts are sent in a small fleet. */
+  sendInterval: 200 satisfies Milliseconds,
+  /** Above this fleet size, counts are sent less often, to bound the load of the lease candidates. */
+  maxFleetAtInterval: 80,
+  /** Every so many sends, all counts are sent rather than changed ones, since datagrams can be lost. */
+  sendsPerFullSend: 5,
+  /** Counts per message; it keeps datagrams below the MTU of 1,500 bytes. */
+  maxCountsPerMessage: 40,
+  /** How long the counts of a window are still sent after its end. */
+  countRetention: 8_000 satisfies Milliseconds,
 };
 
-/** The outside that duties need, where the deployment has any. */
+/** External dependencies of the duties, in deployments that have duties. */
 export interface DutyParts {
   store: LeaseStore;
   platform: DutyPlatform;
   settings: DutySettings;
 }
 
-/** What the duties of a daemon are made of. */
-export interface FleetDutiesParts extends DutyParts {
+/** Settings of the duties of a daemon. */
+export interface FleetDutiesSettings extends DutyParts {
   self: PeerEntry;
   clock: Clock;
   log: RelayLog;
-  /** Tells one other daemon. */
-  send: (news: DutyUpdate, to: string) => void;
+  /** Sends an update to another daemon. */
+  send: (update: DutyUpdate, recipient: string) => void;
   getServices: () => readonly ScalableService[];
 }
 
-/** Splits a share into messages. */
-function splitShare({ source, window, counts }: SourceUsage): SourceUsage[] {
-  const { mostCounts } = fleetDutyOptions;
-  const parts = Math.ceil(counts.length / mostCounts);
-  return Array.from({ length: parts }, (_, index) => ({
+/** Splits usage counts into messages of limited size. */
+function splitUsage({ source, window, counts }: SourceUsage): SourceUsage[] {
+  const { maxCountsPerMessage } = fleetDutyOptions;
+  const messageCount = Math.ceil(counts.length / maxCountsPerMessage);
+  return Array.from({ length: messageCount }, (_, index) => ({
     source,
     window,
-    counts: counts.slice(index * mostCounts, (index + 1) * mostCounts),
+    counts: counts.slice(index * maxCountsPerMessage, (index + 1) * maxCountsPerMessage),
   }));
 }
 
 /**
- * This daemon's part in the duties of the fleet: it counts what its requests did, tells those that
- * stand by for the duties, and is one of these if it comes to that.
+ * This daemon's part in the duties of the fleet: it counts usage and demand, sends them to the
+ * candidates for the lease of the duties, and performs the duties if it holds the lease.
  */
 export class FleetDuties {
   private readonly manager: DutyManager;
@@ -69,30 +69,30 @@
 
   private readonly demand = new DemandCounter();
 
-  private readonly starts = new RunStarts();
+  private readonly runStarts = new RunStartEstimator();
 
-  private readonly time = new FleetClock();
+  private readonly fleetClock = new FleetClock();
 
   private fleet: readonly PeerEntry[];
 
-  /** The daemons that stand by, the preferred first. */
+  /** IDs of the candidates for the lease, in order of preference. */
   private candidates: readonly string[] = [];
 
   private timer: Timer | undefined;
 
-  private turns = 0;
+  private sendCount = 0;
 
-  constructor(private readonly parts: FleetDutiesParts) {
-    const { self, clock, settings } = parts;
+  constructor(private readonly settings: FleetDutiesSettings) {
+    const { self, clock, settings: dutySettings } = settings;
     this.fleet = [self];
     this.counter = new UsageCounter({
       source: `${self.id}/${Math.round(clock.now())}`,
-      windowSpan: settings.windowSpan,
+      windowSpan: dutySettings.windowSpan,
     });
     this.manager = new DutyManager({
-      ...parts,
+      ...settings,
       self: self.id,
-      getFleetTime: () => this.trueTime,
+      getFleetTime: () => this.fleetTime,
       getTimeOfDay: () => Date.now(),
       getRank: () => this.rank,
     });
@@ -103,57 +103,57 @@
     return this.manager.status;
   }
 
-  /** Takes over which daemons are heard, this one included. */
+  /** Sets the live daemons, including this one. */
   setFleet(daemons: readonly PeerEntry[]): void {
     this.fleet = daemons;
     const { candidates } = dutyOptions.lease;
     this.candidates = getLeaseCandidates('duties', daemons, candidates);
   }
 
-  /** What another daemon's clock said when it sent a message. */
-  recordClockReading(daemon: string, said: Milliseconds): void {
-    this.time.record(daemon, said, this.parts.clock.now());
+  /** Records the reading of another daemon's clock at the time it sent a message. */
+  recordClockReading(daemon: string, reading: Milliseconds): void {
+    this.fleetClock.record(daemon, reading, this.settings.clock.now());
   }
 
-  /** Another daemon tells of its counts. */
-  handleUpdate(daemon: string, news: DutyUpdate): void {
-    switch (news.kind) {
+  /** Handles an update from another daemon. */
+  handleUpdate(daemon: string, update: DutyUpdate): void {
+    switch (update.kind) {
       case 'usage':
-        this.manager.usage.merge(news.share);
+        this.manager.usage.merge(update.usage);
         break;
       case 'demand':
-        this.manager.demand.record(daemon, news.demand, this.parts.clock.now());
+        this.manager.demand.record(daemon, update.demand, this.settings.clock.now());
         break;
       default:
-        news satisfies never;
+        update satisfies never;
     }
   }
 
-  /** An attempt was sent to a replica. */
+  /** Records that an attempt was sent to a replica. */
   recordSent(service: string, tokens: number): void {
-    this.demand.noteSent(service, tokens, this.parts.clock.now());
-    this.schedule();
+    this.demand.recordSent(service, tokens, this.settings.clock.now());
+    this.scheduleSend();
   }
 
   /**
-   * An attempt is over.
+   * Records that an attempt has ended.
    *
-   * @returns when its replica began to run it; undefined where nothing shows that it did
+   * @returns when its replica began to run it; undefined if there is no evidence that it did
    */
   recordEnd(attempt: EndedAttempt): Milliseconds | undefined {
-    this.demand.noteEnded(attempt.service);
-    return this.starts.getStart(attempt);
+    this.demand.recordEnded(attempt.service);
+    return this.runStarts.estimateStart(attempt);
   }
 
-  /** A replica began to run a request, for the first time. */
+  /** Counts a request when a replica begins to run it for the first time. */
   recordRunStart(workspace: string, at: Milliseconds): void {
-    this.counter.count(workspace, this.time.correct(at));
-    this.schedule();
+    this.counter.count(workspace, this.fleetClock.correct(at));
+    this.scheduleSend();
   }
 
-  /** Tells what it has counted, and gives the lease up if it holds it. */
+  /** Sends all counts, and releases the lease if this daemon holds it. */
   async stop(): Promise<void> {
-    this.tellAll(this.counter.getAll());
+    this.announceCounts(this.counter.getAll());
     await this.manager.release();
   }
 
@@ -162,49 +162,51 @@
     this.manager.dispose();
   }
 
-  private get trueTime(): Milliseconds {
-    return this.time.correct(this.parts.clock.now());
+  private get fleetTime(): Milliseconds {
+    return this.fleetClock.correct(this.settings.clock.now());
   }
 
   private get rank(): number {
-    const rank = this.candidates.indexOf(this.parts.self.id);
+    const rank = this.candidates.indexOf(this.settings.self.id);
     return rank < 0 ? Number.POSITIVE_INFINITY : rank;
   }
 
-  private schedule(): void {
-    const { tellPeriod, mostAtPeriod } = fleetDutyOptions;
-    const period = tellPeriod * Math.max(1, this.fleet.length / mostAtPeriod);
-    this.timer ??= this.parts.clock.setTimer(period, () => {
+  private scheduleSend(): void {
+    const { sendInterval, maxFleetAtInterval } = fleetDutyOptions;
+    const interval = sendInterval * Math.max(1, this.fleet.length / maxFleetAtInterval);
+    this.timer ??= this.settings.clock.setTimer(interval, () => {
       this.timer = undefined;
-      this.tellTurn();
+      this.sendUpdates();
     });
   }
 
-  private tellTurn(): void {
-    const { settings } = this.parts;
-    const { keepAfter, repeatEvery } = fleetDutyOptions;
-    this.turns += 1;
-    const kept = getWindow(this.trueTime - keepAfter, settings.windowSpan);
-    this.counter.forgetBefore(kept);
+  private sendUpdates(): void {
+    const { settings: dutySettings } = this.settings;
+    const { countRetention, sendsPerFullSend } = fleetDutyOptions;
+    this.sendCount += 1;
+    const firstWindow = getWindow(this.fleetTime - countRetention, dutySettings.windowSpan);
+    this.counter.forgetBefore(firstWindow);
     const changed = this.counter.takeChanged();
     const all = this.counter.getAll();
-    this.tellAll(this.turns % repeatEvery === 0 ? all : changed);
-    if (all.length > 0 || this.demand.getDemand(this.parts.clock.now()).length > 0) {
-      this.schedule();
+    this.announceCounts(this.sendCount % sendsPerFullSend === 0 ? all : changed);
+    if (all.length > 0 || this.demand.getDemand(this.settings.clock.now()).length > 0) {
+      this.scheduleSend();
     }
   }
 
-  private tellAll(shares: readonly SourceUsage[]): void {
-    const { clock, self, send: tell } = this.parts;
+  private announceCounts(usages: readonly SourceUsage[]): void {
+    const { clock, self, send } = this.settings;
     const demand = this.demand.getDemand(clock.now());
-    const news: DutyUpdate[] = shares
-      .flatMap(splitShare)
-      .map((share) => ({ kind: 'usage' as const, share }));
+    const updates: DutyUpdate[] = usages
+      .flatMap(splitUsage)
+      .map((usage) => ({ kind: 'usage' as const, usage }));
     if (demand.length > 0) {
-      news.push({ kind: 'demand', demand });
+      updates.push({ kind: 'demand', demand });
     }
     this.candidates.forEach((id) =>
-      news.forEach((one) => (id === self.id ? this.handleUpdate(id, one) : tell(one, id))),
+      updates.forEach((update) =>
+        id === self.id ? this.handleUpdate(id, update) : send(update, id),
+      ),
     );
   }
 }
--- a/packages/relay/src/lib/duties/RunStarts/RunStarts.test.ts
+++ b/packages/relay/src/lib/duties/RunStarts/RunStarts.test.ts
@@ -1,8 +1,8 @@
 import { AttemptEnd } from '../../decide/messages.js';
-import { RunStarts } from './RunStarts.js';
+import { RunStartEstimator } from './RunStarts.js';
 import type { EndedAttempt } from './RunStarts.js';
 
-const PLAIN: EndedAttempt = {
+const NON_STREAMED: EndedAttempt = {
   service: 'app',
   end: AttemptEnd.Completed,
   sentAt: 1_000,
@@ -10,28 +10,30 @@
   isStream: false,
 };
 
-describe('RunStarts', () => {
-  it('learns nothing from the end of a stream, but that its replica failed it', () => {
-    const starts = new RunStarts();
-    const stream = { ...PLAIN, isStream: true };
-    expect(starts.getStart(stream)).toBeUndefined();
-    expect(starts.getStart({ ...stream, end: AttemptEnd.Broken })).toBeUndefined();
-    expect(starts.getStart({ ...stream, end: AttemptEnd.Failed })).toBeDefined();
+describe('RunStartEstimator', () => {
+  it('estimates a start from the end of a stream only if the replica has failed it', () => {
+    const estimator = new RunStartEstimator();
+    const stream = { ...NON_STREAMED, isStream: true };
+    expect(estimator.estimateStart(stream)).toBeUndefined();
+    expect(estimator.estimateStart({ ...stream, end: AttemptEnd.Broken })).toBeUndefined();
+    expect(estimator.estimateStart({ ...stream, end: AttemptEnd.Failed })).toBeDefined();
   });
 
-  // Guards against answers that waited in a replica's queue and count in the window before their run.
-  it('takes off what a plain answer takes without a queue', () => {
-    const starts = new RunStarts();
+  // Guards against responses that waited in a replica's queue and are counted in a window before they
+  // ran.
+  it('subtracts the duration of a non-streamed response without a queue', () => {
+    const estimator = new RunStartEstimator();
     for (let index = 0; index < 20; index += 1) {
-      expect(starts.getStart(PLAIN)).toBe(1_000);
+      expect(estimator.estimateStart(NON_STREAMED)).toBe(1_000);
     }
-    expect(starts.getStart({ ...PLAIN, endedAt: 1_500 })).toBe(1_480);
+    expect(estimator.estimateStart({ ...NON_STREAMED, endedAt: 1_500 })).toBe(1_480);
   });
 
-  it('counts what was run and lost, and nothing that a replica proves not to have run', () => {
-    const starts = new RunStarts();
-    const isCounted = (end: AttemptEnd) => starts.getStart({ ...PLAIN, end }) !== undefined;
-    expect(Object.values(AttemptEnd).filter(isCounted)).toEqual([
+  it('estimates a start unless the attempt was certainly not run', () => {
+    const estimator = new RunStartEstimator();
+    const hasStart = (end: AttemptEnd) =>
+      estimator.estimateStart({ ...NON_STREAMED, end }) !== undefined;
+    expect(Object.values(AttemptEnd).filter(hasStart)).toEqual([
       AttemptEnd.Completed,
       AttemptEnd.Failed,
       AttemptEnd.Broken,
--- a/packages/relay/src/lib/duties/RunStarts/RunStarts.ts
+++ b/packages/relay/src/lib/duties/RunStarts/RunStarts.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { AttemptEnd } from '../../decide/messages.js';
 
-/** Durations of answers that are kept for each service. */
-const KEPT = 64;
+/** Number of response durations that are kept per service. */
+const MAX_DURATIONS = 64;
 
-/** Part of the durations that are taken to have met no queue. */
-const UNQUEUED_PART = 0.25;
+/** Quantile of the durations that is taken for the duration of a response without a queue. */
+const UNQUEUED_QUANTILE = 0.25;
 
-/** An attempt that is over. */
+/** An attempt that has ended. */
 export interface EndedAttempt {
   service: string;
   end: AttemptEnd;
@@ -17,28 +17,29 @@
 }
 
 /**
- * Estimates when replicas began to run requests, which they do not tell.
+ * Estimates when replicas began to run requests, since they do not report it.
  *
- * A stream runs from its first event on, so its end shows nothing. A plain answer comes when the run
- * is over, so its duration without a queue, as learned from the quickest answers, is taken off.
+ * A stream begins to run with its first event, so its end adds no information. A non-streamed response
+ * arrives at the end of the run. Its start is estimated by subtracting the duration of a response
+ * without a queue, which is derived from the fastest responses.
  */
-export class RunStarts {
+export class RunStartEstimator {
   private readonly durations = new Map<string, Milliseconds[]>();
 
-  /** @returns undefined where nothing shows that the replica began */
-  getStart(attempt: EndedAttempt): Milliseconds | undefined {
+  /** @returns undefined if there is no evidence that the replica began to run the request */
+  estimateStart(attempt: EndedAttempt): Milliseconds | undefined {
     const { end, isStream } = attempt;
     if (isStream && end !== AttemptEnd.Failed) {
       return undefined;
     }
     switch (end) {
       case AttemptEnd.Completed:
-        this.learn(attempt);
-        return this.getPlainStart(attempt);
+        this.recordDuration(attempt);
+        return this.estimateNonStreamedStart(attempt);
       case AttemptEnd.Failed:
       case AttemptEnd.Broken:
       case AttemptEnd.Cancelled:
-        return this.getPlainStart(attempt);
+        return this.estimateNonStreamedStart(attempt);
       case AttemptEnd.NotSent:
       case AttemptEnd.Refused:
       case AttemptEnd.Misdirected:
@@ -48,18 +49,18 @@
     }
   }
 
-  private learn({ service, sentAt, endedAt }: EndedAttempt): void {
+  private recordDuration({ service, sentAt, endedAt }: EndedAttempt): void {
     const durations = this.durations.get(service) ?? [];
     this.durations.set(service, durations);
     durations.push(endedAt - sentAt);
-    if (durations.length > KEPT) {
+    if (durations.length > MAX_DURATIONS) {
       durations.shift();
     }
   }
 
-  private getPlainStart({ service, sentAt, endedAt }: EndedAttempt): Milliseconds {
+  private estimateNonStreamedStart({ service, sentAt, endedAt }: EndedAttempt): Milliseconds {
     const durations = [...(this.durations.get(service) ?? [])].sort((one, other) => one - other);
-    const unqueued = durations[Math.floor(durations.length * UNQUEUED_PART)];
+    const unqueued = durations[Math.floor(durations.length * UNQUEUED_QUANTILE)];
     return unqueued === undefined ? sentAt : Math.max(sentAt, endedAt - unqueued);
   }
 }
--- a/packages/relay/src/lib/peers/Outbox/Outbox.ts
+++ b/packages/relay/src/lib/peers/Outbox/Outbox.ts
@@ -1,31 +1,31 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { PeerUpdate } from '../PeerUpdate.js';
 
-/** How news is gathered. */
+/** How updates are batched. */
 export const outboxOptions = {
   /**
-   * News that can wait goes out together after this long: ends matter to a choice by some tens of
-   * milliseconds.
+   * How long an update that is not urgent may wait for others. A delay of some tens of milliseconds
+   * in reporting the end of an attempt hardly affects placement.
    */
-  gather: 60 satisfies Milliseconds,
-  /** News in one datagram: it stays under the 1,500 bytes that pass in one piece. */
-  most: 5,
+  batchDelay: 60 satisfies Milliseconds,
+  /** Updates per datagram; it keeps datagrams below the MTU of 1,500 bytes. */
+  maxBatchSize: 5,
 };
 
-/** What the outbox is made of. */
-export interface OutboxParts {
+/** Settings of an outbox. */
+export interface OutboxSettings {
   clock: Clock;
-  /** Sends news to one daemon; to all that are heard where none is named. */
-  send: (news: PeerUpdate[], to: string | undefined) => void;
+  /** Sends updates to one peer, or to all live peers if `recipient` is undefined. */
+  send: (updates: PeerUpdate[], recipient: string | undefined) => void;
 }
 
-interface Pending {
-  news: PeerUpdate[];
+interface Batch {
+  updates: PeerUpdate[];
   timer: Timer | undefined;
 }
 
-/** Others may be choosing by it, or wait for it, right now. */
-function isUrgent({ kind }: PeerUpdate, to: string | undefined): boolean {
+/** Whether other daemons may need the update for a placement in progress, or are waiting for it. */
+function isUrgent({ kind }: PeerUpdate, recipient: string | undefined): boolean {
   switch (kind) {
     case 'placed':
     case 'attempt-broken':
@@ -37,8 +37,8 @@
     case 'reply':
       return true;
     case 'first-byte-received':
-      // A placer learns from the moment how fast an engine reads.
-      return to !== undefined;
+      // A placer learns the prefill rate of an engine from the time at which this arrives.
+      return recipient !== undefined;
     case 'ended':
     case 'attempt-list':
     case 'usage':
@@ -49,35 +49,40 @@
   }
 }
 
-/** News on its way out: what can wait a moment goes with what comes next, by destination. */
+/**
+ * Batches outgoing updates by recipient. An urgent update is sent at once, along with those that are
+ * waiting for the same recipient.
+ */
 export class Outbox {
-  private readonly pending = new Map<string | undefined, Pending>();
+  private readonly batches = new Map<string | undefined, Batch>();
 
-  constructor(private readonly parts: OutboxParts) {}
+  constructor(private readonly settings: OutboxSettings) {}
 
-  /** @param to - the daemon that it is for; undefined for all */
-  add(news: PeerUpdate, to: string | undefined): void {
-    const pending = this.pending.get(to) ?? { news: [], timer: undefined };
-    this.pending.set(to, pending);
-    pending.news.push(news);
-    if (isUrgent(news, to) || pending.news.length >= outboxOptions.most) {
-      this.flush(to);
+  /** @param recipient - the ID of one peer; undefined for all live peers */
+  add(update: PeerUpdate, recipient: string | undefined): void {
+    const batch = this.batches.get(recipient) ?? { updates: [], timer: undefined };
+    this.batches.set(recipient, batch);
+    batch.updates.push(update);
+    if (isUrgent(update, recipient) || batch.updates.length >= outboxOptions.maxBatchSize) {
+      this.flush(recipient);
       return;
     }
-    pending.timer ??= this.parts.clock.setTimer(outboxOptions.gather, () => this.flush(to));
+    batch.timer ??= this.settings.clock.setTimer(outboxOptions.batchDelay, () =>
+      this.flush(recipient),
+    );
   }
 
   dispose(): void {
-    this.pending.forEach(({ timer }) => timer?.cancel());
-    this.pending.clear();
+    this.batches.forEach(({ timer }) => timer?.cancel());
+    this.batches.clear();
   }
 
-  private flush(to: string | undefined): void {
-    const pending = this.pending.get(to);
-    if (pending !== undefined) {
-      pending.timer?.cancel();
-      this.pending.delete(to);
-      this.parts.send(pending.news, to);
+  private flush(recipient: string | undefined): void {
+    const batch = this.batches.get(recipient);
+    if (batch !== undefined) {
+      batch.timer?.cancel();
+      this.batches.delete(recipient);
+      this.settings.send(batch.updates, recipient);
     }
   }
 }
--- a/packages/relay/src/lib/peers/PeerDirectory.ts
+++ b/packages/relay/src/lib/peers/PeerDirectory.ts
@@ -1,19 +1,20 @@
-/** A daemon as others find it. */
+/** The directory entry of a daemon. */
 export interface PeerEntry {
   id: string;
-  /** IP address and port, for datagrams and for reads of what it knows. */
+  /** IP address and port; other daemons send datagrams and HTTP requests for objects to it. */
   address: string;
-  /** Empty where it isn't told. */
+  /** Empty if unknown. */
   availabilityZone: string;
 }
 
 /**
- * Where daemons find each other: entries on the platform, which last until they are removed.
+ * The directory in which daemons find each other. Entries are stored on the platform and do not
+ * expire; they last until they are removed.
  *
  * @public
  */
 export interface PeerDirectory {
-  /** Writes the entry, in place of an older one. @throws StepError */
+  /** Writes the entry, replacing an older one with the same ID. @throws StepError */
   register(entry: PeerEntry): Promise<void>;
   /** @throws StepError */
   remove(id: string): Promise<void>;
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
@@ -5,9 +5,9 @@
 import type { RelayEvent } from '../../observe/RelayEvent.js';
 import type { PeerDirectory, PeerEntry } from '../PeerDirectory.js';
 import type { PeerUpdate } from '../PeerUpdate.js';
-import { PeerLink, linkOptions } from './PeerLink.js';
+import { PeerLink, peerLinkOptions } from './PeerLink.js';
 
-/** The platform's entries, in memory. */
+/** A directory in memory. */
 class MemoryDirectory implements PeerDirectory {
   readonly entries = new Map<string, PeerEntry>();
 
@@ -37,19 +37,19 @@
 describe('PeerLink', () => {
   const links: PeerLink[] = [];
 
-  /** A link, and a wait for what it hears or logs. */
+  /** Creates a link, with records of its callbacks and `until` to wait for a condition on them. */
   async function createLink(
     id: string,
     directory: PeerDirectory,
     attempts: ReadonlyMap<string | undefined, SharedAttempt[]> = new Map(),
   ) {
     const fleets: string[][] = [];
-    const heard: PeerUpdate[] = [];
-    const counts: number[] = [];
-    const seen: Readonly<Record<string, number>>[] = [];
+    const received: PeerUpdate[] = [];
+    const daemonCounts: number[] = [];
+    const revisions: Readonly<Record<string, number>>[] = [];
     const events: RelayEvent[] = [];
-    const waits: (() => void)[] = [];
-    const wake = () => waits.splice(0).forEach((wait) => wait());
+    const waiters: (() => void)[] = [];
+    const wake = () => waiters.splice(0).forEach((resolve) => resolve());
     const [port] = await reservePorts(1);
     const link = new PeerLink({
       self: { id, address: `127.0.0.1:${port}`, availabilityZone: 'zone-a' },
@@ -62,8 +62,8 @@
       directory,
       getPeriodicUpdates: () => [],
       getSharedAttempts: () => attempts,
-      onUpdate: (_peer, news) => {
-        heard.push(news);
+      onUpdate: (_peer, update) => {
+        received.push(update);
         wake();
       },
       onPeerLost: wake,
@@ -72,13 +72,13 @@
         wake();
       },
       getStoreRevisions: () => ({ replicas: 7 }),
-      onStoreRevisions: (changes) => {
-        seen.push(changes);
+      onStoreRevisions: (peerRevisions) => {
+        revisions.push(peerRevisions);
         wake();
       },
       onClockReading: () => undefined,
       onDaemonCount: (daemons) => {
-        counts.push(daemons);
+        daemonCounts.push(daemons);
         wake();
       },
     });
@@ -88,18 +88,17 @@
       while (!isDone()) {
         // eslint-disable-next-line no-await-in-loop
         await new Promise<void>((resolve) => {
-          waits.push(resolve);
+          waiters.push(resolve);
         });
       }
     };
-    return { link, heard, events, counts, fleets, seen, until };
+    return { link, received, events, daemonCounts, fleets, revisions, until };
   }
 
   afterEach(() => links.splice(0).forEach((link) => link.dispose()));
 
-  // Symptom: for half a minute after a start daemons place as if each were alone. Sequence: all
-  // start in the same moment and read the list before any has written its entry. Cause: the entry
-  // was written after the list was read.
+  // Guards against daemons that do not know of each other for half a minute after a common start:
+  // each read the list before any of them had written its entry.
   it('lets daemons that start together find each other', async () => {
     const directory = new MemoryDirectory();
     const both = await Promise.all([createLink('d-1', directory), createLink('d-2', directory)]);
@@ -111,21 +110,23 @@
     expect(both.map(({ link }) => link.livePeerCount)).toEqual([1, 1]);
   });
 
-  it('tells news at once, and everything again to make up for what was lost', async () => {
+  it('sends updates at once, and repeats the attempts in flight to make up for lost datagrams', async () => {
     const directory = new MemoryDirectory();
     const left = await createLink('d-1', directory, new Map([[undefined, [ATTEMPT]]]));
     const right = await createLink('d-2', directory);
     await left.until(() => left.link.livePeerCount === 1);
     left.link.send({ kind: 'placed', attempt: ATTEMPT });
-    await right.until(() => right.heard.some(({ kind }) => kind === 'placed'));
+    await right.until(() => right.received.some(({ kind }) => kind === 'placed'));
     await right.until(() =>
-      right.heard.some((news) => news.kind === 'attempt-list' && news.attempts.length === 1),
+      right.received.some(
+        (update) => update.kind === 'attempt-list' && update.attempts.length === 1,
+      ),
     );
-    expect(right.seen[0]).toEqual({ replicas: 7 });
+    expect(right.revisions[0]).toEqual({ replicas: 7 });
     expect(right.events.some(({ event }) => event === 'fault')).toBe(false);
   });
 
-  it('leaves with word to the others, and without its entry', async () => {
+  it('announces its departure and removes its directory entry', async () => {
     const directory = new MemoryDirectory();
     const left = await createLink('d-1', directory);
     await createLink('d-2', directory);
@@ -135,10 +136,9 @@
     expect([...directory.entries.keys()]).toEqual(['d-2']);
   });
 
-  // Symptom: daemons of a large fleet spend a tenth of a core on telling each other of five requests
-  // a second. Sequence: each placement, first byte and end goes to all others. Cause: what a daemon
-  // hears grows with the number of daemons.
-  it('tells one daemon what is for it alone, also in the regular message', async () => {
+  // Guards against traffic that grows with the size of the fleet: when each placement, first byte and
+  // end was sent to all daemons, a load of five requests per second cost a tenth of a core per daemon.
+  it('sends updates with a recipient to that daemon only, and so do refreshes', async () => {
     const directory = new MemoryDirectory();
     const names = Array.from({ length: 18 }, (_item, index) => `d-${index}`);
     const attempts = new Map([['d-1', [ATTEMPT]]]);
@@ -151,32 +151,34 @@
       (typeof fleet)[0],
       (typeof fleet)[0],
     ];
-    const seenBefore = third.seen.length;
+    const refreshesBefore = third.revisions.length;
     for (let index = 0; index < 100; index += 1) {
       const key = `r-${index}/1`;
       first.link.send({ kind: 'placed', attempt: { ...ATTEMPT, key } }, 'd-1');
       first.link.send({ kind: 'first-byte-received', key }, 'd-1');
       first.link.send({ kind: 'ended', key }, 'd-1');
     }
-    const count = ({ heard }: typeof first, kind: PeerUpdate['kind']) =>
-      heard.filter((news) => news.kind === kind).length;
+    const count = ({ received }: typeof first, kind: PeerUpdate['kind']) =>
+      received.filter((update) => update.kind === kind).length;
     await second.until(() => count(second, 'placed') === 100 && count(second, 'ended') === 100);
-    await third.until(() => third.seen.length > seenBefore);
-    expect(third.heard.filter(({ kind }) => kind !== 'attempt-list')).toEqual([]);
-    const all = third.heard.flatMap((news) => (news.kind === 'attempt-list' ? news.attempts : []));
-    expect(all).toEqual([]);
-    expect(second.heard).toContainEqual({ kind: 'attempt-list', attempts: [ATTEMPT] });
+    await third.until(() => third.revisions.length > refreshesBefore);
+    expect(third.received.filter(({ kind }) => kind !== 'attempt-list')).toEqual([]);
+    const attemptsOfThird = third.received.flatMap((update) =>
+      update.kind === 'attempt-list' ? update.attempts : [],
+    );
+    expect(attemptsOfThird).toEqual([]);
+    expect(second.received).toContainEqual({ kind: 'attempt-list', attempts: [ATTEMPT] });
   });
 
-  // Guards against datagrams that grow with the square of the fleet: each of hundreds of daemons told
-  // all others that it is there, and after a loss of power all did at once.
-  it('tells a part of a large fleet at a time, and knows the rest by the directory', async () => {
+  // Guards against datagrams that grow with the square of the fleet: each of hundreds of daemons
+  // announced itself to all others, and after a power failure all of them did so at once.
+  it('sends to a part of a large fleet at a time, and knows the rest from the directory', async () => {
     const directory = new MemoryDirectory();
     const others = 200;
     const socket = createSocket('udp4');
-    let arrived = 0;
+    let datagrams = 0;
     socket.on('message', () => {
-      arrived += 1;
+      datagrams += 1;
     });
     await new Promise<void>((resolve) => {
       socket.bind(0, '127.0.0.1', resolve);
@@ -191,11 +193,11 @@
     socket.close();
     expect(link.livePeerCount).toBe(others);
     expect(fleets[0]).toHaveLength(others + 1);
-    // One refresh as it starts, and one as it has read the directory.
-    expect(arrived).toBeLessThanOrEqual(2 * linkOptions.mostTold);
+    // One refresh at the start, and one after the directory has been read.
+    expect(datagrams).toBeLessThanOrEqual(2 * peerLinkOptions.maxRecipients);
   });
 
-  it('tells of the daemons that are heard, once it has settled', async () => {
+  it('reports the live daemons once the fleet has settled', async () => {
     const directory = new MemoryDirectory();
     const left = await createLink('d-1', directory);
     await createLink('d-2', directory);
@@ -203,7 +205,7 @@
     expect(left.fleets).toEqual([['d-1', 'd-2']]);
   });
 
-  it('takes bytes that are no news for what they are', async () => {
+  it('logs a fault for bytes that are not a datagram', async () => {
     const directory = new MemoryDirectory();
     const { events, until } = await createLink('d-1', directory);
     const [, port] = directory.entries.get('d-1')!.address.split(':');
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
@@ -13,63 +13,69 @@
 import { PeerTable } from '../PeerTable/PeerTable.js';
 import { Rotation } from '../Rotation/Rotation.js';
 
-/** How often daemons talk. */
-export const linkOptions = {
-  /** Everything that is under way is told this often, since datagrams can be lost. */
-  refresh: 1_000 satisfies Milliseconds,
-  /** How often the directory is asked for daemons that were never heard. */
-  relist: 30_000 satisfies Milliseconds,
-  /** After the directory gave no answer. */
-  pause: 500 satisfies Milliseconds,
+/** Options of the link between daemons. */
+export const peerLinkOptions = {
+  /** How often the attempts in flight are sent again, since datagrams can be lost. */
+  refreshInterval: 1_000 satisfies Milliseconds,
+  /** How often the directory is read, to find daemons that have not sent a message yet. */
+  directoryInterval: 30_000 satisfies Milliseconds,
+  /** Delay before the next attempt after a call to the directory has failed. */
+  directoryRetryDelay: 500 satisfies Milliseconds,
   /**
-   * Others that are told at each refresh, in turn, which bounds what the size of the fleet costs each
-   * daemon. Those that choose replicas for this daemon's requests are told at each.
+   * Peers that each refresh is sent to, in rotation; it bounds the cost per daemon in a large fleet.
+   * The placers of this daemon's requests receive every refresh in addition.
    */
-  mostTold: 20,
-  /** Others that came or went are told of together after this long: daemons start all at once. */
-  settle: 200 satisfies Milliseconds,
-  /** Breaks that a large fleet is told of at once, between two regular messages. */
-  mostUrgent: 5,
+  maxRecipients: 20,
+  /** Delay in which changes of the fleet are combined, since daemons often start together. */
+  fleetChangeDelay: 200 satisfies Milliseconds,
+  /** Broken attempts that are announced at once between two refreshes, in a large fleet. */
+  maxImmediateBreaks: 5,
 };
 
-/** Silence of so many of its regular messages makes a daemon count as gone. */
-const SILENT_MESSAGES = 3.5;
+/** A peer counts as lost once it has been silent for this many of its refreshes. */
+const MAX_MISSED_REFRESHES = 3.5;
 
-/** What the link is made of. */
-export interface PeerLinkParts {
+/** Settings of a peer link. */
+export interface PeerLinkSettings {
   self: PeerEntry;
   clock: Clock;
   random: Random;
   log: RelayLog;
   directory: PeerDirectory;
   /**
-   * What is under way, by the daemon that is to be told of it; undefined stands for those that none
-   * is named for.
+   * Returns the attempts in flight, by the ID of the peer that they are sent to. The attempts under
+   * `undefined` are sent to all peers that have no entry of their own.
    */
   getSharedAttempts: () => ReadonlyMap<string | undefined, SharedAttempt[]>;
-  /** Returns what each regular message repeats, since datagrams can be lost. */
+  /** Returns the updates that are repeated with each refresh, since datagrams can be lost. */
   getPeriodicUpdates: () => PlacementUpdate[];
-  onUpdate: (peer: string, news: PeerUpdate) => void;
-  /** What another daemon's clock said when it sent a message. */
+  onUpdate: (peer: string, update: PeerUpdate) => void;
+  /** Called with the reading of another daemon's clock at the time it sent a message. */
   onClockReading: (peer: string, sentAt: Milliseconds) => void;
   onPeerLost: (peer: string) => void;
-  /** The daemons that are heard, this one included. */
+  /** Called with the live daemons, including this one. */
   onFleetChanged: (daemons: PeerEntry[]) => void;
-  /** How many daemons there are, this one included; told once the directory is known. */
+  /** Called with the number of known daemons, including this one, after each read of the directory. */
   onDaemonCount: (daemons: number) => void;
-  /** The revisions of the store's last changes that this daemon has heard of, by kind. */
+  /** Returns the store revisions of the last changes known to this daemon, by kind of object. */
   getStoreRevisions: () => Record<string, number>;
-  /** The same of another daemon. */
-  onStoreRevisions: (changes: Readonly<Record<string, number>>) => void;
+  /** Called with the store revisions that another daemon has sent. */
+  onStoreRevisions: (revisions: Readonly<Record<string, number>>) => void;
 }
 
-/** All that is under way, without prompts: these were told of before, and caches are read. */
-function encodeAll(
-  header: Pick<Datagram, 'from' | 'changes' | 'sentAt'>,
+/**
+ * Encodes the attempts in flight without their prompts: these have been sent before, and the caches
+ * of the engines are read anyway.
+ */
+function encodeAttemptList(
+  header: Pick<Datagram, 'from' | 'storeRevisions' | 'sentAt'>,
   attempts: readonly SharedAttempt[],
 ): Buffer {
-  const told = attempts.map((attempt) => ({ ...attempt, prompt: undefined }));
-  return encodeDatagram({ ...header, news: [{ kind: 'attempt-list', attempts: told }] });
+  const withoutPrompts = attempts.map((attempt) => ({ ...attempt, prompt: undefined }));
+  return encodeDatagram({
+    ...header,
+    updates: [{ kind: 'attempt-list', attempts: withoutPrompts }],
+  });
 }
 
 function splitAddress(address: string): { host: string; port: number } {
@@ -78,8 +84,8 @@
 }
 
 /**
- * Tells the other daemons what this one has under way, and hears the same of them, in datagrams: a
- * lost one is put right by the next refresh, and nothing ever waits for a daemon that is gone.
+ * Exchanges updates with the other daemons in UDP datagrams. The next refresh makes up for a lost
+ * datagram, and nothing ever waits for a daemon that is gone.
  */
 export class PeerLink {
   private readonly table: PeerTable;
@@ -88,70 +94,76 @@
 
   private readonly outbox: Outbox;
 
-  private settling: Timer | undefined;
+  private fleetChangeTimer: Timer | undefined;
 
-  private refreshing: Timer | undefined;
+  private refreshTimer: Timer | undefined;
 
-  /** The pause before the next look at the directory. */
-  private pausing: Timer | undefined;
+  /** Timer of the next read of the directory. */
+  private directoryTimer: Timer | undefined;
 
-  private isOver = false;
+  private isDisposed = false;
 
   private isRegistered = false;
 
   private readonly rotation: Rotation;
 
-  /** Daemons that were told of attempts at the last refresh: they must hear that these are over. */
-  private lastTold: string[] = [];
+  /** Peers that the last refresh sent attempts of their own; they must learn that these have ended. */
+  private lastAddressed: string[] = [];
 
-  /** Breaks that may be told before the next regular message. */
-  private urgentLeft = linkOptions.mostUrgent;
+  /** Broken attempts that may still be announced before the next refresh. */
+  private breaksLeft = peerLinkOptions.maxImmediateBreaks;
 
-  constructor(private readonly parts: PeerLinkParts) {
-    this.table = new PeerTable(parts.self.id);
-    this.rotation = new Rotation(getHash(parts.self.id));
+  constructor(private readonly settings: PeerLinkSettings) {
+    this.table = new PeerTable(settings.self.id);
+    this.rotation = new Rotation(getHash(settings.self.id));
     this.outbox = new Outbox({
-      clock: parts.clock,
-      send: (news, to) => this.sendTo(this.table.getAddresses(to), news),
+      clock: settings.clock,
+      send: (updates, recipient) => this.sendUpdates(this.table.getAddresses(recipient), updates),
     });
     this.socket = createSocket('udp4');
-    this.socket.on('message', (bytes) => this.receive(bytes));
-    this.socket.on('error', (error) => this.fault('socket', error));
+    this.socket.on('message', (bytes) => this.handleMessage(bytes));
+    this.socket.on('error', (error) => this.logFault('socket', error));
   }
 
   async start(): Promise<void> {
-    const { host, port } = splitAddress(this.parts.self.address);
+    const { host, port } = splitAddress(this.settings.self.address);
     await new Promise<void>((resolve) => {
       this.socket.bind(port, host, resolve);
     });
     this.refresh();
-    this.follow().catch((error: unknown) => this.fault('follow', error));
+    this.followDirectory().catch((error: unknown) => this.logFault('follow', error));
   }
 
   /**
-   * Tells one daemon, or all that are heard; what others may be waiting for at once, the rest soon.
+   * Sends an update to one peer, or to all live peers if there is no `recipient`. Urgent updates are
+   * sent at once, others within a short delay.
    */
-  send(news: PeerUpdate, to?: string): void {
-    if (news.kind !== 'attempt-broken' || this.mayTellBreak()) {
-      this.outbox.add(news, to);
+  send(update: PeerUpdate, recipient?: string): void {
+    if (update.kind !== 'attempt-broken' || this.mayAnnounceBreak()) {
+      this.outbox.add(update, recipient);
     }
   }
 
-  /** Takes its entry out of the directory; while it still talks, the others know it all the same. */
+  /**
+   * Removes this daemon's entry from the directory. Peers still know the daemon while it sends
+   * messages.
+   */
   async deregister(): Promise<void> {
-    const { directory, self } = this.parts;
-    await directory.remove(self.id).catch((error: unknown) => this.fault('unlist', error));
+    const { directory, self } = this.settings;
+    await directory.remove(self.id).catch((error: unknown) => this.logFault('deregister', error));
   }
 
-  /** The others need not wait for its silence. */
+  /** Sends an empty list of attempts, so that peers need not wait until this daemon counts as lost. */
   announceDeparture(): void {
     const addresses = this.table.ids.flatMap((id) => this.table.getAddresses(id));
-    this.sendTo(addresses, [{ kind: 'attempt-list', attempts: [] }]);
+    this.sendUpdates(addresses, [{ kind: 'attempt-list', attempts: [] }]);
   }
 
   dispose(): void {
-    this.isOver = true;
-    [this.settling, this.refreshing, this.pausing].forEach((timer) => timer?.cancel());
+    this.isDisposed = true;
+    [this.fleetChangeTimer, this.refreshTimer, this.directoryTimer].forEach((timer) =>
+      timer?.cancel(),
+    );
     this.outbox.dispose();
     this.socket.close();
   }
@@ -160,142 +172,153 @@
     return this.table.liveIds.length;
   }
 
-  /** Breaks are rare, and others act on them; when everything breaks they say nothing new. */
-  private mayTellBreak(): boolean {
+  /**
+   * Limits announcements of broken attempts in a large fleet. Peers act on them while they are rare;
+   * when many attempts break at once, further ones add no information.
+   */
+  private mayAnnounceBreak(): boolean {
     if (this.livePeerCount < fleetOptions.maxSmallFleetSize) {
       return true;
     }
-    if (this.urgentLeft === 0) {
+    if (this.breaksLeft === 0) {
       return false;
     }
-    this.urgentLeft -= 1;
+    this.breaksLeft -= 1;
     return true;
   }
 
-  /** Whether others are told in turn, and not all at once. */
-  private get isLarge(): boolean {
-    return this.table.ids.length > linkOptions.mostTold;
+  /** Whether refreshes are sent to a few peers at a time rather than to all of them. */
+  private get usesRotation(): boolean {
+    return this.table.ids.length > peerLinkOptions.maxRecipients;
   }
 
-  /** How long until each other daemon was told once. */
-  private get roundSpan(): Milliseconds {
-    const rounds = this.table.ids.length / linkOptions.mostTold;
-    return Math.max(1, rounds) * linkOptions.refresh;
+  /** Time in which every peer receives at least one refresh. */
+  private get rotationPeriod(): Milliseconds {
+    const rounds = this.table.ids.length / peerLinkOptions.maxRecipients;
+    return Math.max(1, rounds) * peerLinkOptions.refreshInterval;
   }
 
   private refresh(): void {
-    if (this.isOver) {
+    if (this.isDisposed) {
       return;
     }
-    const { clock, onPeerLost: onGone, log } = this.parts;
-    this.urgentLeft = linkOptions.mostUrgent;
-    this.tellSome();
-    const silence = this.roundSpan * SILENT_MESSAGES;
-    this.table.takeSilent(clock.now(), silence).forEach((peer) => {
+    const { clock, onPeerLost, log } = this.settings;
+    this.breaksLeft = peerLinkOptions.maxImmediateBreaks;
+    this.sendRefresh();
+    const maxSilence = this.rotationPeriod * MAX_MISSED_REFRESHES;
+    this.table.expireSilent(clock.now(), maxSilence).forEach((peer) => {
       log({ event: 'peer-lost', peer });
-      onGone(peer);
-      this.tellFleet();
+      onPeerLost(peer);
+      this.scheduleFleetChange();
     });
-    this.refreshing = clock.setTimer(linkOptions.refresh, () => this.refresh());
+    this.refreshTimer = clock.setTimer(peerLinkOptions.refreshInterval, () => this.refresh());
   }
 
-  /** Tells the next others in turn, and those that choose for this daemon. */
-  private tellSome(): void {
-    const all = this.parts.getSharedAttempts();
-    const named = [...all.keys()].filter((id) => id !== undefined);
-    const next = this.rotation.take(this.table.ids, linkOptions.mostTold);
-    const told = new Set([...next, ...named, ...this.lastTold]);
-    this.lastTold = named;
-    this.tellAll([...told], all);
+  /** Sends the attempts in flight to the next peers in the rotation and to this daemon's placers. */
+  private sendRefresh(): void {
+    const attempts = this.settings.getSharedAttempts();
+    const addressed = [...attempts.keys()].filter((id) => id !== undefined);
+    const next = this.rotation.take(this.table.ids, peerLinkOptions.maxRecipients);
+    const recipients = new Set([...next, ...addressed, ...this.lastAddressed]);
+    this.lastAddressed = addressed;
+    this.sendAttempts([...recipients], attempts);
   }
 
-  /** Tells what is under way; each daemon what it is to know, and none of it is empty news. */
-  private tellAll(ids: readonly string[], all = this.parts.getSharedAttempts()): void {
-    const { clock, getPeriodicUpdates: getRepeated, self } = this.parts;
-    const header = { from: self, changes: this.parts.getStoreRevisions(), sentAt: clock.now() };
-    const common = encodeAll(header, all.get(undefined) ?? []);
-    // One datagram per item, to stay below the MTU.
-    const repeated = getRepeated().map((news) => encodeDatagram({ from: self, news: [news] }));
+  /** Sends each peer the attempts that it needs to know; an empty list is sent as well. */
+  private sendAttempts(ids: readonly string[], attempts = this.settings.getSharedAttempts()): void {
+    const { clock, getPeriodicUpdates, self } = this.settings;
+    const header = {
+      from: self,
+      storeRevisions: this.settings.getStoreRevisions(),
+      sentAt: clock.now(),
+    };
+    const common = encodeAttemptList(header, attempts.get(undefined) ?? []);
+    // One datagram per update, to stay below the MTU.
+    const periodic = getPeriodicUpdates().map((update) =>
+      encodeDatagram({ from: self, updates: [update] }),
+    );
     ids.forEach((id) => {
-      const own = all.get(id);
-      const bytes = own === undefined ? common : encodeAll(header, own);
+      const own = attempts.get(id);
+      const bytes = own === undefined ? common : encodeAttemptList(header, own);
       const addresses = this.table.getAddresses(id);
-      [bytes, ...repeated].forEach((datagram) => this.sendBytes(addresses, datagram));
+      [bytes, ...periodic].forEach((datagram) => this.sendBytes(addresses, datagram));
     });
   }
 
-  private sendTo(addresses: readonly string[], news: PeerUpdate[]): void {
-    this.sendBytes(addresses, encodeDatagram({ from: this.parts.self, news }));
+  private sendUpdates(addresses: readonly string[], updates: PeerUpdate[]): void {
+    this.sendBytes(addresses, encodeDatagram({ from: this.settings.self, updates }));
   }
 
   private sendBytes(addresses: readonly string[], bytes: Buffer): void {
     addresses.forEach((address) => {
       const { host, port } = splitAddress(address);
-      // A datagram that can't be sent is one that was lost: the refresh covers it.
+      // A send error is treated as a lost datagram; the next refresh makes up for it.
       this.socket.send(bytes, port, host, () => undefined);
     });
   }
 
-  /** Tells who is heard, once it has settled. */
-  private tellFleet(): void {
-    const { clock, onFleetChanged: onFleet, self } = this.parts;
-    this.settling ??= clock.setTimer(linkOptions.settle, () => {
-      this.settling = undefined;
-      onFleet([self, ...this.table.live]);
+  /** Reports the live daemons after a delay in which further changes are combined. */
+  private scheduleFleetChange(): void {
+    const { clock, onFleetChanged, self } = this.settings;
+    this.fleetChangeTimer ??= clock.setTimer(peerLinkOptions.fleetChangeDelay, () => {
+      this.fleetChangeTimer = undefined;
+      onFleetChanged([self, ...this.table.liveEntries]);
     });
   }
 
-  private receive(bytes: Buffer): void {
+  private handleMessage(bytes: Buffer): void {
     let datagram: Datagram;
     try {
       datagram = decodeDatagram(bytes);
     } catch (error) {
-      this.fault('read', error);
+      this.logFault('read', error);
       return;
     }
-    if (datagram.from.id === this.parts.self.id) {
+    if (datagram.from.id === this.settings.self.id) {
       return;
     }
-    const { from, news, changes, sentAt } = datagram;
-    const { clock, log, onUpdate: onNews } = this.parts;
-    if (this.table.noteHeard(from, clock.now())) {
+    const { from, updates, storeRevisions, sentAt } = datagram;
+    const { clock, log, onUpdate } = this.settings;
+    if (this.table.recordMessage(from, clock.now())) {
       log({ event: 'peer-found', peer: from.id, address: from.address });
-      if (!this.isLarge) {
-        this.tellAll([from.id]);
+      if (!this.usesRotation) {
+        this.sendAttempts([from.id]);
       }
-      this.tellFleet();
+      this.scheduleFleetChange();
     }
     if (sentAt !== undefined) {
-      this.parts.onClockReading(from.id, sentAt);
+      this.settings.onClockReading(from.id, sentAt);
     }
-    news.forEach((item) => onNews(from.id, item));
-    if (changes !== undefined) {
-      this.parts.onStoreRevisions(changes);
+    updates.forEach((update) => onUpdate(from.id, update));
+    if (storeRevisions !== undefined) {
+      this.settings.onStoreRevisions(storeRevisions);
     }
   }
 
-  /** Writes the own entry, finds the others, and looks again from time to time. */
-  private async follow(): Promise<void> {
-    const { clock, random } = this.parts;
-    while (!this.isOver) {
+  /** Registers this daemon in the directory, and reads the directory periodically. */
+  private async followDirectory(): Promise<void> {
+    const { clock, random } = this.settings;
+    while (!this.isDisposed) {
       // eslint-disable-next-line no-await-in-loop
-      const isFine = await this.look().catch((error: unknown) => {
-        this.fault('directory', error);
+      const isSynced = await this.syncDirectory().catch((error: unknown) => {
+        this.logFault('directory', error);
         return false;
       });
-      this.parts.onDaemonCount(this.table.ids.length + 1);
-      const span = isFine ? linkOptions.relist : linkOptions.pause;
+      this.settings.onDaemonCount(this.table.ids.length + 1);
+      const interval = isSynced
+        ? peerLinkOptions.directoryInterval
+        : peerLinkOptions.directoryRetryDelay;
       // eslint-disable-next-line no-await-in-loop
       await new Promise<void>((resolve) => {
-        this.pausing = clock.setTimer(span * (0.5 + random.next()), resolve);
+        this.directoryTimer = clock.setTimer(interval * (0.5 + random.next()), resolve);
       });
     }
   }
 
-  private async look(): Promise<boolean> {
-    const { clock, directory, self } = this.parts;
-    // Written before the list is read: of two daemons that start together, the one that reads later
-    // finds the other, and is heard by it.
+  private async syncDirectory(): Promise<boolean> {
+    const { clock, directory, self } = this.settings;
+    // The entry is written before the list is read, so that of two daemons that start together at
+    // least the one that reads later finds the other, and then sends it a message.
     if (!this.isRegistered) {
       await directory.register(self);
     }
@@ -304,23 +327,23 @@
       ({ id, address }) => id === self.id && address === self.address,
     );
     const now = clock.now();
-    // What goes wrong without the presumption: after a loss of power all daemons of a large fleet tell
-    // each other at once that they are there, while nobody is served.
-    this.table.setListed(entries, now, entries.length > linkOptions.mostTold);
-    this.tellFleet();
-    // A daemon that starts need not wait for the next refresh to be known, and to know the others'
-    // load: after a restart of all the first second has the most to place.
-    this.tellSome();
-    const forgotten = this.table.takeForgotten(now);
-    if (this.table.isFirst) {
-      await Promise.all(forgotten.map((id) => directory.remove(id)));
+    // In a large fleet, listed daemons are assumed to be live. Otherwise, after a power failure, all
+    // daemons would announce themselves to all others at once, while no request is served.
+    this.table.setDirectoryEntries(entries, now, entries.length > peerLinkOptions.maxRecipients);
+    this.scheduleFleetChange();
+    // A starting daemon does not wait for the next refresh to become known and to learn the load of
+    // its peers: after a restart of the whole fleet, most placements happen in the first second.
+    this.sendRefresh();
+    const evicted = this.table.evictUnseen(now);
+    if (this.table.hasLowestId) {
+      await Promise.all(evicted.map((id) => directory.remove(id)));
     }
     return true;
   }
 
-  private fault(step: string, error: unknown): void {
-    if (!this.isOver) {
-      this.parts.log({ event: 'fault', step: `peers: ${step}`, error: String(error) });
+  private logFault(step: string, error: unknown): void {
+    if (!this.isDisposed) {
+      this.settings.log({ event: 'fault', step: `peers: ${step}`, error: String(error) });
     }
   }
 }
--- a/packages/relay/src/lib/peers/PeerTable/PeerTable.test.ts
+++ b/packages/relay/src/lib/peers/PeerTable/PeerTable.test.ts
@@ -1,11 +1,11 @@
-import { PeerTable, peerOptions } from './PeerTable.js';
+import { PeerTable, peerTableOptions } from './PeerTable.js';
 
-const SILENCE = 3_500;
+const MAX_SILENCE = 3_500;
 
 describe('PeerTable', () => {
-  it('counts a listed daemon as live once it is heard, and as gone once it is silent', () => {
+  it('counts a daemon as live from its first message until it has been silent for too long', () => {
     const table = new PeerTable('d-1');
-    table.setListed(
+    table.setDirectoryEntries(
       [
         { id: 'd-1', address: 'a:1', availabilityZone: 'z' },
         { id: 'd-2', address: 'a:2', availabilityZone: 'z' },
@@ -14,30 +14,34 @@
     );
     expect([table.ids, table.getAddresses(undefined)]).toEqual([['d-2'], []]);
     expect(table.getAddresses('d-2')).toEqual(['a:2']);
-    expect(table.noteHeard({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 10)).toBe(true);
-    expect(table.noteHeard({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 20)).toBe(false);
+    expect(table.recordMessage({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 10)).toBe(
+      true,
+    );
+    expect(table.recordMessage({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 20)).toBe(
+      false,
+    );
     expect(table.getAddresses(undefined)).toEqual(['a:2']);
-    expect(table.takeSilent(20 + SILENCE, SILENCE)).toEqual([]);
-    expect(table.takeSilent(21 + SILENCE, SILENCE)).toEqual(['d-2']);
+    expect(table.expireSilent(20 + MAX_SILENCE, MAX_SILENCE)).toEqual([]);
+    expect(table.expireSilent(21 + MAX_SILENCE, MAX_SILENCE)).toEqual(['d-2']);
     expect([table.ids, table.getAddresses(undefined)]).toEqual([['d-2'], []]);
   });
 
-  it('takes a daemon that is back at another address', () => {
+  it('updates the address of a daemon that has returned at a different one', () => {
     const table = new PeerTable('d-1');
-    table.noteHeard({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 0);
-    table.noteHeard({ id: 'd-2', address: 'b:2', availabilityZone: 'z' }, 1);
+    table.recordMessage({ id: 'd-2', address: 'a:2', availabilityZone: 'z' }, 0);
+    table.recordMessage({ id: 'd-2', address: 'b:2', availabilityZone: 'z' }, 1);
     expect(table.getAddresses(undefined)).toEqual(['b:2']);
   });
 
-  it('gives up entries that were silent for long, and lets one daemon tidy up', () => {
+  it('evicts peers that have been lost for long, and lets one daemon clean up the directory', () => {
     const table = new PeerTable('d-2');
-    table.setListed([{ id: 'd-1', address: 'a:1', availabilityZone: 'z' }], 0);
-    expect(table.isFirst).toBe(true);
-    table.noteHeard({ id: 'd-1', address: 'a:1', availabilityZone: 'z' }, 0);
-    expect(table.isFirst).toBe(false);
-    table.takeSilent(SILENCE + 1, SILENCE);
-    expect(table.takeForgotten(peerOptions.forgetAfter)).toEqual([]);
-    expect(table.takeForgotten(peerOptions.forgetAfter * 2)).toEqual(['d-1']);
+    table.setDirectoryEntries([{ id: 'd-1', address: 'a:1', availabilityZone: 'z' }], 0);
+    expect(table.hasLowestId).toBe(true);
+    table.recordMessage({ id: 'd-1', address: 'a:1', availabilityZone: 'z' }, 0);
+    expect(table.hasLowestId).toBe(false);
+    table.expireSilent(MAX_SILENCE + 1, MAX_SILENCE);
+    expect(table.evictUnseen(peerTableOptions.evictAfter)).toEqual([]);
+    expect(table.evictUnseen(peerTableOptions.evictAfter * 2)).toEqual(['d-1']);
     expect(table.ids).toEqual([]);
   });
 });
--- a/packages/relay/src/lib/peers/PeerTable/PeerTable.ts
+++ b/packages/relay/src/lib/peers/PeerTable/PeerTable.ts
@@ -1,36 +1,40 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { PeerEntry } from '../PeerDirectory.js';
 
-/** When a peer counts as gone, and when its entry is given up. */
-export const peerOptions = {
-  /** Longer than a machine takes to be replaced under the same name. */
-  forgetAfter: 120_000 satisfies Milliseconds,
+/** Options of the peer table. */
+export const peerTableOptions = {
+  /**
+   * Time after which a peer that is not seen is removed from the table and the directory. It is
+   * longer than the replacement of a machine by one with the same name takes.
+   */
+  evictAfter: 120_000 satisfies Milliseconds,
 };
 
 interface Peer {
   address: string;
   availabilityZone: string;
-  /** When it was last known to run; undefined while it isn't known to. */
-  heardAt: Milliseconds | undefined;
-  foundAt: Milliseconds;
-  /** Whether it was heard itself since it was found or lost. */
-  isHeard: boolean;
+  /** When the peer was last known to run; undefined while it is not known to run. */
+  lastSeenAt: Milliseconds | undefined;
+  /** When the peer was found or, if later, lost; used only while `lastSeenAt` is undefined. */
+  unseenSince: Milliseconds;
+  /** Whether the peer itself has sent a message since it was found or lost. */
+  hasSentMessage: boolean;
 }
 
-/** Which daemons there are, and which of them are heard. */
+/** Tracks the other daemons of the fleet and which of them are live. */
 export class PeerTable {
   private readonly peers = new Map<string, Peer>();
 
   constructor(private readonly self: string) {}
 
   /**
-   * Takes over what the directory lists.
+   * Adds the entries of the directory, and updates the addresses of peers that are not live.
    *
-   * @param isPresumed - whether those that are found count as running until they are silent for too
-   *   long: where daemons are many, each is heard only after a while
+   * @param assumeLive - whether new peers count as live until they have been silent for too long; in
+   *   a large fleet, it takes a while until each of them has sent a message
    */
-  setListed(entries: readonly PeerEntry[], now: Milliseconds, isPresumed = false): void {
-    const heardAt = isPresumed ? now : undefined;
+  setDirectoryEntries(entries: readonly PeerEntry[], now: Milliseconds, assumeLive = false): void {
+    const lastSeenAt = assumeLive ? now : undefined;
     entries
       .filter(({ id }) => id !== this.self)
       .forEach(({ id, address, availabilityZone }) => {
@@ -39,71 +43,79 @@
           this.peers.set(id, {
             address,
             availabilityZone,
-            heardAt,
-            foundAt: now,
-            isHeard: false,
+            lastSeenAt,
+            unseenSince: now,
+            hasSentMessage: false,
           });
-        } else if (peer.heardAt === undefined) {
+        } else if (peer.lastSeenAt === undefined) {
           Object.assign(peer, { address, availabilityZone });
         }
       });
   }
 
-  /** @returns whether the peer was not heard before */
-  noteHeard({ id, address, availabilityZone }: PeerEntry, now: Milliseconds): boolean {
+  /** @returns whether this is the peer's first message since it was found or lost */
+  recordMessage({ id, address, availabilityZone }: PeerEntry, now: Milliseconds): boolean {
     const peer = this.peers.get(id);
-    const foundAt = peer?.foundAt ?? now;
-    this.peers.set(id, { address, availabilityZone, heardAt: now, foundAt, isHeard: true });
-    return peer?.isHeard !== true;
+    const unseenSince = peer?.unseenSince ?? now;
+    this.peers.set(id, {
+      address,
+      availabilityZone,
+      lastSeenAt: now,
+      unseenSince,
+      hasSentMessage: true,
+    });
+    return peer?.hasSentMessage !== true;
   }
 
-  /** Peers that have fallen silent since the last call. */
-  takeSilent(now: Milliseconds, silence: Milliseconds): string[] {
-    const silent: string[] = [];
+  /** Marks peers as lost that have been silent for too long, and returns their IDs. */
+  expireSilent(now: Milliseconds, maxSilence: Milliseconds): string[] {
+    const expired: string[] = [];
     this.peers.forEach((peer, id) => {
-      if (peer.heardAt !== undefined && now - peer.heardAt > silence) {
-        Object.assign(peer, { heardAt: undefined, foundAt: now, isHeard: false });
-        silent.push(id);
+      if (peer.lastSeenAt !== undefined && now - peer.lastSeenAt > maxSilence) {
+        Object.assign(peer, { lastSeenAt: undefined, unseenSince: now, hasSentMessage: false });
+        expired.push(id);
       }
     });
-    return silent;
+    return expired;
   }
 
-  /** Peers that were not heard for so long that they will not come back under their name. */
-  takeForgotten(now: Milliseconds): string[] {
-    const forgotten = [...this.peers].filter(
-      ([, { heardAt, foundAt }]) =>
-        heardAt === undefined && now - foundAt > peerOptions.forgetAfter,
+  /** Removes peers that have not been seen for so long that they will not return; returns their IDs. */
+  evictUnseen(now: Milliseconds): string[] {
+    const evicted = [...this.peers].filter(
+      ([, { lastSeenAt, unseenSince }]) =>
+        lastSeenAt === undefined && now - unseenSince > peerTableOptions.evictAfter,
     );
-    forgotten.forEach(([id]) => this.peers.delete(id));
-    return forgotten.map(([id]) => id);
+    evicted.forEach(([id]) => this.peers.delete(id));
+    return evicted.map(([id]) => id);
   }
 
-  /** Names of the peers that are heard. */
+  /** IDs of the live peers. */
   get liveIds(): string[] {
-    return this.live.map(({ id }) => id);
+    return this.liveEntries.map(({ id }) => id);
   }
 
-  /** The entries of the peers that are heard. */
-  get live(): PeerEntry[] {
+  /** Directory entries of the live peers. */
+  get liveEntries(): PeerEntry[] {
     return [...this.peers]
-      .filter(([, { heardAt }]) => heardAt !== undefined)
+      .filter(([, { lastSeenAt }]) => lastSeenAt !== undefined)
       .map(([id, { address, availabilityZone }]) => ({ id, address, availabilityZone }));
   }
 
-  /** Names of all that may be there. */
+  /** IDs of all known peers, live or not. */
   get ids(): string[] {
     return [...this.peers.keys()];
   }
 
-  /** The address of one peer, also of one that isn't heard; those of all that are where none is named. */
+  /** Returns the address of one peer, live or not; without an ID, the addresses of all live peers. */
   getAddresses(id: string | undefined): string[] {
     const ids = id === undefined ? this.liveIds : [id];
     return ids.flatMap((peer) => this.peers.get(peer)?.address ?? []);
   }
 
-  /** Whether this daemon, of those that are heard, has the first name: one of them tidies up. */
-  get isFirst(): boolean {
-    return [...this.peers].every(([id, { heardAt }]) => heardAt === undefined || this.self < id);
+  /** Whether this daemon has the lowest ID of all live ones; that one cleans up the directory. */
+  get hasLowestId(): boolean {
+    return [...this.peers].every(
+      ([id, { lastSeenAt }]) => lastSeenAt === undefined || this.self < id,
+    );
   }
 }
--- a/packages/relay/src/lib/peers/PeerUpdate.ts
+++ b/packages/relay/src/lib/peers/PeerUpdate.ts
@@ -1,5 +1,5 @@
 import type { PlacementUpdate } from '../decide/messages.js';
 import type { DutyUpdate } from '../duties/DutyUpdate.js';
 
-/** Everything that one daemon tells another. */
+/** An update that one daemon sends to another. */
 export type PeerUpdate = PlacementUpdate | DutyUpdate;
--- a/packages/relay/src/lib/peers/Rotation/Rotation.ts
+++ b/packages/relay/src/lib/peers/Rotation/Rotation.ts
@@ -1,23 +1,26 @@
 /**
- * Takes the members of a list in turn, a few at a time.
+ * Cycles through the members of a list, a few at a time.
  *
  * @example
  * ```ts
  * const rotation = new Rotation(getHash(self.id));
- * rotation.take(ids, 20); // the next twenty
+ * rotation.take(ids, 20); // the next 20
  * ```
  */
 export class Rotation {
-  /** @param place - where to begin: daemons that begin at one place would all tell the same few */
-  constructor(private place: number) {}
+  /**
+   * @param start - position of the first member; it should differ between daemons, since they would
+   *   otherwise all send to the same few members first
+   */
+  constructor(private start: number) {}
 
-  /** @returns the next ones; all of a list that isn't longer */
-  take<Member>(members: readonly Member[], most: number): readonly Member[] {
-    if (members.length <= most) {
+  /** @returns the next `maxCount` members; all members if there are no more than that */
+  take<Member>(members: readonly Member[], maxCount: number): readonly Member[] {
+    if (members.length <= maxCount) {
       return members;
     }
-    const first = this.place % members.length;
-    this.place = first + most;
-    return [...members.slice(first), ...members.slice(0, first)].slice(0, most);
+    const first = this.start % members.length;
+    this.start = first + maxCount;
+    return [...members.slice(first), ...members.slice(0, first)].slice(0, maxCount);
   }
 }
--- a/packages/relay/src/lib/peers/datagram/datagram.test.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.test.ts
@@ -21,7 +21,7 @@
   prompt: { model: 'm', inputTokens: 5, outputTokens: 7, parts: [{ id: 'p', tokens: 5 }] },
 };
 
-const ASK: PlacementQuery = {
+const QUERY: PlacementQuery = {
   key: 'k',
   wish: {
     service: 'llm',
@@ -44,18 +44,18 @@
 
 const FROM = { id: 'd-1', address: '10.0.0.1:7001', availabilityZone: 'zone-a' };
 
-describe('a datagram', () => {
-  it('comes out as it went in', () => {
+describe('datagram', () => {
+  it('is the same after encoding and decoding', () => {
     const datagram: Datagram = {
       from: FROM,
       sentAt: 1_770_436_976_235,
-      news: [
+      updates: [
         { kind: 'placed', attempt: ATTEMPT },
         { kind: 'first-byte-received', key: 'k' },
         { kind: 'ended', key: 'k' },
         { kind: 'ended', key: 'k', result: { end: AttemptEnd.Completed, after: 120 } },
-        { kind: 'ask', query: ASK },
-        { kind: 'ask', query: { ...ASK, wish: { ...ASK.wish, prompt: undefined } } },
+        { kind: 'ask', query: QUERY },
+        { kind: 'ask', query: { ...QUERY, wish: { ...QUERY.wish, prompt: undefined } } },
         { kind: 'reply', response: { key: 'k' } },
         { kind: 'reply', response: { key: 'k', placement: PLACEMENT } },
         {
@@ -64,7 +64,7 @@
         },
         {
           kind: 'usage',
-          share: { source: 'd-1/17', window: 354_087_399, counts: [['shop', 4]] },
+          usage: { source: 'd-1/17', window: 354_087_399, counts: [['shop', 4]] },
         },
         { kind: 'demand', demand: [{ service: 'llm', tokensPerSecond: 900, running: 3 }] },
         { kind: 'attempt-broken', replica: 'i-1' },
@@ -86,14 +86,14 @@
           attempts: [{ ...ATTEMPT, prompt: undefined, pauseTarget: undefined, isAnswering: false }],
         },
       ],
-      changes: { configuration: 17, replicas: 29 },
+      storeRevisions: { configuration: 17, replicas: 29 },
     };
     expect(decodeDatagram(encodeDatagram(datagram))).toEqual(datagram);
   });
 
-  it('tells of twenty attempts in what passes in one piece', () => {
+  it('fits 20 attempts into one unfragmented packet', () => {
     const attempts = Array<SharedAttempt>(20).fill({ ...ATTEMPT, prompt: undefined });
-    const bytes = encodeDatagram({ from: FROM, news: [{ kind: 'attempt-list', attempts }] });
+    const bytes = encodeDatagram({ from: FROM, updates: [{ kind: 'attempt-list', attempts }] });
     expect(bytes.length).toBeLessThan(1_472);
   });
 
@@ -111,13 +111,13 @@
     );
     const limit = { replica: 'i-c5d157d853@1764763200000', perSecond: 12.75, age: 10_000 };
     const limits = Array<SharedLimit>(limitOptions.maxPerDatagram).fill(limit);
-    const news: PlacementUpdate[] = [
+    const updates: PlacementUpdate[] = [
       { kind: 'crashed', replica: 'i-c5d157d853@1764763200000', fingerprints },
       { kind: 'quarantined', requests },
       { kind: 'limits', limits },
     ];
-    news.forEach((item) => {
-      expect(encodeDatagram({ from: FROM, news: [item] }).length).toBeLessThan(1_472);
+    updates.forEach((update) => {
+      expect(encodeDatagram({ from: FROM, updates: [update] }).length).toBeLessThan(1_472);
     });
   });
 
@@ -127,7 +127,7 @@
     '[]',
     '["d","a","z",[["x","y"]],null]',
     '["d","a","z",[],{"r":"new"}]',
-  ])('is refused when it is none: %s', (text) => {
+  ])('is rejected if it is malformed: %s', (text) => {
     expect(() => decodeDatagram(Buffer.from(text))).toThrow();
   });
 });
--- a/packages/relay/src/lib/peers/datagram/datagram.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.ts
@@ -5,18 +5,18 @@
 import type { PeerUpdate } from '../PeerUpdate.js';
 import type { PeerEntry } from '../PeerDirectory.js';
 
-/** One message between two daemons. */
+/** A message from one daemon to another. */
 export interface Datagram {
   from: PeerEntry;
-  news: PeerUpdate[];
-  /** The revisions of the store's last changes that the sender has heard of, by kind. */
-  changes?: Record<string, number>;
-  /** The sender's clock when it sent this, in Unix milliseconds; absent where it does not say. */
+  updates: PeerUpdate[];
+  /** Store revisions of the last changes known to the sender, by kind of object. */
+  storeRevisions?: Record<string, number>;
+  /** The sender's clock at the time of sending, in Unix milliseconds. */
   sentAt?: Milliseconds;
 }
 
 /** Model, input tokens, output tokens, parts. */
-const promptForm = z.tuple([
+const promptSchema = z.tuple([
   z.string(),
   z.number(),
   z.number(),
@@ -24,34 +24,37 @@
 ]);
 
 /**
- * An attempt without the names of its fields, which would be two thirds of the bytes: key, replica,
- * missing tokens, memory tokens, whether it is answering, pause target, prompt. Each goes to every
- * other daemon.
+ * An attempt: key, replica, missing tokens, memory tokens, whether it is answering, pause target,
+ * prompt. Field names are omitted because they would make up two thirds of the bytes, and attempts
+ * are sent to every other daemon.
  */
-const attemptForm = z.tuple([
+const attemptSchema = z.tuple([
   z.string(),
   z.string(),
   z.number(),
   z.number(),
   z.union([z.literal(0), z.literal(1)]),
   z.number().nullable(),
-  promptForm.nullable(),
+  promptSchema.nullable(),
 ]);
 
-/** Key, service, rank, latency target, pause target, prompt, availability zone, replicas tried. */
-const askForm = z.tuple([
+/** Key, service, rank, latency target, pause target, prompt, availability zone, tried replicas. */
+const querySchema = z.tuple([
   z.string(),
   z.string(),
   z.number(),
   z.number(),
   z.number().nullable(),
-  promptForm.nullable(),
+  promptSchema.nullable(),
   z.string(),
   z.array(z.string()),
 ]);
 
-/** Replica, expected wait, missing tokens, tokens ahead, copy time, and what is copied from where. */
-const placementForm = z.tuple([
+/**
+ * Replica, expected wait, missing tokens, tokens ahead, copy time, and the source replica and number
+ * of copied tokens (null if nothing is copied).
+ */
+const placementSchema = z.tuple([
   z.string(),
   z.number(),
   z.number(),
@@ -61,55 +64,55 @@
 ]);
 
 /** Fingerprint, remaining time, IDs of crashed replicas. */
-const quarantinedForm = z.tuple([z.string(), z.number(), z.array(z.string())]);
+const quarantinedRequestSchema = z.tuple([z.string(), z.number(), z.array(z.string())]);
 
 /** Replica, requests per second (null if the limit was lifted), age. */
-const limitForm = z.tuple([z.string(), z.number().nonnegative().nullable(), z.number()]);
+const limitSchema = z.tuple([z.string(), z.number().nonnegative().nullable(), z.number()]);
 
-/** Source, window, and counts by workspace. */
-const usageForm = z.tuple([
+/** Source, window, counts by workspace. */
+const usageSchema = z.tuple([
   z.string(),
   z.int().nonnegative(),
   z.array(z.tuple([z.string(), z.int().nonnegative()])),
 ]);
 
-/** Service, prompt tokens a second, attempts under way. */
-const demandForm = z.tuple([z.string(), z.number().nonnegative(), z.int().nonnegative()]);
+/** Service, prompt tokens per second, attempts in flight. */
+const demandSchema = z.tuple([z.string(), z.number().nonnegative(), z.int().nonnegative()]);
 
-const newsForm = z.union([
-  z.tuple([z.literal('u'), usageForm]),
-  z.tuple([z.literal('d'), z.array(demandForm)]),
-  z.tuple([z.literal('p'), attemptForm]),
+const updateSchema = z.union([
+  z.tuple([z.literal('u'), usageSchema]),
+  z.tuple([z.literal('d'), z.array(demandSchema)]),
+  z.tuple([z.literal('p'), attemptSchema]),
   z.tuple([z.literal('a'), z.string()]),
   z.tuple([z.literal('e'), z.string()]),
   z.tuple([z.literal('e'), z.string(), z.enum(AttemptEnd), z.number()]),
-  z.tuple([z.literal('q'), askForm]),
-  z.tuple([z.literal('r'), z.string(), placementForm.nullable()]),
+  z.tuple([z.literal('q'), querySchema]),
+  z.tuple([z.literal('r'), z.string(), placementSchema.nullable()]),
   z.tuple([z.literal('b'), z.string()]),
   z.tuple([z.literal('c'), z.string(), z.array(z.string())]),
   z.tuple([z.literal('s'), z.string()]),
-  z.tuple([z.literal('x'), z.array(quarantinedForm)]),
-  z.tuple([z.literal('m'), z.array(limitForm)]),
-  z.tuple([z.literal('l'), z.array(attemptForm)]),
+  z.tuple([z.literal('x'), z.array(quarantinedRequestSchema)]),
+  z.tuple([z.literal('m'), z.array(limitSchema)]),
+  z.tuple([z.literal('l'), z.array(attemptSchema)]),
 ]);
 
-/** Name, address and availability zone of the sender; news; changes; its clock. */
-const datagramForm = z.tuple([
+/** ID, address and availability zone of the sender; updates; store revisions; time of sending. */
+const datagramSchema = z.tuple([
   z.string(),
   z.string(),
   z.string(),
-  z.array(newsForm),
+  z.array(updateSchema),
   z.record(z.string(), z.number()).nullable(),
   z.number().optional(),
 ]);
 
-type PromptForm = z.infer<typeof promptForm>;
-type AttemptForm = z.infer<typeof attemptForm>;
-type AskForm = z.infer<typeof askForm>;
-type PlacementForm = z.infer<typeof placementForm>;
-type NewsForm = z.infer<typeof newsForm>;
+type EncodedPrompt = z.infer<typeof promptSchema>;
+type EncodedAttempt = z.infer<typeof attemptSchema>;
+type EncodedQuery = z.infer<typeof querySchema>;
+type EncodedPlacement = z.infer<typeof placementSchema>;
+type EncodedUpdate = z.infer<typeof updateSchema>;
 
-function encodePrompt({ model, inputTokens, outputTokens, parts }: Prompt): PromptForm {
+function encodePrompt({ model, inputTokens, outputTokens, parts }: Prompt): EncodedPrompt {
   return [
     model,
     inputTokens,
@@ -118,7 +121,7 @@
   ];
 }
 
-function decodePrompt([model, inputTokens, outputTokens, parts]: PromptForm): Prompt {
+function decodePrompt([model, inputTokens, outputTokens, parts]: EncodedPrompt): Prompt {
   return {
     model,
     inputTokens,
@@ -127,7 +130,7 @@
   };
 }
 
-function encodeAttempt(attempt: SharedAttempt): AttemptForm {
+function encodeAttempt(attempt: SharedAttempt): EncodedAttempt {
   const { key, replica, missingTokens, memoryTokens, isAnswering, pauseTarget, prompt } = attempt;
   return [
     key,
@@ -148,7 +151,7 @@
   isAnswering,
   pauseTarget,
   prompt,
-]: AttemptForm): SharedAttempt {
+]: EncodedAttempt): SharedAttempt {
   return {
     key,
     replica,
@@ -160,22 +163,22 @@
   };
 }
 
-function encodeAsk({ key, wish, availabilityZone, tried }: PlacementQuery): AskForm {
+function encodeQuery({ key, wish, availabilityZone, tried }: PlacementQuery): EncodedQuery {
   const { service, rank, latencyTarget, pauseTarget, prompt } = wish;
-  const promptIn = prompt === undefined ? null : encodePrompt(prompt);
+  const encodedPrompt = prompt === undefined ? null : encodePrompt(prompt);
   return [
     key,
     service,
     rank,
     latencyTarget,
     pauseTarget ?? null,
-    promptIn,
+    encodedPrompt,
     availabilityZone,
     tried,
   ];
 }
 
-function decodeAsk([
+function decodeQuery([
   key,
   service,
   rank,
@@ -184,7 +187,7 @@
   prompt,
   availabilityZone,
   tried,
-]: AskForm): PlacementQuery {
+]: EncodedQuery): PlacementQuery {
   const wish = {
     service,
     rank,
@@ -195,7 +198,7 @@
   return { key, wish, availabilityZone, tried };
 }
 
-function encodePlacement(placement: Placement): PlacementForm {
+function encodePlacement(placement: Placement): EncodedPlacement {
   const { replica, expected, missingTokens, tokensAhead, copyTime } = placement;
   const { fetchFrom, fetchTokens } = placement;
   return [
@@ -215,159 +218,164 @@
   tokensAhead,
   copyTime,
   fetch,
-]: PlacementForm): Placement {
+]: EncodedPlacement): Placement {
   const [fetchFrom, fetchTokens] = fetch ?? [];
   return { replica, expected, missingTokens, tokensAhead, copyTime, fetchFrom, fetchTokens };
 }
 
-function encodeNews(news: PeerUpdate): NewsForm {
-  switch (news.kind) {
+function encodeUpdate(update: PeerUpdate): EncodedUpdate {
+  switch (update.kind) {
     case 'usage': {
-      const { source, window, counts } = news.share;
+      const { source, window, counts } = update.usage;
       return ['u', [source, window, counts.map(([name, count]) => [name, count])]];
     }
     case 'demand':
       return [
         'd',
-        news.demand.map(({ service, tokensPerSecond, running }) => [
+        update.demand.map(({ service, tokensPerSecond, running }) => [
           service,
           Math.round(tokensPerSecond),
           running,
         ]),
       ];
     case 'placed':
-      return ['p', encodeAttempt(news.attempt)];
+      return ['p', encodeAttempt(update.attempt)];
     case 'first-byte-received':
-      return ['a', news.key];
+      return ['a', update.key];
     case 'ended':
-      return news.result === undefined
-        ? ['e', news.key]
-        : ['e', news.key, news.result.end, Math.round(news.result.after)];
+      return update.result === undefined
+        ? ['e', update.key]
+        : ['e', update.key, update.result.end, Math.round(update.result.after)];
     case 'ask':
-      return ['q', encodeAsk(news.query)];
+      return ['q', encodeQuery(update.query)];
     case 'reply': {
-      const { key, placement } = news.response;
+      const { key, placement } = update.response;
       return ['r', key, placement === undefined ? null : encodePlacement(placement)];
     }
     case 'attempt-broken':
-      return ['b', news.replica];
+      return ['b', update.replica];
     case 'limits':
       return [
         'm',
-        news.limits.map(({ replica, perSecond, age }) => [
+        update.limits.map(({ replica, perSecond, age }) => [
           replica,
           perSecond ?? null,
           Math.round(age),
         ]),
       ];
     case 'crashed':
-      return ['c', news.replica, news.fingerprints];
+      return ['c', update.replica, update.fingerprints];
     case 'cleared':
-      return ['s', news.fingerprint];
+      return ['s', update.fingerprint];
     case 'quarantined':
       return [
         'x',
-        news.requests.map(({ fingerprint, remaining, replicas }) => [
+        update.requests.map(({ fingerprint, remaining, replicas }) => [
           fingerprint,
           Math.round(remaining),
           replicas,
         ]),
       ];
     case 'attempt-list':
-      return ['l', news.attempts.map(encodeAttempt)];
+      return ['l', update.attempts.map(encodeAttempt)];
     default:
-      return news satisfies never;
+      return update satisfies never;
   }
 }
 
-function decodeNews(form: NewsForm): PeerUpdate {
-  switch (form[0]) {
+function decodeUpdate(encoded: EncodedUpdate): PeerUpdate {
+  switch (encoded[0]) {
     case 'u': {
-      const [source, window, counts] = form[1];
-      return { kind: 'usage', share: { source, window, counts } };
+      const [source, window, counts] = encoded[1];
+      return { kind: 'usage', usage: { source, window, counts } };
     }
     case 'd':
       return {
         kind: 'demand',
-        demand: form[1].map(([service, tokensPerSecond, running]) => ({
+        demand: encoded[1].map(([service, tokensPerSecond, running]) => ({
           service,
           tokensPerSecond,
           running,
         })),
       };
     case 'p':
-      return { kind: 'placed', attempt: decodeAttempt(form[1]) };
+      return { kind: 'placed', attempt: decodeAttempt(encoded[1]) };
     case 'a':
-      return { kind: 'first-byte-received', key: form[1] };
+      return { kind: 'first-byte-received', key: encoded[1] };
     case 'e': {
-      const [, key, end, after] = form;
+      const [, key, end, after] = encoded;
       return end === undefined || after === undefined
         ? { kind: 'ended', key }
         : { kind: 'ended', key, result: { end, after } };
     }
     case 'q':
-      return { kind: 'ask', query: decodeAsk(form[1]) };
+      return { kind: 'ask', query: decodeQuery(encoded[1]) };
     case 'r': {
-      const [, key, placement] = form;
+      const [, key, placement] = encoded;
       return {
         kind: 'reply',
         response: placement === null ? { key } : { key, placement: decodePlacement(placement) },
       };
     }
     case 'b':
-      return { kind: 'attempt-broken', replica: form[1] };
+      return { kind: 'attempt-broken', replica: encoded[1] };
     case 'm':
       return {
         kind: 'limits',
-        limits: form[1].map(([replica, perSecond, age]) => ({
+        limits: encoded[1].map(([replica, perSecond, age]) => ({
           replica,
           perSecond: perSecond ?? undefined,
           age,
         })),
       };
     case 'c':
-      return { kind: 'crashed', replica: form[1], fingerprints: form[2] };
+      return { kind: 'crashed', replica: encoded[1], fingerprints: encoded[2] };
     case 's':
-      return { kind: 'cleared', fingerprint: form[1] };
+      return { kind: 'cleared', fingerprint: encoded[1] };
     case 'x':
       return {
         kind: 'quarantined',
-        requests: form[1].map(([fingerprint, remaining, replicas]) => ({
+        requests: encoded[1].map(([fingerprint, remaining, replicas]) => ({
           fingerprint,
           remaining,
           replicas,
         })),
       };
     case 'l':
-      return { kind: 'attempt-list', attempts: form[1].map(decodeAttempt) };
+      return { kind: 'attempt-list', attempts: encoded[1].map(decodeAttempt) };
     default:
-      return form satisfies never;
+      return encoded satisfies never;
   }
 }
 
-/** Writes a message as one datagram. */
-export function encodeDatagram({ from, news, changes, sentAt }: Datagram): Buffer {
+/** Encodes a message as one datagram. */
+export function encodeDatagram({ from, updates, storeRevisions, sentAt }: Datagram): Buffer {
   return Buffer.from(
     JSON.stringify([
       from.id,
       from.address,
       from.availabilityZone,
-      news.map(encodeNews),
-      changes ?? null,
+      updates.map(encodeUpdate),
+      storeRevisions ?? null,
       ...(sentAt === undefined ? [] : [Math.round(sentAt)]),
     ]),
   );
 }
 
 /**
- * Reads a datagram.
+ * Decodes a datagram.
  *
- * @throws SyntaxError or ZodError when it is none
+ * @throws SyntaxError or ZodError if the bytes are not a valid datagram
  */
 export function decodeDatagram(bytes: Buffer): Datagram {
-  const [id, address, availabilityZone, news, changes, sentAt] = datagramForm.parse(
+  const [id, address, availabilityZone, updates, storeRevisions, sentAt] = datagramSchema.parse(
     JSON.parse(bytes.toString('utf8')),
   );
   const from = { id, address, availabilityZone };
-  return { from, news: news.map(decodeNews), changes: changes ?? undefined, sentAt };
+  return {
+    from,
+    updates: updates.map(decodeUpdate),
+    storeRevisions: storeRevisions ?? undefined,
+    sentAt,
+  };
 }
