--- a/packages/experiment/src/lib/relay/DaemonSimulation.ts
+++ b/packages/experiment/src/lib/relay/DaemonSimulation.ts
@@ -101,7 +101,7 @@
         route: kind.name,
         service: kind.service,
         kind: getRouteKind(call),
-        repeatable: kind.repeatable,
+        isRetryable: kind.repeatable,
         workspace: 'w',
         rank: kind.rank,
         maxAttempts: kind.maxAttempts,
--- a/packages/relay/src/lib/decide/Delegation/Delegation.ts
+++ b/packages/relay/src/lib/decide/Delegation/Delegation.ts
@@ -74,9 +74,9 @@
     const excludedReplicas = [...record.triedReplicas];
     const query = {
       key,
-      wish: criteria,
+      criteria,
       availabilityZone: options.availabilityZone,
-      tried: excludedReplicas,
+      excludedReplicas,
     };
     emit({ kind: 'share', to: placer, update: { kind: 'ask', query } });
   }
--- a/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
+++ b/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
@@ -39,9 +39,9 @@
 
 /** Creates the representation of an attempt that is sent to other daemons. */
 export function createSharedAttempt(attempt: RunningAttempt): SharedAttempt {
-  const { key, state, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt } = attempt;
+  const { key, state, missingTokens, memoryTokens, pauseTarget, isResponding, prompt } = attempt;
   const replica = state.replica.id;
-  return { key, replica, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt };
+  return { key, replica, missingTokens, memoryTokens, pauseTarget, isResponding, prompt };
 }
 
 /**
@@ -120,7 +120,7 @@
       memoryTokens: getMemoryTokens(prompt),
       pauseTarget,
       prompt,
-      isAnswering: false,
+      isResponding: false,
       hasMissedPauseTarget: false,
       placer: undefined,
     });
@@ -137,7 +137,7 @@
     if (state === undefined || attempts.has(shared.key)) {
       return;
     }
-    const { key, missingTokens, memoryTokens, pauseTarget, isAnswering, prompt } = shared;
+    const { key, missingTokens, memoryTokens, pauseTarget, isResponding, prompt } = shared;
     this.start(attempts, {
       number: 0,
       key,
@@ -152,7 +152,7 @@
       memoryTokens,
       pauseTarget,
       prompt,
-      isAnswering,
+      isResponding,
       hasMissedPauseTarget: false,
       placer: undefined,
     });
@@ -180,7 +180,7 @@
     const { state } = attempt;
     switch (result.end) {
       case AttemptEnd.Completed:
-        state.recordSuccess(result.after);
+        state.recordSuccess(result.duration);
         break;
       case AttemptEnd.Failed:
         state.recordFailure();
@@ -200,11 +200,11 @@
   }
 
   private recordFirstByte(attempt: RunningAttempt | undefined): void {
-    if (attempt === undefined || attempt.isAnswering) {
+    if (attempt === undefined || attempt.isResponding) {
       return;
     }
     const now = this.parts.clock.now();
-    Object.assign(attempt, { isAnswering: true });
+    Object.assign(attempt, { isResponding: true });
     attempt.state.recordFirstByte(attempt, now);
   }
 
@@ -218,7 +218,7 @@
       .forEach(([key]) => PeerAttempts.remove(attempts, key));
     shared.forEach((attempt) => {
       this.add(attempts, attempt);
-      if (attempt.isAnswering) {
+      if (attempt.isResponding) {
         this.recordFirstByte(attempts.get(attempt.key));
       }
     });
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.fuzz.test.ts
@@ -75,9 +75,7 @@
         const { kind, isRetryable } = KINDS[next.kind]!;
         const request = { isRetryable, maxAttempts: next.attempts, sent: 0, possibleRuns: 0 };
         this.requests.set(id, { ...request, running: undefined, ending: undefined });
-        harness.submit(
-          createRequest(id, { kind, repeatable: isRetryable, maxAttempts: next.attempts }),
-        );
+        harness.submit(createRequest(id, { kind, isRetryable, maxAttempts: next.attempts }));
         break;
       }
       case 'end':
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
@@ -18,7 +18,9 @@
   // attempt was treated as one that did not run.
   it('does not retry a non-idempotent request after a broken attempt, and reports outcome unknown', () => {
     const harness = new CoreHarness(APP, TWO);
-    harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, maxAttempts: 2 }));
+    harness.submit(
+      createRequest('p', { kind: RouteKind.Once, isRetryable: false, maxAttempts: 2 }),
+    );
     harness.end('p', 1, AttemptEnd.Broken);
     expect(harness.get('send')).toHaveLength(1);
     expect(harness.get('give-up')).toMatchObject([
@@ -28,7 +30,9 @@
 
   it('retries a refused non-idempotent request elsewhere, up to the maximum number of attempts', () => {
     const harness = new CoreHarness(APP, TWO);
-    harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, maxAttempts: 2 }));
+    harness.submit(
+      createRequest('p', { kind: RouteKind.Once, isRetryable: false, maxAttempts: 2 }),
+    );
     harness.end('p', 1, AttemptEnd.Refused);
     expect(new Set(harness.getReplicas('p')).size).toBe(2);
     harness.end('p', 2, AttemptEnd.Refused);
@@ -67,7 +71,7 @@
 
   it('gives a request up at its deadline and cancels the attempt in flight', () => {
     const harness = new CoreHarness(APP, TWO);
-    harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false, deadline: 700 }));
+    harness.submit(createRequest('p', { kind: RouteKind.Once, isRetryable: false, deadline: 700 }));
     harness.clock.advance(700);
     expect(harness.get('cancel')).toMatchObject([{ id: 'p', attempt: 1 }]);
     expect(harness.get('give-up')).toMatchObject([
@@ -96,7 +100,7 @@
 
   it('keeps waiting for an unresponsive replica if the request is not retryable', () => {
     const harness = new CoreHarness(APP, TWO, { retrySlack: 5 });
-    harness.submit(createRequest('p', { kind: RouteKind.Once, repeatable: false }));
+    harness.submit(createRequest('p', { kind: RouteKind.Once, isRetryable: false }));
     harness.clock.advance(1_400);
     expect(harness.get('cancel')).toHaveLength(0);
   });
@@ -190,7 +194,7 @@
   }
 
   function submit(harness: CoreHarness, id: string, parts: [string, number][]): string {
-    const stream = { kind: RouteKind.Stream, repeatable: false, service: 'llm', pauseTarget: 400 };
+    const stream = { kind: RouteKind.Stream, isRetryable: false, service: 'llm', pauseTarget: 400 };
     const prompt = createPrompt(parts, 52);
     harness.submit(createRequest(id, { ...stream, prompt, deadline: 6_000, maxAttempts: 1 }));
     return harness.getReplicas(id)[0]!;
@@ -253,7 +257,7 @@
       replica: preferred,
       missingTokens: 18_000,
       memoryTokens: 18_000,
-      isAnswering: false,
+      isResponding: false,
     };
     harness.core.handle({ kind: 'peer-update', peer: 'd-2', update: { kind: 'placed', attempt } });
     expect(
@@ -283,7 +287,7 @@
         missingTokens: 0,
         memoryTokens: 800,
         pauseTarget: 250,
-        isAnswering: true,
+        isResponding: true,
       })),
     );
     harness.core.handle({
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
@@ -311,7 +311,7 @@
     if (record?.running?.number === attempt) {
       const { running } = record;
       const now = this.clock.now();
-      running.isAnswering = true;
+      running.isResponding = true;
       running.state.recordFirstByte(running, now);
       this.announceUpdate(running, { kind: 'first-byte-received', key: running.key });
       record.cancelSilenceTimer();
@@ -328,7 +328,7 @@
     if (record === undefined || running?.number !== attempt) {
       return;
     }
-    this.releaseAttempt(record, { end, after: this.clock.now() - running.sentAt });
+    this.releaseAttempt(record, { end, duration: this.clock.now() - running.sentAt });
     record.countAttempt(end);
     this.registry.recordAttemptEnd(running, end);
     this.updateQuarantine(record, running, end);
@@ -378,12 +378,12 @@
       this.giveUp(record, outcome, GiveUpReason.UnderReview);
       return;
     }
-    if (!step.isRepeat || retryBudget.tryTake(this.clock.now())) {
+    if (!step.isRetry || retryBudget.tryTake(this.clock.now())) {
       this.placeOrWait(record);
-    } else if (step.otherwise === 'settle') {
+    } else if (step.fallback === 'settle') {
       this.settle(record, attempt);
     } else {
-      this.giveUp(record, step.otherwise.outcome, step.otherwise.reason);
+      this.giveUp(record, step.fallback.outcome, step.fallback.reason);
     }
   }
 
--- a/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
@@ -19,7 +19,7 @@
         createRequest(id, {
           service: 'llm',
           prompt: createPrompt([[`own-${id}`, 3_000]]),
-          repeatable: false,
+          isRetryable: false,
           latencyTarget: 600,
           deadline: 10_000,
         }),
--- a/packages/relay/src/lib/decide/Placer/Placer.ts
+++ b/packages/relay/src/lib/decide/Placer/Placer.ts
@@ -40,7 +40,7 @@
   /** Responds to a peer's placement query. */
   handleQuery(peer: string, query: PlacementQuery): void {
     const { registry, clock, emit, options, peerAttempts } = this.parts;
-    const { key, wish: criteria, availabilityZone, tried: excludedReplicas } = query;
+    const { key, criteria, availabilityZone, excludedReplicas } = query;
     if (peerAttempts.has(peer, key)) {
       // Datagrams can be duplicated. A second attempt with this key would replace the first, which
       // would then never be removed.
--- a/packages/relay/src/lib/decide/Placing/Placing.ts
+++ b/packages/relay/src/lib/decide/Placing/Placing.ts
@@ -200,7 +200,7 @@
       memoryTokens: getMemoryTokens(prompt),
       pauseTarget,
       prompt,
-      isAnswering: false,
+      isResponding: false,
       hasMissedPauseTarget: false,
     };
     record.startAttempt(attempt);
--- a/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
+++ b/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
@@ -182,7 +182,7 @@
         latencyTarget: 600,
         prompt: createPrompt([[`own-${peer}-${key}`, 3_000]]),
       };
-      const query = { key, wish: criteria, availabilityZone: '', tried: [] };
+      const query = { key, criteria, availabilityZone: '', excludedReplicas: [] };
       placerMember.receive(peer, { kind: 'ask', query });
       return placerMember.getShared('reply').at(-1)!.update.response.placement!;
     };
@@ -193,7 +193,7 @@
     // An attempt that has ended frees its engine.
     const index = first.findIndex(({ replica }) => replica !== second.replica);
     placerMember.receive(`d-${index}`, { kind: 'first-byte-received', key: 'a' });
-    const result = { end: AttemptEnd.Completed, after: 100 };
+    const result = { end: AttemptEnd.Completed, duration: 100 };
     placerMember.receive(`d-${index}`, { kind: 'ended', key: 'a', result });
     expect(choose('d-10', 'a').replica).toBe(first[index]!.replica);
     expect(placerMember.harness.get('placed-for')).toHaveLength(6);
@@ -214,7 +214,7 @@
         .getReplicasInService()
         .reduce((sum, { running }) => sum + running.size, 0);
     ['d-0', 'd-1'].forEach((peer) => {
-      const query = { key: 'a', wish: criteria, availabilityZone: '', tried: [] };
+      const query = { key: 'a', criteria, availabilityZone: '', excludedReplicas: [] };
       placerMember.receive(peer, { kind: 'ask', query });
     });
     // This list may have been written before the peer received the placement.
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -254,7 +254,7 @@
 
   /** Prompt tokens that the engine still has to prefill. */
   getBacklog(now: Milliseconds): number {
-    const pending = [...this.running].filter(({ isAnswering }) => !isAnswering);
+    const pending = [...this.running].filter(({ isResponding }) => !isResponding);
     return this.prefill.getBacklog(pending, now);
   }
 
@@ -292,7 +292,7 @@
   private markMissedPauseTargets(now: Milliseconds): void {
     const prefillTime = this.getBacklog(now) / this.prefillRate;
     this.running.forEach((attempt) => {
-      const slack = attempt.isAnswering ? this.getPauseSlack(attempt.pauseTarget) : undefined;
+      const slack = attempt.isResponding ? this.getPauseSlack(attempt.pauseTarget) : undefined;
       if (slack !== undefined && prefillTime >= slack) {
         Object.assign(attempt, { hasMissedPauseTarget: true });
       }
--- a/packages/relay/src/lib/decide/RequestRecord.ts
+++ b/packages/relay/src/lib/decide/RequestRecord.ts
@@ -31,7 +31,7 @@
   pauseTarget: Milliseconds | undefined;
   prompt: Prompt | undefined;
   /** Whether the first byte of the response has been received. */
-  isAnswering: boolean;
+  isResponding: boolean;
   /** Whether its stream has already missed the pause target because of the engine's prefill. */
   hasMissedPauseTarget: boolean;
   /**
--- a/packages/relay/src/lib/decide/ResponseTimeouts/ResponseTimeouts.ts
+++ b/packages/relay/src/lib/decide/ResponseTimeouts/ResponseTimeouts.ts
@@ -37,7 +37,7 @@
 
   private check(record: RequestRecord, attempt: RunningAttempt): void {
     const { registry, clock, emit, options } = this.settings;
-    if (record.running !== attempt || attempt.isAnswering) {
+    if (record.running !== attempt || attempt.isResponding) {
       return;
     }
     if (attempt.state.isUnresponsive(clock.now())) {
@@ -63,7 +63,7 @@
     const others = service.getCandidates(triedReplicas, now);
     const hasOther = others.some(({ replica }) => !triedReplicas.has(replica.id));
     return (
-      request.repeatable &&
+      request.isRetryable &&
       sentAttempts + 1 < request.maxAttempts &&
       hasOther &&
       service.retryBudget.getRemaining(now) >= 1
--- a/packages/relay/src/lib/decide/estimates/getEngineEstimate.test.ts
+++ b/packages/relay/src/lib/decide/estimates/getEngineEstimate.test.ts
@@ -42,7 +42,7 @@
       missingTokens: 0,
       memoryTokens: 500,
       pauseTarget: 200,
-      isAnswering: true,
+      isResponding: true,
     }));
     const harness = createHarness();
     harness.core.handle({
@@ -66,7 +66,7 @@
       missingTokens: 0,
       memoryTokens: 1_000,
       pauseTarget: 200,
-      isAnswering: true,
+      isResponding: true,
     }));
     harness.core.handle({
       kind: 'peer-update',
--- a/packages/relay/src/lib/decide/getNextStep.ts
+++ b/packages/relay/src/lib/decide/getNextStep.ts
@@ -8,7 +8,7 @@
    * Another attempt. With `isRetry`, a replica has received the request before, so that the
    * attempt takes from the retry budget. `fallback` applies if no further attempt is possible.
    */
-  | { kind: 'place'; isRepeat: boolean; otherwise: 'settle' | GiveUp }
+  | { kind: 'place'; isRetry: boolean; fallback: 'settle' | GiveUp }
   | GiveUp;
 
 interface GiveUp {
@@ -56,26 +56,26 @@
     case AttemptEnd.Completed:
       return { kind: 'settle' };
     case AttemptEnd.Failed:
-      return request.repeatable && hasAttempts
-        ? { kind: 'place', isRepeat: true, otherwise: 'settle' }
+      return request.isRetryable && hasAttempts
+        ? { kind: 'place', isRetry: true, fallback: 'settle' }
         : { kind: 'settle' };
     case AttemptEnd.NotSent:
     case AttemptEnd.Misdirected:
       return record.unsentAttempts < unsentLimit
         ? {
             kind: 'place',
-            isRepeat: record.sentAttempts > 0,
-            otherwise: withKnownOutcome(record, NO_REPLICA),
+            isRetry: record.sentAttempts > 0,
+            fallback: withKnownOutcome(record, NO_REPLICA),
           }
         : withKnownOutcome(record, NO_REPLICA);
     case AttemptEnd.Refused:
       return hasAttempts
-        ? { kind: 'place', isRepeat: true, otherwise: withKnownOutcome(record, REFUSED) }
+        ? { kind: 'place', isRetry: true, fallback: withKnownOutcome(record, REFUSED) }
         : withKnownOutcome(record, REFUSED);
     case AttemptEnd.Broken:
     case AttemptEnd.Cancelled:
-      return request.repeatable && hasAttempts
-        ? { kind: 'place', isRepeat: true, otherwise: MAY_HAVE_RUN }
+      return request.isRetryable && hasAttempts
+        ? { kind: 'place', isRetry: true, fallback: MAY_HAVE_RUN }
         : MAY_HAVE_RUN;
     default:
       return end satisfies never;
--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -36,7 +36,7 @@
   service: string;
   kind: RouteKind;
   /** Whether it may run again: it is idempotent, or it resumes after the last event received. */
-  repeatable: boolean;
+  isRetryable: boolean;
   workspace: string;
   /** Priority among the requests of its service; 0 is the most urgent. */
   rank: number;
@@ -117,7 +117,7 @@
   memoryTokens: number;
   /** Absent if the response is not a stream. */
   pauseTarget?: Milliseconds;
-  isAnswering: boolean;
+  isResponding: boolean;
   /** The prompt, whose parts the engine will cache. */
   prompt?: Prompt;
 }
@@ -132,11 +132,11 @@
 export interface PlacementQuery {
   /** Identifies the attempt among those of the querying daemon. */
   key: string;
-  wish: PlacementCriteria;
+  criteria: PlacementCriteria;
   /** Availability zone of the querying daemon; empty if zones are not considered. */
   availabilityZone: string;
   /** IDs of replicas that must not be chosen. */
-  tried: string[];
+  excludedReplicas: string[];
 }
 
 /** The replica that a placer chose for another daemon's attempt, and the estimates behind it. */
@@ -163,7 +163,7 @@
 export interface SharedAttemptResult {
   end: AttemptEnd;
   /** Time from the send to the end. */
-  after: Milliseconds;
+  duration: Milliseconds;
 }
 
 /** A request that is rejected because it crashes replicas. */
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
@@ -31,7 +31,7 @@
   replica: 'e-1',
   missingTokens: 100,
   memoryTokens: 100,
-  isAnswering: false,
+  isResponding: false,
 };
 
 describe('PeerLink', () => {
--- a/packages/relay/src/lib/peers/datagram/datagram.test.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.test.ts
@@ -16,14 +16,14 @@
   replica: 'i-c5d157d853',
   missingTokens: 2_890,
   memoryTokens: 9_240,
-  isAnswering: true,
+  isResponding: true,
   pauseTarget: 250,
   prompt: { model: 'm', inputTokens: 5, outputTokens: 7, parts: [{ id: 'p', tokens: 5 }] },
 };
 
 const QUERY: PlacementQuery = {
   key: 'k',
-  wish: {
+  criteria: {
     service: 'llm',
     rank: 1,
     latencyTarget: 300,
@@ -31,7 +31,7 @@
     prompt: ATTEMPT.prompt,
   },
   availabilityZone: 'a',
-  tried: ['i-9'],
+  excludedReplicas: ['i-9'],
 };
 
 const PLACEMENT = {
@@ -53,9 +53,9 @@
         { kind: 'placed', attempt: ATTEMPT },
         { kind: 'first-byte-received', key: 'k' },
         { kind: 'ended', key: 'k' },
-        { kind: 'ended', key: 'k', result: { end: AttemptEnd.Completed, after: 120 } },
+        { kind: 'ended', key: 'k', result: { end: AttemptEnd.Completed, duration: 120 } },
         { kind: 'ask', query: QUERY },
-        { kind: 'ask', query: { ...QUERY, wish: { ...QUERY.wish, prompt: undefined } } },
+        { kind: 'ask', query: { ...QUERY, criteria: { ...QUERY.criteria, prompt: undefined } } },
         { kind: 'reply', response: { key: 'k' } },
         { kind: 'reply', response: { key: 'k', placement: PLACEMENT } },
         {
@@ -83,7 +83,9 @@
         },
         {
           kind: 'attempt-list',
-          attempts: [{ ...ATTEMPT, prompt: undefined, pauseTarget: undefined, isAnswering: false }],
+          attempts: [
+            { ...ATTEMPT, prompt: undefined, pauseTarget: undefined, isResponding: false },
+          ],
         },
       ],
       changes: { configuration: 17, replicas: 29 },
--- a/packages/relay/src/lib/peers/datagram/datagram.ts
+++ b/packages/relay/src/lib/peers/datagram/datagram.ts
@@ -131,13 +131,13 @@
 }
 
 function encodeAttempt(attempt: SharedAttempt): EncodedAttempt {
-  const { key, replica, missingTokens, memoryTokens, isAnswering, pauseTarget, prompt } = attempt;
+  const { key, replica, missingTokens, memoryTokens, isResponding, pauseTarget, prompt } = attempt;
   return [
     key,
     replica,
     Math.round(missingTokens),
     Math.round(memoryTokens),
-    isAnswering ? 1 : 0,
+    isResponding ? 1 : 0,
     pauseTarget ?? null,
     prompt === undefined ? null : encodePrompt(prompt),
   ];
@@ -148,7 +148,7 @@
   replica,
   missingTokens,
   memoryTokens,
-  isAnswering,
+  isResponding,
   pauseTarget,
   prompt,
 ]: EncodedAttempt): SharedAttempt {
@@ -157,14 +157,19 @@
     replica,
     missingTokens,
     memoryTokens,
-    isAnswering: isAnswering === 1,
+    isResponding: isResponding === 1,
     pauseTarget: pauseTarget ?? undefined,
     prompt: prompt === null ? undefined : decodePrompt(prompt),
   };
 }
 
-function encodeQuery({ key, wish, availabilityZone, tried }: PlacementQuery): EncodedQuery {
-  const { service, rank, latencyTarget, pauseTarget, prompt } = wish;
+function encodeQuery({
+  key,
+  criteria,
+  availabilityZone,
+  excludedReplicas,
+}: PlacementQuery): EncodedQuery {
+  const { service, rank, latencyTarget, pauseTarget, prompt } = criteria;
   const encodedPrompt = prompt === undefined ? null : encodePrompt(prompt);
   return [
     key,
@@ -174,7 +179,7 @@
     pauseTarget ?? null,
     encodedPrompt,
     availabilityZone,
-    tried,
+    excludedReplicas,
   ];
 }
 
@@ -186,16 +191,16 @@
   pauseTarget,
   prompt,
   availabilityZone,
-  tried,
+  excludedReplicas,
 ]: EncodedQuery): PlacementQuery {
-  const wish = {
+  const criteria = {
     service,
     rank,
     latencyTarget,
     pauseTarget: pauseTarget ?? undefined,
     prompt: prompt === null ? undefined : decodePrompt(prompt),
   };
-  return { key, wish, availabilityZone, tried };
+  return { key, criteria, availabilityZone, excludedReplicas };
 }
 
 function encodePlacement(placement: Placement): EncodedPlacement {
@@ -245,7 +250,7 @@
     case 'ended':
       return update.result === undefined
         ? ['e', update.key]
-        : ['e', update.key, update.result.end, Math.round(update.result.after)];
+        : ['e', update.key, update.result.end, Math.round(update.result.duration)];
     case 'ask':
       return ['q', encodeQuery(update.query)];
     case 'reply': {
@@ -306,7 +311,7 @@
       const [, key, end, after] = encoded;
       return end === undefined || after === undefined
         ? { kind: 'ended', key }
-        : { kind: 'ended', key, result: { end, after } };
+        : { kind: 'ended', key, result: { end, duration: after } };
     }
     case 'q':
       return { kind: 'ask', query: decodeQuery(encoded[1]) };
--- a/packages/relay/src/lib/request/RelayTask.ts
+++ b/packages/relay/src/lib/request/RelayTask.ts
@@ -98,7 +98,7 @@
       route: route.name,
       service: request.service,
       kind: route.kind,
-      repeatable:
+      isRetryable:
         route.kind === RouteKind.Idempotent || (route.kind === RouteKind.Stream && route.resumable),
       workspace: request.workspace?.name ?? '',
       rank: request.rank,
--- a/packages/relay/src/test/fixtures.ts
+++ b/packages/relay/src/test/fixtures.ts
@@ -75,7 +75,7 @@
     route: 'r',
     service: 'app',
     kind: RouteKind.Idempotent,
-    repeatable: true,
+    isRetryable: true,
     workspace: 'w',
     rank: 1,
     maxAttempts: 2,
