--- a/packages/relay/src/lib/daemon/ObjectFollower.ts
+++ b/packages/relay/src/lib/daemon/ObjectFollower.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import type { ObjectSource } from '../follow/StateFollower/ObjectSource.js';
 import { StateFollower } from '../follow/StateFollower/StateFollower.js';
-import type { FollowListener } from '../follow/StateFollower/StateFollower.js';
+import type { StateListener } from '../follow/StateFollower/StateFollower.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { ReaderSelector } from '../readers/ReaderSelector/ReaderSelector.js';
 import { readerOptions } from '../readers/readerOptions.js';
@@ -14,9 +14,9 @@
   /** Name of the kind of objects, in log lines and in requests between daemons. */
   dependency: string;
   store: ObjectSource<Item>;
-  choice: ReaderSelector;
-  ask: PeerReader<Item>;
-  onObjects: FollowListener<Item>['onObjects'];
+  selector: ReaderSelector;
+  readPeer: PeerReader<Item>;
+  onObjects: StateListener<Item>['onObjects'];
   clock: Clock;
   random: Random;
   log: RelayLog;
@@ -95,7 +95,7 @@
     return this.source.isDirect;
   }
 
-  private createListener(): FollowListener<Item> {
+  private createListener(): StateListener<Item> {
     const { dependency, log, onObjects } = this.parts;
     return {
       onObjects: (items, revision) => {
--- a/packages/relay/src/lib/daemon/RelayDaemon.ts
+++ b/packages/relay/src/lib/daemon/RelayDaemon.ts
@@ -8,7 +8,7 @@
 import type { ObjectSource } from '../follow/StateFollower/ObjectSource.js';
 import type { CacheSource } from '../follow/CacheFollower/CacheFollower.js';
 import { FleetDuties } from '../duties/FleetDuties/FleetDuties.js';
-import type { DutyParts } from '../duties/FleetDuties/FleetDuties.js';
+import type { DutyDependencies } from '../duties/FleetDuties/FleetDuties.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { RelayMetrics } from '../observe/RelayMetrics.js';
 import type { RelayProtocol } from '../protocol/RelayProtocol.js';
@@ -46,7 +46,7 @@
   peers: PeerDirectory;
   quarantine: QuarantineStore;
   /** Absent if the platform requires no duties. */
-  duties?: DutyParts;
+  duties?: DutyDependencies;
 }
 
 /**
--- a/packages/relay/src/lib/daemon/ReplicaWatch.test.ts
+++ b/packages/relay/src/lib/daemon/ReplicaWatch.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import type { PlacementMessage } from '../decide/messages.js';
 import { createEngineService, createReplica } from '../../test/fixtures.js';
-import { cacheOptions } from '../follow/CacheFollower/CacheFollower.js';
+import { cacheFollowerOptions } from '../follow/CacheFollower/CacheFollower.js';
 import { ReplicaWatch } from './ReplicaWatch.js';
 
 describe('ReplicaWatch', () => {
@@ -31,7 +31,7 @@
     expect(watch.followedCount).toBe(0);
     watch.setDaemonCount(12);
     expect(watch.followedCount).toBe(1);
-    clock.advance(cacheOptions.interval);
+    clock.advance(cacheFollowerOptions.minInterval);
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
--- a/packages/relay/src/lib/daemon/StoreLink.test.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.test.ts
@@ -163,7 +163,9 @@
     // daemons that it called become readers.
     const readers = daemons.filter(({ link }) => link.isReader);
     expect(readers.length).toBeLessThanOrEqual(readerOptions.maxCandidates);
-    const waits = Math.ceil((clock.now() - started) / (CHANGE_BOUND * readerOptions.waitShare));
+    const waits = Math.ceil(
+      (clock.now() - started) / (CHANGE_BOUND * readerOptions.sharedWaitRatio),
+    );
     expect(countCalls() - before).toBeLessThanOrEqual(
       readers.length * (changes + 1 + waits) + DAEMON_COUNT,
     );
--- a/packages/relay/src/lib/daemon/StoreLink.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.ts
@@ -1,7 +1,7 @@
 import { getHashHex } from '@apricotrill/utils';
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import type { ObjectSource } from '../follow/StateFollower/ObjectSource.js';
-import type { FollowListener } from '../follow/StateFollower/StateFollower.js';
+import type { StateListener } from '../follow/StateFollower/StateFollower.js';
 import { HttpClient } from '../http/HttpClient.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { PeerEntry } from '../peers/PeerDirectory.js';
@@ -41,7 +41,7 @@
 
   constructor(private readonly parts: StoreLinkParts) {
     const { clock, log, self, changeBound } = parts;
-    this.sharedWait = Math.round(changeBound * readerOptions.waitShare);
+    this.sharedWait = Math.round(changeBound * readerOptions.sharedWaitRatio);
     this.readerSelector = new ReaderSelector(parts);
     this.objectServer = new ObjectServer({
       log,
@@ -59,7 +59,7 @@
   follow<Item>(
     dependency: string,
     store: ObjectSource<Item>,
-    onObjects: FollowListener<Item>['onObjects'],
+    onObjects: StateListener<Item>['onObjects'],
   ): void {
     const { readerSelector: choice, epoch, parts, sharedWait } = this;
     const ask = createPeerReader<Item>(this.httpClient, dependency);
@@ -67,8 +67,8 @@
       ...parts,
       dependency,
       store,
-      choice,
-      ask,
+      selector: choice,
+      readPeer: ask,
       onObjects,
       epoch,
       sharedWait,
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.test.ts
@@ -22,8 +22,8 @@
       createRequest('p', { kind: RouteKind.Once, isRetryable: false, maxAttempts: 2 }),
     );
     harness.end('p', 1, AttemptEnd.Broken);
-    expect(harness.get('send')).toHaveLength(1);
-    expect(harness.get('give-up')).toMatchObject([
+    expect(harness.getEffects('send')).toHaveLength(1);
+    expect(harness.getEffects('give-up')).toMatchObject([
       { outcome: Outcome.Unknown, reason: GiveUpReason.MayHaveRun },
     ]);
   });
@@ -34,10 +34,10 @@
       createRequest('p', { kind: RouteKind.Once, isRetryable: false, maxAttempts: 2 }),
     );
     harness.end('p', 1, AttemptEnd.Refused);
-    expect(new Set(harness.getReplicas('p')).size).toBe(2);
+    expect(new Set(harness.getAttemptedReplicas('p')).size).toBe(2);
     harness.end('p', 2, AttemptEnd.Refused);
-    expect(harness.get('give-up')).toMatchObject([{ outcome: Outcome.NotRun }]);
-    expect(harness.get('give-up')[0]!.retryAfter).toBeGreaterThan(0);
+    expect(harness.getEffects('give-up')).toMatchObject([{ outcome: Outcome.NotRun }]);
+    expect(harness.getEffects('give-up')[0]!.retryAfter).toBeGreaterThan(0);
   });
 
   it('does not count attempts that were not sent, but gives up after three of them', () => {
@@ -46,8 +46,8 @@
     harness.end('a', 1, AttemptEnd.NotSent);
     harness.end('a', 2, AttemptEnd.NotSent);
     harness.end('a', 3, AttemptEnd.NotSent);
-    expect(harness.get('send')).toHaveLength(3);
-    expect(harness.get('give-up')).toMatchObject([
+    expect(harness.getEffects('send')).toHaveLength(3);
+    expect(harness.getEffects('give-up')).toMatchObject([
       { outcome: Outcome.NotRun, reason: GiveUpReason.NoReplica },
     ]);
   });
@@ -60,21 +60,21 @@
       const id = `r${index}`;
       harness.submit(createRequest(id));
       harness.end(id, 1, AttemptEnd.Failed);
-      if (harness.getReplicas(id).length > 1) {
+      if (harness.getAttemptedReplicas(id).length > 1) {
         harness.end(id, 2, AttemptEnd.Failed);
       }
     }
-    expect(harness.get('send').length).toBeLessThanOrEqual(50 + 50 * 0.2 + 1);
-    expect(harness.get('send').length).toBeGreaterThan(50);
-    expect(harness.get('settle')).toHaveLength(50);
+    expect(harness.getEffects('send').length).toBeLessThanOrEqual(50 + 50 * 0.2 + 1);
+    expect(harness.getEffects('send').length).toBeGreaterThan(50);
+    expect(harness.getEffects('settle')).toHaveLength(50);
   });
 
   it('gives a request up at its deadline and cancels the attempt in flight', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('p', { kind: RouteKind.Once, isRetryable: false, deadline: 700 }));
     harness.clock.advance(700);
-    expect(harness.get('cancel')).toMatchObject([{ id: 'p', attempt: 1 }]);
-    expect(harness.get('give-up')).toMatchObject([
+    expect(harness.getEffects('cancel')).toMatchObject([{ id: 'p', attempt: 1 }]);
+    expect(harness.getEffects('give-up')).toMatchObject([
       { outcome: Outcome.Unknown, reason: GiveUpReason.Deadline },
     ]);
     expect(harness.core.openRequests).toBe(0);
@@ -84,8 +84,8 @@
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('a'));
     harness.core.handle({ kind: 'caller-left', id: 'a' });
-    expect(harness.get('cancel')).toHaveLength(1);
-    expect(harness.get('give-up')).toHaveLength(0);
+    expect(harness.getEffects('cancel')).toHaveLength(1);
+    expect(harness.getEffects('give-up')).toHaveLength(0);
   });
 
   // Guards against requests that wait until their deadline because the response of a replica was lost
@@ -94,15 +94,15 @@
     const harness = new CoreHarness(APP, TWO, { retrySlack: 5 });
     harness.submit(createRequest('a'));
     harness.clock.advance(250);
-    expect(harness.get('cancel')).toHaveLength(1);
-    expect(new Set(harness.getReplicas('a')).size).toBe(2);
+    expect(harness.getEffects('cancel')).toHaveLength(1);
+    expect(new Set(harness.getAttemptedReplicas('a')).size).toBe(2);
   });
 
   it('keeps waiting for an unresponsive replica if the request is not retryable', () => {
     const harness = new CoreHarness(APP, TWO, { retrySlack: 5 });
     harness.submit(createRequest('p', { kind: RouteKind.Once, isRetryable: false }));
     harness.clock.advance(1_400);
-    expect(harness.get('cancel')).toHaveLength(0);
+    expect(harness.getEffects('cancel')).toHaveLength(0);
   });
 
   // Guards against requests that keep failing on a crashed replica, which refuses connections, until
@@ -110,19 +110,19 @@
   it('avoids a replica that refuses connections until it passes a health check', () => {
     const harness = new CoreHarness(APP, TWO);
     harness.submit(createRequest('a'));
-    const [down] = harness.getReplicas('a');
+    const [down] = harness.getAttemptedReplicas('a');
     harness.end('a', 1, AttemptEnd.NotSent);
-    expect(harness.get('suspect')).toMatchObject([{ replica: { id: down } }]);
+    expect(harness.getEffects('suspect')).toMatchObject([{ replica: { id: down } }]);
     for (let index = 0; index < 5; index += 1) {
       harness.submit(createRequest(`b${index}`));
-      expect(harness.getReplicas(`b${index}`)).not.toContain(down);
+      expect(harness.getAttemptedReplicas(`b${index}`)).not.toContain(down);
     }
     harness.core.handle({ kind: 'health', replica: down!, isHealthy: true });
-    expect(harness.get('mark-healthy')).toHaveLength(1);
+    expect(harness.getEffects('mark-healthy')).toHaveLength(1);
     for (let index = 0; index < 4; index += 1) {
       harness.submit(createRequest(`c${index}`));
     }
-    const after = [0, 1, 2, 3].flatMap((index) => harness.getReplicas(`c${index}`));
+    const after = [0, 1, 2, 3].flatMap((index) => harness.getAttemptedReplicas(`c${index}`));
     expect(after).toContain(down);
   });
 
@@ -133,14 +133,14 @@
       createReplica('i-3'),
     ]);
     harness.submit(createRequest('a'));
-    const [first] = harness.getReplicas('a');
+    const [first] = harness.getAttemptedReplicas('a');
     harness.end('a', 1, AttemptEnd.Misdirected);
-    const [, second] = harness.getReplicas('a');
+    const [, second] = harness.getAttemptedReplicas('a');
     expect(first).not.toBe('i-1');
     expect(second).not.toBe('i-1');
     expect(second).not.toBe(first);
     harness.submit(createRequest('b'));
-    expect(harness.getReplicas('b')).toEqual([second]);
+    expect(harness.getAttemptedReplicas('b')).toEqual([second]);
   });
 
   // Guards against avoiding a healthy replica that restarted under its old name, because the suspicion
@@ -157,9 +157,9 @@
       harness.core.handle({ kind: 'peer-update', peer: 'd-2', update });
       harness.core.handle({ kind: 'leaving', replica: first.id });
     }
-    expect(harness.get('start-cooldown')).toHaveLength(0);
+    expect(harness.getEffects('start-cooldown')).toHaveLength(0);
     ['a', 'b', 'c'].forEach((id) => harness.submit(createRequest(id)));
-    const used = ['a', 'b', 'c'].flatMap((id) => harness.getReplicas(id));
+    const used = ['a', 'b', 'c'].flatMap((id) => harness.getAttemptedReplicas(id));
     expect(used).toContain(next.id);
     expect(used).not.toContain(first.id);
   });
@@ -167,7 +167,7 @@
   it('gives a request up immediately if no replica is known, with retry-after', () => {
     const harness = new CoreHarness(APP, []);
     harness.submit(createRequest('a'));
-    const [effect] = harness.get('give-up');
+    const [effect] = harness.getEffects('give-up');
     expect(effect).toMatchObject({ outcome: Outcome.NotRun, reason: GiveUpReason.NoReplica });
     expect(effect!.retryAfter).toBeGreaterThan(0);
   });
@@ -178,10 +178,10 @@
     ids.forEach((id) => harness.submit(createRequest(id)));
     harness.submit(createRequest('late', { rank: 2 }));
     harness.submit(createRequest('urgent', { rank: 0 }));
-    expect(harness.get('send')).toHaveLength(2);
+    expect(harness.getEffects('send')).toHaveLength(2);
     harness.end('a', 1, AttemptEnd.Completed);
-    expect(harness.getReplicas('urgent')).toHaveLength(1);
-    expect(harness.getReplicas('late')).toHaveLength(0);
+    expect(harness.getAttemptedReplicas('urgent')).toHaveLength(1);
+    expect(harness.getAttemptedReplicas('late')).toHaveLength(0);
   });
 });
 
@@ -197,7 +197,7 @@
     const stream = { kind: RouteKind.Stream, isRetryable: false, service: 'llm', pauseTarget: 400 };
     const prompt = createPrompt(parts, 52);
     harness.submit(createRequest(id, { ...stream, prompt, deadline: 6_000, maxAttempts: 1 }));
-    return harness.getReplicas(id)[0]!;
+    return harness.getAttemptedReplicas(id)[0]!;
   }
 
   function complete(harness: CoreHarness, id: string): void {
@@ -237,7 +237,7 @@
         [`own${index}`, 6_000],
       ]);
     }
-    const elsewhere = harness.get('send').filter(({ replica }) => replica.id !== first);
+    const elsewhere = harness.getEffects('send').filter(({ replica }) => replica.id !== first);
     expect(elsewhere.length).toBeGreaterThan(0);
     expect(elsewhere.some(({ choice }) => choice.fetchFrom?.id === first)).toBe(true);
   });
--- a/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
@@ -32,11 +32,11 @@
     const { harness, submit } = createHarness();
     harness.answerLivenessChecks(true);
     harness.clock.advance(6_000);
-    expect(harness.get('suspect')).toEqual([]);
-    expect(harness.get('start-cooldown')).toEqual([]);
+    expect(harness.getEffects('suspect')).toEqual([]);
+    expect(harness.getEffects('start-cooldown')).toEqual([]);
     const more = ['d', 'e', 'f', 'g', 'h', 'i'];
     more.forEach(submit);
-    const used = more.flatMap((id) => harness.getReplicas(id));
+    const used = more.flatMap((id) => harness.getAttemptedReplicas(id));
     expect(new Set(used).size).toBe(3);
   });
 
@@ -44,11 +44,11 @@
     const { harness } = createHarness();
     harness.answerLivenessChecks(false);
     harness.clock.advance(6_000);
-    expect(harness.get('suspect').map(({ replica }) => replica.id)).toEqual(
+    expect(harness.getEffects('suspect').map(({ replica }) => replica.id)).toEqual(
       expect.arrayContaining(['e-0', 'e-1', 'e-2']),
     );
     const announced = harness
-      .get('share')
+      .getEffects('share')
       .flatMap(({ update }) => (update.kind === 'attempt-broken' ? [update.replica] : []));
     expect(announced.sort()).toEqual(['e-0', 'e-1', 'e-2']);
   });
@@ -70,7 +70,7 @@
       harness.core.handle({ kind: 'first-byte-received', id, attempt: 1 });
     });
     submit('next');
-    const { choice } = harness.get('send').at(-1)!;
+    const { choice } = harness.getEffects('send').at(-1)!;
     expect(choice.tokensAhead).toBeGreaterThan(13_000);
     expect(choice.tokensAhead).toBeLessThan(16_000);
   });
--- a/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
+++ b/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
@@ -40,7 +40,7 @@
     kind: K,
   ): { to: string | undefined; update: UpdateOf<K> }[] {
     return this.harness
-      .get('share')
+      .getEffects('share')
       .filter((effect) => effect.update.kind === kind)
       .map(({ to, update }) => ({ to, update: update as UpdateOf<K> }));
   }
@@ -72,7 +72,7 @@
     member.submit('r');
     const { to, query } = member.queries[0]!;
     expect(to).toBe(placer);
-    expect(member.harness.get('send')).toEqual([]);
+    expect(member.harness.getEffects('send')).toEqual([]);
     const placement = {
       replica: 'e-3',
       expected: 90,
@@ -83,7 +83,7 @@
       fetchTokens: 1_900,
     };
     member.receive(to, { kind: 'reply', response: { key: query.key, placement } });
-    expect(member.harness.get('send')).toMatchObject([
+    expect(member.harness.getEffects('send')).toMatchObject([
       {
         replica: { id: 'e-3' },
         choice: { expected: 90, fetchFrom: { id: 'e-1' }, placer: { daemon: placer } },
@@ -97,7 +97,7 @@
     expect(member.getShared('ended')).toMatchObject([
       { to: placer, update: { key: query.key, result: { end: AttemptEnd.Completed } } },
     ]);
-    expect(member.harness.get('share').every((effect) => effect.to === placer)).toBe(true);
+    expect(member.harness.getEffects('share').every((effect) => effect.to === placer)).toBe(true);
   });
 
   // Guards against requests that wait for a killed placer until the daemon notices that it is gone.
@@ -107,13 +107,16 @@
     member.harness.clock.advance(placementOptions.askTimeout);
     expect(member.queries.map(({ to }) => to)).toEqual([placer, deputy]);
     member.harness.clock.advance(placementOptions.askTimeout);
-    expect(member.harness.get('send')).toHaveLength(1);
-    expect(member.harness.get('placer-silent').map(({ peer }) => peer)).toEqual([placer, deputy]);
+    expect(member.harness.getEffects('send')).toHaveLength(1);
+    expect(member.harness.getEffects('placer-silent').map(({ peer }) => peer)).toEqual([
+      placer,
+      deputy,
+    ]);
     // The placer is told about the attempt in case it is back; neither is queried during its backoff.
     expect(member.getShared('placed')).toMatchObject([{ to: placer }]);
     member.submit('next');
     expect(member.queries).toHaveLength(2);
-    expect(member.harness.getReplicas('next')).toHaveLength(1);
+    expect(member.harness.getAttemptedReplicas('next')).toHaveLength(1);
     member.harness.clock.advance(placementOptions.silentPlacer);
     member.submit('later');
     expect(member.queries.at(-1)!.to).toBe(placer);
@@ -135,7 +138,7 @@
       copyTime: 0,
     };
     member.receive(placer, { kind: 'reply', response: { key: query.key, placement } });
-    expect(member.harness.get('send')).toEqual([]);
+    expect(member.harness.getEffects('send')).toEqual([]);
     expect(member.getShared('ended')).toHaveLength(2);
   });
 
@@ -157,7 +160,7 @@
       copyTime: 0,
     };
     member.receive(placer, { kind: 'reply', response: { key: query.key, placement } });
-    expect(member.harness.getReplicas('r')).not.toContain('e-3');
+    expect(member.harness.getAttemptedReplicas('r')).not.toContain('e-3');
     expect(member.getShared('ended')).toMatchObject([{ to: placer, update: { key: query.key } }]);
     expect(member.queries).toHaveLength(2);
   });
@@ -196,7 +199,7 @@
     const result = { end: AttemptEnd.Completed, duration: 100 };
     placerMember.receive(`d-${index}`, { kind: 'ended', key: 'a', result });
     expect(choose('d-10', 'a').replica).toBe(first[index]!.replica);
-    expect(placerMember.harness.get('placed-for')).toHaveLength(6);
+    expect(placerMember.harness.getEffects('placed-for')).toHaveLength(6);
   });
 
   it('removes the attempts of a peer that is gone, or that no longer lists them', () => {
@@ -230,7 +233,7 @@
   it('follows the caches of the engines for which it is placer or deputy, and no others', () => {
     const { member, placer, deputy } = createMember();
     const getFollowed = (name: string) =>
-      [...(new Member(name).harness.get('follow-caches').at(-1)?.engines ?? [])].sort();
+      [...(new Member(name).harness.getEffects('follow-caches').at(-1)?.engines ?? [])].sort();
     const all = ENGINES.map(({ id }) => id);
     expect(getFollowed(placer)).toEqual(all);
     expect(getFollowed(deputy)).toEqual(all);
--- a/packages/relay/src/lib/decide/PrefillEstimator/PrefillEstimator.test.ts
+++ b/packages/relay/src/lib/decide/PrefillEstimator/PrefillEstimator.test.ts
@@ -54,7 +54,7 @@
       }),
     );
     const wait = engine.prefill(id, tokens);
-    const { expected } = harness.get('send').at(-1)!.choice;
+    const { expected } = harness.getEffects('send').at(-1)!.choice;
     waits.push({ expected, wait });
     // Bursts of ten prompts, each followed by a pause in which the engine prefills the rest.
     harness.clock.advance(index % 10 === 9 ? (60_000 / rate) * 1.2 : 1_000 / rate);
--- a/packages/relay/src/lib/decide/ReplicaCooldown/ReplicaCooldown.test.ts
+++ b/packages/relay/src/lib/decide/ReplicaCooldown/ReplicaCooldown.test.ts
@@ -39,7 +39,7 @@
   function submit(harness: CoreHarness, id: string): string {
     const prompt = createPrompt([['own', 500]]);
     harness.submit(createRequest(id, { service: 'llm', prompt, maxAttempts: 1, deadline: 5_000 }));
-    return harness.getReplicas(id).at(-1)!;
+    return harness.getAttemptedReplicas(id).at(-1)!;
   }
 
   // A replica cooldown all requests while its health check succeeds. Each of 74 daemons sends it
@@ -54,7 +54,9 @@
         update: { kind: 'attempt-broken', replica: 'e-1' },
       }),
     );
-    expect(harness.get('start-cooldown')).toMatchObject([{ replica: { id: 'e-1' }, span: 2_000 }]);
+    expect(harness.getEffects('start-cooldown')).toMatchObject([
+      { replica: { id: 'e-1' }, span: 2_000 },
+    ]);
     const replicas = Array.from({ length: 10 }, (_item, index) => submit(harness, `r-${index}`));
     expect(new Set(replicas)).toEqual(new Set(['e-2']));
   });
@@ -63,7 +65,7 @@
     const harness = new CoreHarness([createEngineService('llm')], engines);
     const engine = submit(harness, 'r-1');
     harness.end('r-1', 1, AttemptEnd.Broken);
-    const updates = harness.get('share').map((effect) => effect.update);
+    const updates = harness.getEffects('share').map((effect) => effect.update);
     expect(updates).toContainEqual({ kind: 'attempt-broken', replica: engine });
   });
 
--- a/packages/relay/src/lib/decide/estimates/getEngineEstimate.test.ts
+++ b/packages/relay/src/lib/decide/estimates/getEngineEstimate.test.ts
@@ -14,7 +14,7 @@
   function submit(harness: CoreHarness, id: string, tokens: number, pauseTarget: number): string {
     const prompt = createPrompt([[id, tokens]]);
     harness.submit(createRequest(id, { service: 'llm', prompt, pauseTarget, deadline: 60_000 }));
-    return harness.getReplicas(id).at(-1)!;
+    return harness.getAttemptedReplicas(id).at(-1)!;
   }
 
   // Load pattern: a burst of long prompts in a large fleet occupies all engines but one, and the
@@ -107,7 +107,7 @@
   it('sends prompts to engines whose streams have already missed their pause target', () => {
     const { harness, replicas } = createStreams(12, 30_000);
     expect(new Set(replicas).size).toBeLessThan(8);
-    const harmed = harness.get('send').map(({ choice }) => choice.pauses?.harmed);
+    const harmed = harness.getEffects('send').map(({ choice }) => choice.pauses?.harmed);
     expect(harmed.filter((count) => count === 0).length).toBeGreaterThan(16);
   });
 });
--- a/packages/relay/src/lib/decide/getCachedPrefixes.test.ts
+++ b/packages/relay/src/lib/decide/getCachedPrefixes.test.ts
@@ -61,7 +61,7 @@
         const id = `d-${daemon}/${index}`;
         const prompt = createPromptOf(session, id);
         harness.submit(createRequest(id, { service: 'llm', prompt, deadline: 5_000 }));
-        const [engine] = harness.getReplicas(id);
+        const [engine] = harness.getAttemptedReplicas(id);
         const counts = sessions.get(session) ?? new Map<string, number>();
         sessions.set(session, counts.set(engine!, (counts.get(engine!) ?? 0) + 1));
         harness.clock.advance(random.integer(100));
--- a/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
+++ b/packages/relay/src/lib/decide/limits/ReplicaLimits/ReplicaLimits.test.ts
@@ -33,7 +33,7 @@
   for (let index = 0; index < requests; index += 1) {
     const id = `r-${harness.clock.now()}-${index}`;
     harness.submit(createRequest(id));
-    const [replica] = harness.getReplicas(id);
+    const [replica] = harness.getAttemptedReplicas(id);
     if (replica !== undefined) {
       counts.set(replica, (counts.get(replica) ?? 0) + 1);
     }
@@ -73,11 +73,11 @@
     stateLimit(harness, 'i-1', 4);
     harness.clock.advance(1);
     stateLimit(harness, 'i-1', undefined);
-    expect(harness.get('limited')).toMatchObject([
+    expect(harness.getEffects('limited')).toMatchObject([
       { perSecond: 2, previous: undefined },
       { perSecond: 4, previous: 2 },
     ]);
-    expect(harness.get('unlimited')).toEqual([{ kind: 'unlimited', replica: 'i-1' }]);
+    expect(harness.getEffects('unlimited')).toEqual([{ kind: 'unlimited', replica: 'i-1' }]);
     expect(harness.core.limits.getRates()).toEqual([]);
   });
 
@@ -115,7 +115,7 @@
     const harness = createHarness();
     const limit = { kind: 'invalid' as const, text: 'many' };
     [1, 2].forEach(() => harness.core.handle({ kind: 'limit', replica: 'i-1', sentAt: 0, limit }));
-    expect(harness.get('limit-refused')).toEqual([
+    expect(harness.getEffects('limit-refused')).toEqual([
       { kind: 'limit-refused', replica: 'i-1', text: 'many' },
     ]);
     expect(countSent(harness, 20, 10).get('i-1')).toBeGreaterThan(5);
@@ -130,7 +130,7 @@
     const ids = ['a', 'b', 'c'];
     ids.forEach((id) => other.submit(createRequest(id)));
     other.clock.advance(placementOptions.askTimeout * 2);
-    const replicas = ids.flatMap((id) => other.getReplicas(id));
+    const replicas = ids.flatMap((id) => other.getAttemptedReplicas(id));
     expect(replicas.filter((replica) => replica === 'i-1')).toHaveLength(1);
     expect(replicas).toHaveLength(ids.length);
   });
@@ -152,12 +152,12 @@
     harness.submit(createRequest('urgent-1', { rank: 0 }));
     harness.submit(createRequest('late-1', { rank: 2 }));
     harness.submit(createRequest('urgent-2', { rank: 0 }));
-    expect(harness.get('give-up')).toMatchObject([
+    expect(harness.getEffects('give-up')).toMatchObject([
       { id: 'late-1', outcome: Outcome.NotRun, reason: GiveUpReason.Overload },
     ]);
-    expect(harness.get('give-up')[0]!.retryAfter).toBeGreaterThan(0);
+    expect(harness.getEffects('give-up')[0]!.retryAfter).toBeGreaterThan(0);
     harness.clock.advance(1_200);
-    expect(harness.getReplicas('urgent-1')).toHaveLength(1);
-    expect(harness.getReplicas('urgent-2')).toHaveLength(1);
+    expect(harness.getAttemptedReplicas('urgent-1')).toHaveLength(1);
+    expect(harness.getAttemptedReplicas('urgent-2')).toHaveLength(1);
   });
 });
--- a/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
+++ b/packages/relay/src/lib/decide/quarantine/Quarantine/Quarantine.test.ts
@@ -12,7 +12,7 @@
 /** Submits a request without retries and crashes its replica. @returns the replica ID */
 function crash(harness: CoreHarness, id: string, fingerprint = 'crashing'): string {
   harness.submit(createRequest(id, { fingerprint, maxAttempts: 1 }));
-  const [replica] = harness.getReplicas(id);
+  const [replica] = harness.getAttemptedReplicas(id);
   harness.end(id, 1, AttemptEnd.Broken);
   harness.core.handle({ kind: 'probed', replica: replica!, isUp: false });
   return replica!;
@@ -28,27 +28,27 @@
     const harness = create();
     quarantine(harness);
     harness.submit(createRequest('d', { fingerprint: 'crashing' }));
-    expect(harness.getReplicas('d')).toEqual([]);
-    expect(harness.get('give-up').at(-1)).toEqual({
+    expect(harness.getAttemptedReplicas('d')).toEqual([]);
+    expect(harness.getEffects('give-up').at(-1)).toEqual({
       kind: 'give-up',
       id: 'd',
       outcome: Outcome.NotRun,
       reason: GiveUpReason.Quarantined,
       retryAfter: undefined,
     });
-    expect(harness.get('quarantined')).toMatchObject([
+    expect(harness.getEffects('quarantined')).toMatchObject([
       { request: { fingerprint: 'crashing' }, isOwn: true },
     ]);
     harness.submit(createRequest('other'));
-    expect(harness.getReplicas('other')).toHaveLength(1);
+    expect(harness.getAttemptedReplicas('other')).toHaveLength(1);
   });
 
   it('rejects a request under review with retry-after', () => {
     const harness = create();
     ['a', 'b', 'c'].forEach((id) => crash(harness, id));
     harness.submit(createRequest('d', { fingerprint: 'crashing' }));
-    expect(harness.getReplicas('d')).toEqual([]);
-    const [last] = harness.get('give-up').slice(-1);
+    expect(harness.getAttemptedReplicas('d')).toEqual([]);
+    const [last] = harness.getEffects('give-up').slice(-1);
     expect(last).toMatchObject({ outcome: Outcome.NotRun, reason: GiveUpReason.UnderReview });
     expect(last!.retryAfter).toBeGreaterThan(0);
   });
@@ -57,10 +57,10 @@
     const harness = create();
     harness.submit(createRequest('early', { fingerprint: 'crashing' }));
     quarantine(harness);
-    expect(harness.get('cancel')).toMatchObject([
+    expect(harness.getEffects('cancel')).toMatchObject([
       { id: 'early', reason: CancelReason.Quarantined },
     ]);
-    expect(harness.get('give-up').find(({ id }) => id === 'early')).toMatchObject({
+    expect(harness.getEffects('give-up').find(({ id }) => id === 'early')).toMatchObject({
       outcome: Outcome.Unknown,
       reason: GiveUpReason.Quarantined,
     });
@@ -72,26 +72,26 @@
     for (let index = 0; index < 10; index += 1) {
       const id = `r-${index}`;
       harness.submit(createRequest(id, { fingerprint: 'same', maxAttempts: 1 }));
-      const [replica] = harness.getReplicas(id);
+      const [replica] = harness.getAttemptedReplicas(id);
       harness.end(id, 1, AttemptEnd.Broken);
       harness.core.handle({ kind: 'probed', replica: replica!, isUp: true });
       harness.clock.advance(quarantineOptions.evaluationDelay);
     }
-    expect(harness.get('crashed')).toEqual([]);
-    expect(harness.get('quarantined')).toEqual([]);
+    expect(harness.getEffects('crashed')).toEqual([]);
+    expect(harness.getEffects('quarantined')).toEqual([]);
   });
 
   // Guards against missing a crash when the successor listens before the probe.
   it('counts a crash when the replica disappears from the list', () => {
     const harness = create();
     harness.submit(createRequest('a', { fingerprint: 'crashing', maxAttempts: 1 }));
-    const [replica] = harness.getReplicas('a');
+    const [replica] = harness.getAttemptedReplicas('a');
     harness.end('a', 1, AttemptEnd.Broken);
     harness.core.handle({ kind: 'probed', replica: replica!, isUp: true });
     const next = createReplica('i-7');
     const replicas = [...REPLICAS.filter(({ id }) => id !== replica), next];
     harness.core.handle({ kind: 'replicas', replicas });
-    expect(harness.get('crashed')).toMatchObject([{ replica, fingerprints: ['crashing'] }]);
+    expect(harness.getEffects('crashed')).toMatchObject([{ replica, fingerprints: ['crashing'] }]);
   });
 
   // Guards against rejecting a request that another daemon has cleared.
@@ -100,39 +100,43 @@
     quarantine(harness);
     const cleared = { kind: 'cleared' as const, fingerprint: 'crashing' };
     harness.core.handle({ kind: 'peer-update', peer: 'd-1', update: cleared });
-    expect(harness.get('released')).toEqual([
+    expect(harness.getEffects('released')).toEqual([
       { kind: 'released', fingerprint: 'crashing', isOwn: true },
     ]);
     const request = { fingerprint: 'crashing', remaining: 60_000, replicas: [] };
     const update = { kind: 'quarantined' as const, requests: [request] };
     harness.core.handle({ kind: 'peer-update', peer: 'd-2', update });
     expect(harness.core.quarantine.size).toBe(0);
-    expect(harness.get('share').at(-1)).toEqual({ kind: 'share', update: cleared, to: 'd-2' });
+    expect(harness.getEffects('share').at(-1)).toEqual({
+      kind: 'share',
+      update: cleared,
+      to: 'd-2',
+    });
   });
 
   it('does not count a crash when the replica leaves long after a broken attempt', () => {
     const harness = create();
     harness.submit(createRequest('a', { maxAttempts: 1 }));
-    const [replica] = harness.getReplicas('a');
+    const [replica] = harness.getAttemptedReplicas('a');
     harness.end('a', 1, AttemptEnd.Broken);
     harness.core.handle({ kind: 'probed', replica: replica!, isUp: true });
     harness.clock.advance(quarantineOptions.possibleCrashRetention + 1);
     const left = REPLICAS.filter(({ id }) => id !== replica);
     harness.core.handle({ kind: 'replicas', replicas: left });
-    expect(harness.get('crashed')).toEqual([]);
+    expect(harness.getEffects('crashed')).toEqual([]);
   });
 
   it('does not count a crash when a draining replica leaves', () => {
     const harness = create();
     harness.submit(createRequest('a', { maxAttempts: 1 }));
-    const [replica] = harness.getReplicas('a');
+    const [replica] = harness.getAttemptedReplicas('a');
     harness.end('a', 1, AttemptEnd.Broken);
     harness.core.handle({ kind: 'probed', replica: replica!, isUp: true });
     const draining = REPLICAS.map((item) => ({ ...item, isDraining: item.id === replica }));
     harness.core.handle({ kind: 'replicas', replicas: draining });
     const left = REPLICAS.filter(({ id }) => id !== replica);
     harness.core.handle({ kind: 'replicas', replicas: left });
-    expect(harness.get('crashed')).toEqual([]);
+    expect(harness.getEffects('crashed')).toEqual([]);
   });
 
   it('clears the crashes of a request that is served later', () => {
@@ -141,11 +145,11 @@
     crash(harness, 'b', 'same');
     harness.submit(createRequest('c', { fingerprint: 'same' }));
     harness.end('c', 1, AttemptEnd.Completed);
-    const updates = harness.get('share').map((effect) => effect.update);
+    const updates = harness.getEffects('share').map((effect) => effect.update);
     expect(updates).toContainEqual({ kind: 'cleared', fingerprint: 'same' });
     crash(harness, 'd', 'same');
     harness.clock.advance(quarantineOptions.evaluationDelay);
-    expect(harness.get('quarantined')).toEqual([]);
+    expect(harness.getEffects('quarantined')).toEqual([]);
   });
 
   it('combines crash reports from several daemons', () => {
@@ -156,7 +160,7 @@
     });
     crash(harness, 'a');
     harness.clock.advance(quarantineOptions.evaluationDelay);
-    expect(harness.get('quarantined')).toHaveLength(1);
+    expect(harness.getEffects('quarantined')).toHaveLength(1);
   });
 
   // Guards against a retried request crashing one replica per daemon.
@@ -168,7 +172,7 @@
       const update = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['crashing'] };
       harness.core.handle({ kind: 'peer-update', peer, update });
       harness.submit(createRequest('a', { fingerprint: 'crashing' }));
-      return harness.getReplicas('a')[0];
+      return harness.getAttemptedReplicas('a')[0];
     });
     expect(new Set(chosen).size).toBe(1);
   });
@@ -181,7 +185,7 @@
       second.core.handle({ kind: 'peer-update', peer: 'd-1', update });
     });
     second.submit(createRequest('a', { fingerprint: 'crashing' }));
-    expect(second.get('give-up')).toMatchObject([{ reason: GiveUpReason.Quarantined }]);
+    expect(second.getEffects('give-up')).toMatchObject([{ reason: GiveUpReason.Quarantined }]);
   });
 
   // Guards against arrivals that extend the term and keep a harmless request quarantined.
@@ -190,14 +194,14 @@
     quarantine(harness);
     harness.clock.advance(quarantineOptions.duration - 1_000);
     harness.submit(createRequest('d', { fingerprint: 'crashing' }));
-    expect(harness.getReplicas('d')).toEqual([]);
+    expect(harness.getAttemptedReplicas('d')).toEqual([]);
     harness.clock.advance(1_000);
     expect(harness.core.quarantine.size).toBe(0);
     crash(harness, 'e');
     harness.clock.advance(quarantineOptions.evaluationDelay);
     expect(harness.core.quarantine.size).toBe(1);
     harness.submit(createRequest('f', { fingerprint: 'crashing' }));
-    expect(harness.getReplicas('f')).toEqual([]);
+    expect(harness.getAttemptedReplicas('f')).toEqual([]);
   });
 
   // Guards against quarantining content that many callers send and that is in flight at each crash.
@@ -207,7 +211,7 @@
     harness.end('served', 1, AttemptEnd.Completed);
     ['a', 'b', 'c', 'd', 'e', 'f'].forEach((id) => crash(harness, id, 'common'));
     harness.clock.advance(quarantineOptions.evaluationDelay);
-    expect(harness.get('quarantined')).toEqual([]);
+    expect(harness.getEffects('quarantined')).toEqual([]);
   });
 
   it('clears a recently served request when another daemon reports a crash with it', () => {
@@ -216,7 +220,7 @@
     harness.end('served', 1, AttemptEnd.Completed);
     const update = { kind: 'crashed' as const, replica: 'i-9', fingerprints: ['common'] };
     harness.core.handle({ kind: 'peer-update', peer: 'd-1', update });
-    const shared = harness.get('share').map((effect) => effect.update);
+    const shared = harness.getEffects('share').map((effect) => effect.update);
     expect(shared).toContainEqual({ kind: 'cleared', fingerprint: 'common' });
   });
 
--- a/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
+++ b/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
@@ -13,8 +13,8 @@
 import type { PeerEntry } from '../../peers/PeerDirectory.js';
 import { DemandCounter } from '../DemandCounter/DemandCounter.js';
 import type { DutyUpdate } from '../DutyUpdate.js';
-import { RunStartEstimator } from '../RunStarts/RunStarts.js';
-import type { EndedAttempt } from '../RunStarts/RunStarts.js';
+import { RunStartEstimator } from '../RunStartEstimator/RunStartEstimator.js';
+import type { EndedAttempt } from '../RunStartEstimator/RunStartEstimator.js';
 
 /** Options for the exchange of usage counts and demand between daemons. */
 export const fleetDutyOptions = {
@@ -31,14 +31,14 @@
 };
 
 /** External dependencies of the duties, in deployments that have duties. */
-export interface DutyParts {
+export interface DutyDependencies {
   store: LeaseStore;
   platform: DutyPlatform;
   settings: DutySettings;
 }
 
 /** Settings of the duties of a daemon. */
-export interface FleetDutiesSettings extends DutyParts {
+export interface FleetDutiesSettings extends DutyDependencies {
   self: PeerEntry;
   clock: Clock;
   log: RelayLog;
--- a/packages/relay/src/lib/duties/RunStarts/RunStarts.test.ts
+++ b/packages/relay/src/lib/duties/RunStartEstimator/RunStartEstimator.test.ts
@@ -1,6 +1,6 @@
 import { AttemptEnd } from '../../decide/messages.js';
-import { RunStartEstimator } from './RunStarts.js';
-import type { EndedAttempt } from './RunStarts.js';
+import { RunStartEstimator } from './RunStartEstimator.js';
+import type { EndedAttempt } from './RunStartEstimator.js';
 
 const NON_STREAMED: EndedAttempt = {
   service: 'app',
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
@@ -1,6 +1,6 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import { createReplica } from '../../../test/fixtures.js';
-import { CacheFollower, cacheOptions } from './CacheFollower.js';
+import { CacheFollower, cacheFollowerOptions } from './CacheFollower.js';
 import type { CacheUpdate, CacheSource } from './CacheFollower.js';
 
 const NO_CHANGES: CacheUpdate & { kind: 'changes' } = {
@@ -43,7 +43,7 @@
     follower.run().catch((error: unknown) => log.push(String(error)));
     const turns = responses.length;
     for (let turn = 0; turn < turns * 2; turn += 1) {
-      clock.advance(cacheOptions.retryDelay * 2);
+      clock.advance(cacheFollowerOptions.retryDelay * 2);
       // eslint-disable-next-line no-await-in-loop
       await new Promise((resolve) => {
         setImmediate(resolve);
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
@@ -43,7 +43,7 @@
 }
 
 /** Options of a cache follower. */
-export const cacheOptions = {
+export const cacheFollowerOptions = {
   /** How long a call waits at the engine for changes. */
   maxWait: 1_000 satisfies Milliseconds,
   /**
@@ -51,7 +51,7 @@
    * a busy engine has many events per second. A daemon does not depend on events for the prompts that
    * it has sent itself, as it expects them in the cache anyway.
    */
-  interval: 400 satisfies Milliseconds,
+  minInterval: 400 satisfies Milliseconds,
   /** Delay after a call that has failed, or was refused because of the number of listeners. */
   retryDelay: 1_500 satisfies Milliseconds,
 };
@@ -94,14 +94,16 @@
   async run(): Promise<void> {
     const { clock, random } = this.settings;
     // A random delay keeps daemons that start together from calling an engine at the same moment.
-    await this.sleep(random.next() * cacheOptions.interval);
+    await this.sleep(random.next() * cacheFollowerOptions.minInterval);
     while (!this.abortController.signal.aborted) {
       const startedAt = clock.now();
       // eslint-disable-next-line no-await-in-loop
       const isSuccess = await this.poll().catch((error: unknown) => this.handleError(error));
-      const remaining = startedAt + cacheOptions.interval - clock.now();
+      const remaining = startedAt + cacheFollowerOptions.minInterval - clock.now();
       // eslint-disable-next-line no-await-in-loop
-      await this.sleep(isSuccess ? remaining : cacheOptions.retryDelay * (0.5 + random.next()));
+      await this.sleep(
+        isSuccess ? remaining : cacheFollowerOptions.retryDelay * (0.5 + random.next()),
+      );
     }
   }
 
@@ -112,7 +114,12 @@
   private async poll(): Promise<boolean> {
     const { source, replica, listener } = this.settings;
     const { signal } = this.abortController;
-    const update = await source.readChanges(replica, this.next, cacheOptions.maxWait, signal);
+    const update = await source.readChanges(
+      replica,
+      this.next,
+      cacheFollowerOptions.maxWait,
+      signal,
+    );
     this.isFailing = false;
     if (signal.aborted || update.kind === 'refused') {
       return false;
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
@@ -55,7 +55,7 @@
 const MIN_ABORTED_WATCH_AGE: Milliseconds = 1_000;
 
 /** Receives what a follower learns about its objects and its connection to the store. */
-export interface FollowListener<Item> {
+export interface StateListener<Item> {
   /** Called after each change with all objects that are assumed to exist. */
   onObjects(items: ReadonlyMap<string, Item>, revision: number): void;
   onLost(error: Error): void;
@@ -70,7 +70,7 @@
   source: ObjectSource<Item>;
   clock: Clock;
   random: Random;
-  listener: FollowListener<Item>;
+  listener: StateListener<Item>;
   options?: Partial<StateFollowerOptions>;
 }
 
--- a/packages/relay/src/lib/readers/SharedSource/SharedSource.test.ts
+++ b/packages/relay/src/lib/readers/SharedSource/SharedSource.test.ts
@@ -42,8 +42,8 @@
     const source = new SharedSource({
       dependency: 'replicas',
       store,
-      choice: selectors.find(({ isReader }) => !isReader)!,
-      ask: (_daemon, { since }) => {
+      selector: selectors.find(({ isReader }) => !isReader)!,
+      readPeer: (_daemon, { since }) => {
         calls.push(`read ${since}`);
         return Promise.resolve(read(calls.length));
       },
--- a/packages/relay/src/lib/readers/SharedSource/SharedSource.ts
+++ b/packages/relay/src/lib/readers/SharedSource/SharedSource.ts
@@ -29,8 +29,8 @@
   /** Name of the kind of objects in log lines. */
   dependency: string;
   store: ObjectSource<Item>;
-  choice: ReaderSelector;
-  ask: PeerReader<Item>;
+  selector: ReaderSelector;
+  readPeer: PeerReader<Item>;
   clock: Clock;
   log: RelayLog;
   /** Maximum wait of a call in a fleet with readers. */
@@ -69,7 +69,7 @@
     maxWait: Milliseconds,
     signal: AbortSignal,
   ): Promise<WatchResult<Item>> {
-    const { choice: selector, sharedWait } = this.settings;
+    const { selector, sharedWait } = this.settings;
     const wait = selector.hasReaders ? Math.min(maxWait, sharedWait) : maxWait;
     for (;;) {
       const target = selector.selectTarget();
@@ -105,7 +105,7 @@
     const since = this.lastState?.reader === daemon.id ? this.lastState.token : '';
     const query = { since, wait };
     this.recordReader(daemon.id);
-    const result = await this.settings.ask(daemon, query, signal);
+    const result = await this.settings.readPeer(daemon, query, signal);
     if (result.kind === 'state') {
       this.lastState = { reader: daemon.id, token: result.state.token };
     }
@@ -117,7 +117,7 @@
     daemon: PeerEntry,
     failure: Exclude<ReaderResult<Item>, { kind: 'state' }>,
   ): void {
-    const { choice: selector, log, dependency } = this.settings;
+    const { selector, log, dependency } = this.settings;
     const isUnresponsive = failure.kind === 'silent';
     const error = isUnresponsive
       ? failure.error.message
@@ -155,7 +155,7 @@
   private async callStore<Result>(
     call: (store: ObjectSource<Item>) => Promise<Result>,
   ): Promise<Result> {
-    const { store, choice: selector, clock } = this.settings;
+    const { store, selector, clock } = this.settings;
     this.recordReader(undefined);
     try {
       const result = await call(store);
--- a/packages/relay/src/lib/readers/readerOptions.ts
+++ b/packages/relay/src/lib/readers/readerOptions.ts
@@ -15,7 +15,7 @@
    * Maximum wait of a call to the store or a reader, as a fraction of the time within which changes
    * must take effect. A dead connection is noticed only at the end of the wait.
    */
-  waitShare: 1 / 4,
+  sharedWaitRatio: 1 / 4,
   /** How long a reader's state counts as fresh after the end of a wait at the store. */
   maxStaleness: 500 satisfies Milliseconds,
   /** Time that a reader has to respond after the end of the wait. */
--- a/packages/relay/src/lib/request/RelayTask.ts
+++ b/packages/relay/src/lib/request/RelayTask.ts
@@ -3,7 +3,7 @@
 import { RouteKind } from '../config/RelayConfiguration.js';
 import { AttemptEnd, GiveUpReason, Outcome } from '../decide/messages.js';
 import type { PlacementEffect, PlacementMessage, PlacementRequest } from '../decide/messages.js';
-import type { EndedAttempt } from '../duties/RunStarts/RunStarts.js';
+import type { EndedAttempt } from '../duties/RunStartEstimator/RunStartEstimator.js';
 import type { RelayLog } from '../observe/RelayEvent.js';
 import type { RelayMetrics } from '../observe/RelayMetrics.js';
 import { getEndToEndHeaders } from '../protocol/connectionHeaders.js';
--- a/packages/relay/src/test/CoreHarness.ts
+++ b/packages/relay/src/test/CoreHarness.ts
@@ -68,13 +68,13 @@
     this.core.handle({ kind: 'attempt-ended', id, attempt, end });
   }
 
-  get<K extends Kind>(kind: K): EffectOf<K>[] {
+  getEffects<K extends Kind>(kind: K): EffectOf<K>[] {
     return this.effects.filter((effect): effect is EffectOf<K> => effect.kind === kind);
   }
 
   /** Returns the IDs of the replicas that a request was sent to, in order. */
-  getReplicas(id: string): string[] {
-    return this.get('send')
+  getAttemptedReplicas(id: string): string[] {
+    return this.getEffects('send')
       .filter((effect) => effect.id === id)
       .map(({ replica }) => replica.id);
   }
