--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,5 +1,9 @@
 export { DutyManager } from './lib/DutyManager/DutyManager.js';
-export type { DutyManagerParts, DutySettings, DutyStatus } from './lib/DutyManager/DutyManager.js';
+export type {
+  DutyManagerSettings,
+  DutySettings,
+  DutyStatus,
+} from './lib/DutyManager/DutyManager.js';
 export type { DutyEvent, DutyLog } from './lib/DutyEvent.js';
 export { dutyOptions } from './lib/dutyOptions.js';
 export { CallResult } from './lib/DutyPlatform.js';
--- a/packages/duties/src/lib/DutyEvent.ts
+++ b/packages/duties/src/lib/DutyEvent.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * What a daemon with duties decides and learns, for its log.
+ * Log events of the fleet duties.
  *
  * @public
  */
@@ -13,7 +13,7 @@
   | {
       event: 'usage-reported';
       window: number;
-      /** From the end of the window. */
+      /** Time since the end of the window. */
       after: Milliseconds;
       fencingNumber: number;
     }
@@ -23,14 +23,14 @@
       availabilityZone: string;
       count: number;
       isPreemptible: boolean;
-      /** Replicas of that sort that are listed there. */
+      /** Replicas of the ordered type that are listed in the availability zone. */
       running: number;
       reason: string;
-      /** Replicas that are wanted in all zones together. */
+      /** Replicas wanted in all availability zones together. */
       wanted: number;
       fencingNumber: number;
     }
   | { event: 'duty-failed'; call: string; result: string; fencingNumber: number };
 
-/** Writes one event. */
+/** Writes an event to the log. */
 export type DutyLog = (event: DutyEvent) => void;
--- a/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
@@ -1,5 +1,5 @@
 import * as fc from 'fast-check';
-import { DELAY, DutyFleet, WINDOW } from '../../test/DutyFleet.js';
+import { REPORT_DEADLINE, DutyFleet, WINDOW } from '../../test/DutyFleet.js';
 import { PlatformFault } from '../../test/FakePlatform.js';
 import { getWindowEnd } from '../usage/SourceUsage.js';
 
@@ -9,73 +9,73 @@
 enum FaultKind {
   KillHolder = 'kill-holder',
   RestartHolder = 'restart-holder',
-  FreezeHolder = 'freeze-holder',
-  CutHolder = 'cut-holder',
+  PauseHolder = 'pause-holder',
+  PartitionHolder = 'partition-holder',
   StoreDown = 'store-down',
-  LostAnswers = 'lost-answers',
+  LostResponses = 'lost-responses',
   Busy = 'busy',
-  Silent = 'silent',
-  LostCalls = 'lost-calls',
-  LateCalls = 'late-calls',
+  NoResponse = 'no-response',
+  LostCallResponses = 'lost-call-responses',
+  DelayedCalls = 'delayed-calls',
 }
 
 const PLATFORM_FAULTS: Partial<Record<FaultKind, PlatformFault>> = {
   [FaultKind.Busy]: PlatformFault.Busy,
-  [FaultKind.Silent]: PlatformFault.Silent,
-  [FaultKind.LostCalls]: PlatformFault.Lost,
-  [FaultKind.LateCalls]: PlatformFault.Late,
+  [FaultKind.NoResponse]: PlatformFault.NoResponse,
+  [FaultKind.LostCallResponses]: PlatformFault.ResponseLost,
+  [FaultKind.DelayedCalls]: PlatformFault.Delayed,
 };
 
 const fault = fc.record({
   kind: fc.constantFrom(...Object.values(FaultKind)),
-  span: fc.integer({ min: 200, max: 8_000 }),
+  duration: fc.integer({ min: 200, max: 8_000 }),
 });
 
-async function play(fleet: DutyFleet, kind: FaultKind, span: number): Promise<void> {
+async function injectFault(fleet: DutyFleet, kind: FaultKind, duration: number): Promise<void> {
   const holder = Math.max(0, fleet.holder);
   const platformFault = PLATFORM_FAULTS[kind];
   if (platformFault !== undefined) {
     Object.assign(fleet.platform, { fault: platformFault });
-    await fleet.run(span);
+    await fleet.run(duration);
     Object.assign(fleet.platform, { fault: PlatformFault.None });
     return;
   }
   switch (kind) {
     case FaultKind.KillHolder:
       fleet.kill(holder);
-      await fleet.run(span);
+      await fleet.run(duration);
       fleet.restart(holder);
       break;
     case FaultKind.RestartHolder:
       fleet.restart(holder);
-      await fleet.run(span);
+      await fleet.run(duration);
       break;
-    case FaultKind.FreezeHolder:
-      fleet.freeze(holder);
-      await fleet.run(span);
-      fleet.wake(holder);
+    case FaultKind.PauseHolder:
+      fleet.pause(holder);
+      await fleet.run(duration);
+      fleet.resume(holder);
       break;
-    case FaultKind.CutHolder:
-      fleet.setCutOff(holder, true);
-      await fleet.run(span);
-      fleet.setCutOff(holder, false);
+    case FaultKind.PartitionHolder:
+      fleet.setPartitioned(holder, true);
+      await fleet.run(duration);
+      fleet.setPartitioned(holder, false);
       break;
     case FaultKind.StoreDown:
       Object.assign(fleet, { isStoreDown: true });
-      await fleet.run(span);
+      await fleet.run(duration);
       Object.assign(fleet, { isStoreDown: false });
       break;
-    case FaultKind.LostAnswers:
-      Object.assign(fleet, { lostAnswers: 2 });
-      await fleet.run(span);
+    case FaultKind.LostResponses:
+      Object.assign(fleet, { lostResponses: 2 });
+      await fleet.run(duration);
       break;
     default:
-      throw new Error(`no such fault: ${kind}`);
+      throw new Error(`unknown fault: ${kind}`);
   }
 }
 
-describe('the duties of a fleet', () => {
-  it('reports one and the same usage for each window, whoever holds the lease', async () => {
+describe('DutyManager', () => {
+  it('reports each window once, whichever daemon holds the lease', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 2, max: 6 }),
@@ -84,16 +84,16 @@
         async (size, seed, faults) => {
           const fleet = new DutyFleet(size, seed);
           await fleet.run(8_000);
-          for (const { kind, span } of faults) {
+          for (const { kind, duration } of faults) {
             // eslint-disable-next-line no-await-in-loop
-            await play(fleet, kind, span);
+            await injectFault(fleet, kind, duration);
           }
           await fleet.run(25_000);
           fleet.dispose();
           expect(fleet.platform.violations).toEqual([]);
           const reported = fleet.platform.reports.map(({ window }) => window);
           expect(new Set(reported).size).toBe(reported.length);
-          const last = Math.max(...fleet.truth.keys());
+          const last = Math.max(...fleet.actualCounts.keys());
           expect(reported).toContain(last - 2);
         },
       ),
@@ -101,47 +101,47 @@
     );
   });
 
-  it('reports the truth in time while nothing fails', async () => {
+  it('reports the correct counts before the deadline while nothing fails', async () => {
     const fleet = new DutyFleet(5, 1);
     await fleet.run(40_000);
     fleet.dispose();
-    const windows = [...fleet.truth.keys()].slice(1, -2);
+    const windows = [...fleet.actualCounts.keys()].slice(1, -2);
     windows.forEach((window) => {
-      const report = fleet.platform.reports.find((one) => one.window === window);
-      expect(report?.counts).toEqual(fleet.truth.get(window));
-      expect(report!.at).toBeLessThan(getWindowEnd(window, WINDOW) + DELAY);
+      const report = fleet.platform.reports.find((candidate) => candidate.window === window);
+      expect(report?.counts).toEqual(fleet.actualCounts.get(window));
+      expect(report!.at).toBeLessThan(getWindowEnd(window, WINDOW) + REPORT_DEADLINE);
     });
   });
 
-  // Guards against counts that are lost with the daemon that made the report.
-  it('reports what a killed daemon had told', async () => {
+  // Guards against counts lost with the daemon that recorded them.
+  it('reports the counts that a killed daemon had sent', async () => {
     const fleet = new DutyFleet(4, 2);
     await fleet.run(12_000);
     const { holder } = fleet;
     fleet.kill(holder);
     await fleet.run(30_000);
     fleet.dispose();
-    const windows = [...fleet.truth.keys()].slice(1, -2);
+    const windows = [...fleet.actualCounts.keys()].slice(1, -2);
     windows.forEach((window) => {
-      const report = fleet.platform.reports.find((one) => one.window === window);
-      expect(report?.counts).toEqual(fleet.truth.get(window));
+      const report = fleet.platform.reports.find((candidate) => candidate.window === window);
+      expect(report?.counts).toEqual(fleet.actualCounts.get(window));
     });
   });
 
-  // Guards against a platform that is away for longer than a window.
-  it('reports the windows of an outage of the platform, those still in time first', async () => {
+  // Guards against a platform outage that lasts longer than a window.
+  it('reports all windows after a platform outage, those within their deadline first', async () => {
     const fleet = new DutyFleet(3, 3);
     await fleet.run(10_000);
-    Object.assign(fleet.platform, { fault: PlatformFault.Silent });
+    Object.assign(fleet.platform, { fault: PlatformFault.NoResponse });
     await fleet.run(22_000);
     Object.assign(fleet.platform, { fault: PlatformFault.None });
     const returned = fleet.clock.now();
     await fleet.run(15_000);
     fleet.dispose();
     const late = fleet.platform.reports.filter(({ at }) => at > returned);
-    expect(getWindowEnd(late[0]!.window, WINDOW) + DELAY).toBeGreaterThan(returned);
+    expect(getWindowEnd(late[0]!.window, WINDOW) + REPORT_DEADLINE).toBeGreaterThan(returned);
     const reported = fleet.platform.reports.map(({ window }) => window);
-    const windows = [...fleet.truth.keys()].slice(0, -2);
+    const windows = [...fleet.actualCounts.keys()].slice(0, -2);
     expect(reported).toEqual(expect.arrayContaining(windows));
   });
 });
--- a/packages/duties/src/lib/DutyManager/DutyManager.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.ts
@@ -11,110 +11,111 @@
 import { FleetUsage } from '../usage/FleetUsage/FleetUsage.js';
 import { UsageDuty } from '../usage/UsageDuty/UsageDuty.js';
 
-/** What the platform states of duties. */
+/** The timing that the platform prescribes for duties. */
 export interface DutySettings {
-  /** Length of a window of usage. */
+  /** Length of a usage window. */
   windowSpan: Milliseconds;
-  /** How long after a window's end its report is due. */
+  /** Time after the end of a window by which its report is due. */
   usageDelay: Milliseconds;
-  /** Holders must not act in the order A, B, A within this time. */
+  /** Two lease holders must not act in the order A, B, A within this time. */
   holderRest: Milliseconds;
 }
 
-/** What the manager is made of. */
-export interface DutyManagerParts {
-  /** This daemon's name. */
+export interface DutyManagerSettings {
+  /** The id of this daemon. */
   self: string;
   clock: Clock;
-  /** Unix milliseconds, put right by the clocks of the other daemons. */
+  /** Unix milliseconds, corrected by the clocks of the other daemons. */
   getFleetTime: () => Milliseconds;
-  /** The machine's time of day. */
+  /** The machine's wall clock. */
   getTimeOfDay: () => Milliseconds;
   store: LeaseStore;
   platform: DutyPlatform;
   settings: DutySettings;
-  /** This daemon's place among those that stand by, 0 the preferred. */
+  /** This daemon's rank among the lease candidates; 0 is preferred. */
   getRank: () => number;
   getServices: () => readonly ScalableService[];
   log: DutyLog;
 }
 
-/** The name of the one lease for all duties. */
-const LEASE = 'duties';
+/** Name of the single lease for all duties. */
+const LEASE_NAME = 'duties';
 
-/** What operators are shown. */
+/** Status of the duties, shown to operators. */
 export interface DutyStatus {
   isHolder: boolean;
   fencingNumber: number | undefined;
   usageReported: number;
   usageMissed: number;
-  /** The last order for each sort of replicas, if this daemon gave any. */
+  /** The last order of this daemon for each service, zone and replica type. */
   orders: { service: string; zone: string; sort: string; count: number; reason: string }[];
 }
 
-/** One of the duties, as the loop sees it. */
+/** A duty that runs in a loop while the lease is held. */
 interface Duty {
-  work: () => Promise<Milliseconds>;
+  /** @returns the time until the next step */
+  runStep: () => Promise<Milliseconds>;
 }
 
 /**
- * Carries out the duties of the whole fleet while this daemon holds their lease.
+ * Performs the duties of the whole fleet while this daemon holds their lease.
  *
  * @public
  */
 export class DutyManager {
-  /** What this daemon was told of all daemons' usage and demand. */
+  /** The usage of all daemons, as received by this one. */
   readonly usage = new FleetUsage();
 
+  /** The demand of all daemons, as received by this one. */
   readonly demand = new DemandMeter();
 
   private readonly options: DutyOptions;
 
   private readonly lease: LeaseManager;
 
-  private readonly reporting: UsageDuty;
+  private readonly usageDuty: UsageDuty;
 
-  private readonly scaling: ScalingDuty;
+  private readonly scalingDuty: ScalingDuty;
 
   private readonly timers = new Set<Timer>();
 
-  /** Counts the times that the lease was gained: a loop ends with its term. */
+  /** Incremented each time the lease is gained; a loop ends when its term is over. */
   private term = 0;
 
-  private lastNumber: number | undefined;
+  private lastFencingNumber: number | undefined;
 
   private lostAt: Milliseconds | undefined;
 
   private isDisposed = false;
 
-  constructor(private readonly parts: DutyManagerParts) {
-    const { settings } = parts;
-    this.options = getDutyOptions(settings.holderRest);
+  constructor(private readonly settings: DutyManagerSettings) {
+    const { settings: timing } = settings;
+    this.options = getDutyOptions(timing.holderRest);
     this.lease = new LeaseManager({
-      ...parts,
-      name: LEASE,
+      ...settings,
+      name: LEASE_NAME,
       options: this.options.lease,
     });
-    const shared = { ...parts, lease: this.lease, options: this.options };
-    this.reporting = new UsageDuty({
-      ...shared,
+    const sharedSettings = { ...settings, lease: this.lease, options: this.options };
+    this.usageDuty = new UsageDuty({
+      ...sharedSettings,
       usage: this.usage,
-      windowSpan: settings.windowSpan,
-      delay: settings.usageDelay,
+      windowSpan: timing.windowSpan,
+      reportDeadline: timing.usageDelay,
     });
-    this.scaling = new ScalingDuty({ ...shared, demand: this.demand });
-    this.lease.onChange((fencingNumber) => this.noteLease(fencingNumber));
+    this.scalingDuty = new ScalingDuty({ ...sharedSettings, demand: this.demand });
+    this.lease.onChange((fencingNumber) => this.handleLeaseChange(fencingNumber));
   }
 
   get status(): DutyStatus {
     const fencingNumber = this.lease.getFencingNumber();
-    const { reported, missed } = this.reporting.counters;
+    const { reported, missed } = this.usageDuty.counters;
     return {
       isHolder: fencingNumber !== undefined,
       fencingNumber,
       usageReported: reported,
       usageMissed: missed,
-      orders: [...this.scaling.lastOrders.values()].map(
+      orders: [...this.scalingDuty.lastOrders.values()].map(
         ({ service, availabilityZone, count, isPreemptible, reason }) => ({
           service,
           zone: availabilityZone,
@@ -126,7 +127,7 @@
     };
   }
 
-  /** Gives the lease up, so that another daemon need not wait for it to run out. */
+  /** Releases the lease, so that another daemon need not wait for it to expire. */
   async release(): Promise<void> {
     await this.lease.release();
   }
@@ -138,58 +139,61 @@
     this.timers.clear();
   }
 
-  private noteLease(fencingNumber: number | undefined): void {
-    const { clock, log } = this.parts;
+  private handleLeaseChange(fencingNumber: number | undefined): void {
+    const { clock, log } = this.settings;
     if (fencingNumber === undefined) {
-      log({ event: 'lease-lost', lease: LEASE, fencingNumber: this.lastNumber ?? 0 });
-      this.lastNumber = undefined;
+      log({ event: 'lease-lost', lease: LEASE_NAME, fencingNumber: this.lastFencingNumber ?? 0 });
+      this.lastFencingNumber = undefined;
       this.lostAt = clock.now();
       return;
     }
-    log({ event: 'lease-gained', lease: LEASE, fencingNumber });
-    this.lastNumber = fencingNumber;
+    log({ event: 'lease-gained', lease: LEASE_NAME, fencingNumber });
+    this.lastFencingNumber = fencingNumber;
     this.term += 1;
-    this.reporting.reset();
-    if (this.lostAt !== undefined && clock.now() - this.lostAt > this.options.lease.rest) {
-      this.scaling.reset();
+    this.usageDuty.reset();
+    if (
+      this.lostAt !== undefined &&
+      clock.now() - this.lostAt > this.options.lease.releaseCooldown
+    ) {
+      this.scalingDuty.reset();
     }
-    this.runWhileHeld(this.term, this.reporting);
-    this.runWhileHeld(this.term, this.scaling);
+    this.startLoop(this.term, this.usageDuty);
+    this.startLoop(this.term, this.scalingDuty);
   }
 
-  private runWhileHeld(term: number, duty: Duty): void {
-    this.run(term, duty).catch((error: unknown) => {
-      const { log } = this.parts;
+  private startLoop(term: number, duty: Duty): void {
+    this.runLoop(term, duty).catch((error: unknown) => {
+      const { log } = this.settings;
       log({ event: 'duty-failed', call: 'run', result: String(error), fencingNumber: 0 });
     });
   }
 
-  private async run(term: number, duty: Duty): Promise<void> {
-    const { retry, longestRetry } = this.options;
-    let pause = retry;
+  private async runLoop(term: number, duty: Duty): Promise<void> {
+    const { retryDelay, maxRetryDelay } = this.options;
+    let delay = retryDelay;
     while (!this.isDisposed && term === this.term && this.lease.isHeld()) {
       try {
         // eslint-disable-next-line no-await-in-loop
-        const wait = await duty.work();
-        pause = retry;
+        const wait = await duty.runStep();
+        delay = retryDelay;
         if (wait > 0) {
           // eslint-disable-next-line no-await-in-loop
           await this.sleep(wait);
         }
       } catch (error) {
-        const fencingNumber = this.lastNumber ?? 0;
+        const fencingNumber = this.lastFencingNumber ?? 0;
         const result = String(error);
-        this.parts.log({ event: 'duty-failed', call: 'call', result, fencingNumber });
+        this.settings.log({ event: 'duty-failed', call: 'call', result, fencingNumber });
         // eslint-disable-next-line no-await-in-loop
-        await this.sleep(pause);
-        pause = Math.min(longestRetry, pause * 2);
+        await this.sleep(delay);
+        delay = Math.min(maxRetryDelay, delay * 2);
       }
     }
   }
 
-  private sleep(span: Milliseconds): Promise<void> {
+  private sleep(duration: Milliseconds): Promise<void> {
     return new Promise((resolve) => {
-      const timer = this.parts.clock.setTimer(span, () => {
+      const timer = this.settings.clock.setTimer(duration, () => {
         this.timers.delete(timer);
         resolve();
       });
--- a/packages/duties/src/lib/DutyPlatform.ts
+++ b/packages/duties/src/lib/DutyPlatform.ts
@@ -1,44 +1,44 @@
-/** Who calls the platform, under which number. */
+/** The lease holder that calls the platform, with its fencing token. */
 export interface LeaseHolder {
   holder: string;
-  /** Grows when the holder changes. */
+  /** The fencing token; it increases whenever the holder changes. */
   fencingNumber: number;
 }
 
-/** What the platform made of a call. */
+/** The platform's response to a call. */
 export enum CallResult {
   Accepted = 'accepted',
-  /** Refused: a higher number was seen, or what was ordered is not to be had. */
+  /** Refused: the platform has seen a higher fencing number, or the replicas are not available. */
   Conflict = 'conflict',
-  /** Too many calls, or the platform is not available: worth another try. */
+  /** The call was rate-limited or the platform is unavailable; it can be retried. */
   Unavailable = 'unavailable',
-  /** Refused for good. */
+  /** Refused permanently; a retry would fail too. */
   Rejected = 'rejected',
 }
 
-/** Requests that began to run in one window, by workspace. */
+/** Requests that replicas started in one window, by workspace. */
 export interface UsageReport {
   window: number;
   counts: Readonly<Record<string, number>>;
 }
 
-/** How many replicas of one sort a service is to have in one availability zone. */
+/** The number of replicas of one type that a service should have in one availability zone. */
 export interface ReplicaOrder {
   service: string;
   availabilityZone: string;
   count: number;
-  /** Cheaper replicas that the platform may take back at short notice. */
+  /** Whether these are cheaper replicas that the platform may reclaim at short notice. */
   isPreemptible: boolean;
 }
 
 /**
- * The platform's interface for duties.
+ * The platform's API for duties.
  *
  * @public
  */
 export interface DutyPlatform {
-  /** @throws StepError when no answer came; the call may still be carried out */
-  reportUsage(report: UsageReport, authority: LeaseHolder): Promise<CallResult>;
-  /** @throws StepError when no answer came; the call may still be carried out */
-  orderReplicas(order: ReplicaOrder, authority: LeaseHolder): Promise<CallResult>;
+  /** @throws StepError when there was no response; the call may still be executed */
+  reportUsage(report: UsageReport, leaseHolder: LeaseHolder): Promise<CallResult>;
+  /** @throws StepError when there was no response; the call may still be executed */
+  orderReplicas(order: ReplicaOrder, leaseHolder: LeaseHolder): Promise<CallResult>;
 }
--- a/packages/duties/src/lib/FleetClock/FleetClock.ts
+++ b/packages/duties/src/lib/FleetClock/FleetClock.ts
@@ -1,19 +1,20 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** A clock that differs from most others by less is left as it is. */
+/** Smaller differences from the median clock are not corrected. */
 const TOLERANCE: Milliseconds = 150;
 
-/** What another daemon's clock said is forgotten after this long. */
+/** Readings of other daemons' clocks expire after this time. */
 const EXPIRY: Milliseconds = 15_000;
 
 interface Reading {
   offset: Milliseconds;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
 }
 
 /**
- * True time from the clocks of all daemons: the clock of a machine may have been off when its daemon
- * started, and a suspended machine's stands still. Most clocks are right, so the median is.
+ * Corrects this daemon's clock by the median of all daemons' clocks. A machine's clock may be wrong
+ * when its daemon starts, and it stands still while the machine is suspended. The median is right as
+ * long as most clocks are.
  *
  * @public
  */
@@ -21,27 +22,27 @@
   private readonly readings = new Map<string, Reading>();
 
   /**
-   * Takes in what another daemon's clock said.
+   * Records a reading of another daemon's clock.
    *
-   * @param said - Unix milliseconds by its clock when it sent the message
-   * @param now - Unix milliseconds by this daemon's own clock
+   * @param remoteTime - Unix milliseconds on its clock when it sent the message
+   * @param now - Unix milliseconds on this daemon's own clock
    */
-  record(daemon: string, said: Milliseconds, now: Milliseconds): void {
-    this.readings.set(daemon, { offset: said - now, heardAt: now });
+  record(daemon: string, remoteTime: Milliseconds, now: Milliseconds): void {
+    this.readings.set(daemon, { offset: remoteTime - now, receivedAt: now });
   }
 
-  /** True time, for a time by this daemon's own clock. */
+  /** Converts a time of this daemon's own clock to the corrected time. */
   correct(now: Milliseconds): Milliseconds {
     return now + this.getOffset(now);
   }
 
   private getOffset(now: Milliseconds): Milliseconds {
-    this.readings.forEach(({ heardAt }, daemon) => {
-      if (now - heardAt > EXPIRY) {
+    this.readings.forEach(({ receivedAt }, daemon) => {
+      if (now - receivedAt > EXPIRY) {
         this.readings.delete(daemon);
       }
     });
-    // This daemon's own clock counts as one.
+    // This daemon's own clock counts as one reading.
     const offsets = [0, ...[...this.readings.values()].map(({ offset }) => offset)];
     offsets.sort((left, right) => left - right);
     const median = offsets[Math.floor((offsets.length - 1) / 2)]!;
--- a/packages/duties/src/lib/dutyOptions.ts
+++ b/packages/duties/src/lib/dutyOptions.ts
@@ -3,20 +3,20 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * How duties are carried out.
+ * Options for the duties.
  *
  * @public
  */
 export interface DutyOptions {
-  /** One lease for all duties. */
+  /** The single lease for all duties. */
   lease: LeaseOptions;
-  /** How long after a window's end late counts are waited for. */
+  /** Time after the end of a window during which late counts are still accepted. */
   settleDelay: Milliseconds;
-  /** Before a call that failed is tried again, doubled each time. */
-  retry: Milliseconds;
-  longestRetry: Milliseconds;
-  /** Between two looks at what replicas are needed. */
-  planPeriod: Milliseconds;
+  /** Delay before a failed call is retried; doubled with each failure up to `maxRetryDelay`. */
+  retryDelay: Milliseconds;
+  maxRetryDelay: Milliseconds;
+  /** Interval at which replica needs are evaluated. */
+  planInterval: Milliseconds;
 }
 
 /** @public */
@@ -24,31 +24,31 @@
   lease: {
     ...defaultLeaseOptions,
     span: 5_000,
-    margin: 1_500,
-    renewal: 1_500,
-    retry: 400,
+    safetyMargin: 1_500,
+    renewalInterval: 1_500,
+    retryDelay: 400,
     callTimeout: 1_000,
     candidateDelay: 700,
-    rest: 3_000,
+    releaseCooldown: 3_000,
   },
   settleDelay: 2_000,
-  retry: 300,
-  longestRetry: 2_000,
-  planPeriod: 500,
+  retryDelay: 300,
+  maxRetryDelay: 2_000,
+  planInterval: 500,
 };
 
 /**
- * Options under which holders do not alternate within a time that the platform states.
+ * Returns options under which lease holders do not alternate faster than the platform allows.
  *
- * @param holderRest - holders must not act in the order A, B, A within this time
+ * @param holderCooldown - two holders must not act in the order A, B, A within this time
  * @example
  * ```ts
  * const options = getDutyOptions(3_000);
  * ```
  * @public
  */
-export function getDutyOptions(holderRest: Milliseconds): DutyOptions {
+export function getDutyOptions(holderCooldown: Milliseconds): DutyOptions {
   const { lease } = dutyOptions;
-  const span = Math.max(lease.span, holderRest + lease.margin);
-  return { ...dutyOptions, lease: { ...lease, span, rest: holderRest } };
+  const span = Math.max(lease.span, holderCooldown + lease.safetyMargin);
+  return { ...dutyOptions, lease: { ...lease, span, releaseCooldown: holderCooldown } };
 }
--- a/packages/duties/src/lib/scaling/DemandMeter/DemandMeter.ts
+++ b/packages/duties/src/lib/scaling/DemandMeter/DemandMeter.ts
@@ -1,35 +1,35 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import { scalingOptions } from '../scalingOptions.js';
+import { defaultScalingOptions } from '../scalingOptions.js';
 import type { ServiceDemand } from '../scalingTypes.js';
 
 interface DemandReport {
   demand: readonly ServiceDemand[];
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
 }
 
 /**
- * The demand of all daemons, as far as this one was told lately.
+ * The recent demand of all daemons, as received by this one.
  *
  * @public
  */
 export class DemandMeter {
   private readonly reports = new Map<string, DemandReport>();
 
-  /** @param daemon - who told it */
+  /** @param daemon - the daemon that sent the report */
   record(daemon: string, demand: readonly ServiceDemand[], now: Milliseconds): void {
-    this.reports.set(daemon, { demand, heardAt: now });
+    this.reports.set(daemon, { demand, receivedAt: now });
   }
 
-  /** The sum over all daemons for one service. */
+  /** Returns the sum over all daemons for one service. */
   getDemand(service: string, now: Milliseconds): ServiceDemand {
     const sum: ServiceDemand = { service, tokensPerSecond: 0, running: 0 };
-    this.reports.forEach(({ demand, heardAt }, daemon) => {
-      if (now - heardAt > scalingOptions.demandExpiry) {
+    this.reports.forEach(({ demand, receivedAt }, daemon) => {
+      if (now - receivedAt > defaultScalingOptions.demandExpiry) {
         this.reports.delete(daemon);
         return;
       }
       demand
-        .filter((one) => one.service === service)
+        .filter((entry) => entry.service === service)
         .forEach(({ tokensPerSecond, running }) => {
           sum.tokensPerSecond += tokensPerSecond;
           sum.running += running;
--- a/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.test.ts
+++ b/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.test.ts
@@ -16,8 +16,8 @@
 
 const READ_RATE = 40;
 
-/** A platform that carries out orders after the boot time. */
-class OrderedFleet {
+/** Simulates a platform that executes orders for more replicas after the boot time. */
+class FleetSimulation {
   readonly planner = new ReplicaPlanner('llm');
 
   readonly supply = new Map<string, ZoneSupply>();
@@ -26,7 +26,7 @@
 
   now = 0;
 
-  private readonly booting: { at: number; order: PlannedOrder }[] = [];
+  private readonly pendingOrders: { at: number; order: PlannedOrder }[] = [];
 
   constructor(
     onDemand: number,
@@ -37,46 +37,46 @@
     );
   }
 
-  run(span: number, demand: ServiceDemand): void {
-    const end = this.now + span;
+  run(duration: number, demand: ServiceDemand): void {
+    const end = this.now + duration;
     while (this.now < end) {
       this.now += 500;
-      this.carryOut();
+      this.executeDueOrders();
       const { bounds, now, supply } = this;
-      const situation = { limits: bounds, supply, demand, readRate: READ_RATE, now };
-      this.planner.plan(situation).forEach((order) => {
-        this.planner.noteOrdered(order, now);
+      const input = { limits: bounds, supply, demand, readRate: READ_RATE, now };
+      this.planner.plan(input).forEach((order) => {
+        this.planner.recordOrder(order, now);
         this.orders.push(order);
         const delay = order.count > order.running ? bounds.bootTime : 0;
-        this.booting.push({ at: now + delay, order });
+        this.pendingOrders.push({ at: now + delay, order });
       });
     }
   }
 
-  /** All preemptible replicas of a zone are taken away. */
+  /** Removes all preemptible replicas of a zone. */
   reclaim(zone: string): void {
     this.supply.get(zone)!.preemptible = 0;
   }
 
-  sum(sort: keyof ZoneSupply): number {
-    return [...this.supply.values()].reduce((total, zone) => total + zone[sort], 0);
+  sum(replicaType: keyof ZoneSupply): number {
+    return [...this.supply.values()].reduce((total, zone) => total + zone[replicaType], 0);
   }
 
-  private carryOut(): void {
-    this.booting.splice(0).forEach((one) => {
-      if (one.at > this.now) {
-        this.booting.push(one);
+  private executeDueOrders(): void {
+    this.pendingOrders.splice(0).forEach((pending) => {
+      if (pending.at > this.now) {
+        this.pendingOrders.push(pending);
         return;
       }
-      const { availabilityZone, count, isPreemptible } = one.order;
+      const { availabilityZone, count, isPreemptible } = pending.order;
       this.supply.get(availabilityZone)![isPreemptible ? 'preemptible' : 'onDemand'] = count;
     });
   }
 }
 
 describe('ReplicaPlanner', () => {
-  it('replaces replicas on demand by preemptible ones, and never has fewer meanwhile', () => {
-    const fleet = new OrderedFleet(4);
+  it('replaces on-demand replicas with preemptible ones without ever having fewer', () => {
+    const fleet = new FleetSimulation(4);
     for (let second = 0; second < 20; second += 1) {
       fleet.run(1_000, IDLE);
       expect(fleet.sum('onDemand') + fleet.sum('preemptible')).toBeGreaterThanOrEqual(16);
@@ -86,8 +86,8 @@
     ZONES.forEach((zone) => expect(fleet.supply.get(zone)!.preemptible).toBe(7));
   });
 
-  it('keeps within the bounds of each zone, both sorts together', () => {
-    const fleet = new OrderedFleet(7);
+  it('keeps both replica types together within the limits of each zone', () => {
+    const fleet = new FleetSimulation(7);
     const demand = { service: 'llm', tokensPerSecond: 2_000_000, running: 300 };
     for (let second = 0; second < 60; second += 1) {
       fleet.run(1_000, demand);
@@ -98,9 +98,9 @@
     expect(fleet.sum('preemptible')).toBe(28);
   });
 
-  // Guards against a zone whose preemptible replicas are all taken away while none can be had.
-  it('keeps what serves all requests when a zone is reclaimed', () => {
-    const fleet = new OrderedFleet(4);
+  // Guards against the loss of all preemptible replicas of a zone while no others are available.
+  it('keeps enough replicas to serve all requests when a zone is reclaimed', () => {
+    const fleet = new FleetSimulation(4);
     const demand = { service: 'llm', tokensPerSecond: 150_000, running: 60 };
     fleet.run(30_000, demand);
     const before = fleet.sum('preemptible');
@@ -114,9 +114,9 @@
     });
   });
 
-  // Guards against an earlier order that the platform carries out after a later one.
-  it('orders again what the list does not show', () => {
-    const fleet = new OrderedFleet(4);
+  // Guards against a platform that executes an earlier order after a later one.
+  it('repeats an order that the list does not show', () => {
+    const fleet = new FleetSimulation(4);
     fleet.run(20_000, IDLE);
     fleet.supply.get('a')!.preemptible = 9;
     const orders = fleet.orders.length;
@@ -124,25 +124,25 @@
     expect(fleet.orders.slice(orders)).toMatchObject([{ availabilityZone: 'a', count: 7 }]);
   });
 
-  it('orders nothing twice while a steady demand swings by a quarter', () => {
-    const fleet = new OrderedFleet(4);
-    const swing = (turn: number) => ({
+  it('sends no orders while the demand fluctuates by a quarter', () => {
+    const fleet = new FleetSimulation(4);
+    const getDemand = (second: number) => ({
       service: 'llm',
-      tokensPerSecond: 120_000 * (1 + 0.25 * Math.sin(turn / 4)),
+      tokensPerSecond: 120_000 * (1 + 0.25 * Math.sin(second / 4)),
       running: 40,
     });
-    for (let turn = 0; turn < 60; turn += 1) {
-      fleet.run(1_000, swing(turn));
+    for (let second = 0; second < 60; second += 1) {
+      fleet.run(1_000, getDemand(second));
     }
     const orders = fleet.orders.length;
-    for (let turn = 60; turn < 120; turn += 1) {
-      fleet.run(1_000, swing(turn));
+    for (let second = 60; second < 120; second += 1) {
+      fleet.run(1_000, getDemand(second));
     }
     expect(fleet.orders.length - orders).toBe(0);
   });
 
-  it('uses replicas on demand where there are no preemptible ones', () => {
-    const fleet = new OrderedFleet(2, { ...limits, preemptiblePrice: undefined });
+  it('uses on-demand replicas for a service without preemptible ones', () => {
+    const fleet = new FleetSimulation(2, { ...limits, preemptiblePrice: undefined });
     fleet.run(40_000, { service: 'llm', tokensPerSecond: 200_000, running: 80 });
     expect(fleet.sum('preemptible')).toBe(0);
     expect(fleet.sum('onDemand')).toBeGreaterThan(8);
--- a/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.ts
+++ b/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.ts
@@ -1,51 +1,50 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ReplicaOrder } from '../../DutyPlatform.js';
 import { getTargets } from '../getTargets.js';
-import type { ScalingNeed } from '../getTargets.js';
-import { scalingOptions } from '../scalingOptions.js';
+import type { ScalingRequirement } from '../getTargets.js';
+import { defaultScalingOptions } from '../scalingOptions.js';
 import type {
-  ByZone,
+  ZoneMap,
   ScalingLimits,
   ServiceDemand,
   ZoneSupply,
   ZoneTarget,
 } from '../scalingTypes.js';
 
-/** Why replicas are ordered. */
+/** The reason for an order of replicas. */
 export enum OrderReason {
-  /** The demand, or what carries it, has changed. */
+  /** The demand, or the supply that serves it, has changed. */
   Demand = 'demand',
-  /** Replicas that were there are gone. */
+  /** Replicas that were listed before are gone. */
   Lost = 'lost',
-  /** The list does not show what was ordered. */
+  /** The list does not show the ordered replicas in time. */
   NotListed = 'not-listed',
 }
 
-/** An order that is due, with what it rests on. */
+/** An order that is due, with the figures that it is based on. */
 export interface PlannedOrder extends ReplicaOrder {
   reason: OrderReason;
-  /** Replicas that are wanted in all zones together. */
+  /** Replicas wanted in all availability zones together. */
   wanted: number;
-  /** Replicas of that sort that are listed in the zone. */
+  /** Replicas of the ordered type that are listed in the zone. */
   running: number;
 }
 
-/** What a plan is made from. */
-export interface ScalingSituation {
+export interface ScalingInput {
   limits: ScalingLimits;
   /** By availability zone. */
-  supply: ByZone<ZoneSupply>;
+  supply: ZoneMap<ZoneSupply>;
   demand: ServiceDemand;
-  /** Prompt tokens that one engine reads in a millisecond. */
+  /** Prompt tokens that one engine prefills per millisecond. */
   readRate: number;
   now: Milliseconds;
 }
 
-/** The last order for one sort of replicas in one zone. */
-interface OpenOrder {
+/** The last order for one type of replica in one zone. */
+interface LastOrder {
   count: number;
   at: Milliseconds;
-  /** Whether the list has shown it since. */
+  /** Whether the list has shown the ordered replicas since. */
   isListed: boolean;
 }
 
@@ -56,28 +55,29 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-const SORTS = ['preemptible', 'onDemand'] as const;
+const REPLICA_TYPES = ['preemptible', 'onDemand'] as const;
 
-function getKey(zone: string, sort: keyof ZoneTarget): string {
-  return `${zone}/${sort}`;
+function getKey(zone: string, replicaType: keyof ZoneTarget): string {
+  return `${zone}/${replicaType}`;
 }
 
-/** Replicas that carry a demand, if reading and running were spread evenly over them. */
-function getNeeded({ tokensPerSecond, running }: ServiceDemand, readRate: number): number {
-  const { readingUse, runningPerReplica } = scalingOptions;
-  const reading = tokensPerSecond / (readRate * MILLISECONDS_PER_SECOND);
-  return reading / readingUse + running / runningPerReplica;
+/** Returns how many replicas a demand needs if it is spread evenly over them. */
+function getNeededReplicas({ tokensPerSecond, running }: ServiceDemand, readRate: number): number {
+  const { maxPrefillUtilization, maxInFlightPerReplica } = defaultScalingOptions;
+  const prefillLoad = tokensPerSecond / (readRate * MILLISECONDS_PER_SECOND);
+  return prefillLoad / maxPrefillUtilization + running / maxInFlightPerReplica;
 }
 
-/** Replicas that are kept ready while the demand is not known. */
-function getReady(initial: number, { preemptiblePrice }: ScalingLimits): number {
-  const factor = preemptiblePrice === undefined ? 1 : scalingOptions.readyPart / preemptiblePrice;
+/** Returns how many replicas are kept ready while the demand is unknown. */
+function getReadyReplicas(initial: number, { preemptiblePrice }: ScalingLimits): number {
+  const factor =
+    preemptiblePrice === undefined ? 1 : defaultScalingOptions.initialCostRatio / preemptiblePrice;
   return Math.ceil(initial * Math.max(1, factor));
 }
 
 /**
- * Decides which replicas of one service to order, from the demand, the list and earlier orders; no
- * I/O.
+ * Decides which replicas of one service to order, based on the demand, the listed replicas and earlier
+ * orders. Does no I/O.
  *
  * @example
  * ```ts
@@ -86,72 +86,90 @@
  * @internal
  */
 export class ReplicaPlanner {
-  private readonly orders = new Map<string, OpenOrder>();
+  private readonly lastOrders = new Map<string, LastOrder>();
 
   private samples: Sample[] = [];
 
-  /** Replicas that were there when this planner began. */
-  private initial: number | undefined;
+  /** Replicas that were listed when this planner started. */
+  private initialReplicas: number | undefined;
 
-  /** Since when there has been demand. */
-  private demandSince: Milliseconds | undefined;
+  /** When demand was first observed. */
+  private firstDemandAt: Milliseconds | undefined;
 
   private wanted: number | undefined;
 
   constructor(private readonly service: string) {}
 
-  /** Takes note of the demand and returns the orders that are due. */
-  plan(situation: ScalingSituation): PlannedOrder[] {
-    const need = this.getNeed(situation);
-    const targets = getTargets(need, situation.supply, situation.limits);
+  /** Records the demand and returns the orders that are due. */
+  plan(input: ScalingInput): PlannedOrder[] {
+    const requirement = this.getRequirement(input);
+    const targets = getTargets(requirement, input.supply, input.limits);
     return [...targets].flatMap(([zone, target]) =>
-      SORTS.flatMap((sort) => this.getOrder(situation, zone, sort, target[sort], need.wanted)),
+      REPLICA_TYPES.flatMap((replicaType) =>
+        this.getOrder(input, zone, replicaType, target[replicaType], requirement.wanted),
+      ),
     );
   }
 
-  /** An order was accepted, or may have been. */
-  noteOrdered({ availabilityZone, isPreemptible, count }: ReplicaOrder, now: Milliseconds): void {
+  /** Records an order that is about to be sent. */
+  recordOrder({ availabilityZone, isPreemptible, count }: ReplicaOrder, now: Milliseconds): void {
     const key = getKey(availabilityZone, isPreemptible ? 'preemptible' : 'onDemand');
-    this.orders.set(key, { count, at: now, isListed: false });
+    this.lastOrders.set(key, { count, at: now, isListed: false });
   }
 
-  private getNeed({ demand, limits, now, readRate, supply }: ScalingSituation): ScalingNeed {
-    const { headroom, learnSpan, leastPart, onDemandHeadroom, peakSpan, shrinkBy } = scalingOptions;
-    const listed = [...supply.values()].reduce(
+  private getRequirement({
+    demand,
+    limits,
+    now,
+    readRate,
+    supply,
+  }: ScalingInput): ScalingRequirement {
+    const {
+      headroom,
+      learningPeriod,
+      minReplicaRatio,
+      onDemandHeadroom,
+      peakWindow,
+      minShrinkRatio,
+    } = defaultScalingOptions;
+    const listedReplicas = [...supply.values()].reduce(
       (total, { onDemand, preemptible }) => total + onDemand + preemptible,
       0,
     );
-    this.initial ??= listed;
+    this.initialReplicas ??= listedReplicas;
     if (demand.running > 0) {
-      this.demandSince ??= now;
+      this.firstDemandAt ??= now;
     }
-    this.samples.push({ needed: getNeeded(demand, readRate), at: now });
-    this.samples = this.samples.filter(({ at }) => now - at <= peakSpan);
+    this.samples.push({ needed: getNeededReplicas(demand, readRate), at: now });
+    this.samples = this.samples.filter(({ at }) => now - at <= peakWindow);
     const needed = Math.ceil(Math.max(...this.samples.map((sample) => sample.needed)));
     const factor = limits.preemptiblePrice === undefined ? onDemandHeadroom : headroom;
-    const isLearned = this.demandSince !== undefined && now - this.demandSince > learnSpan;
-    const least = isLearned ? 0 : getReady(this.initial, limits);
-    const wanted = Math.max(least, Math.ceil(needed * factor));
-    const last = this.wanted;
+    const isDemandKnown =
+      this.firstDemandAt !== undefined && now - this.firstDemandAt > learningPeriod;
+    const minWanted = isDemandKnown ? 0 : getReadyReplicas(this.initialReplicas, limits);
+    const wanted = Math.max(minWanted, Math.ceil(needed * factor));
+    const previous = this.wanted;
     this.wanted =
-      last !== undefined && wanted < last && wanted > last * (1 - shrinkBy) ? last : wanted;
+      previous !== undefined && wanted < previous && wanted > previous * (1 - minShrinkRatio)
+        ? previous
+        : wanted;
     return {
-      least: Math.ceil(Math.min(this.initial, needed) * leastPart),
-      usual: this.initial,
+      min: Math.ceil(Math.min(this.initialReplicas, needed) * minReplicaRatio),
+      initial: this.initialReplicas,
       wanted: this.wanted,
     };
   }
 
   private getOrder(
-    { supply, limits, now }: ScalingSituation,
+    { supply, limits, now }: ScalingInput,
     zone: string,
-    sort: keyof ZoneTarget,
+    replicaType: keyof ZoneTarget,
     count: number,
     wanted: number,
   ): PlannedOrder[] {
-    const running = supply.get(zone)?.[sort] ?? 0;
-    const reason = this.getReason(getKey(zone, sort), count, running, now, limits);
-    const isPreemptible = sort === 'preemptible';
+    const running = supply.get(zone)?.[replicaType] ?? 0;
+    const reason = this.getReason(getKey(zone, replicaType), count, running, now, limits);
+    const isPreemptible = replicaType === 'preemptible';
     return reason === undefined
       ? []
       : [
@@ -167,7 +185,7 @@
         ];
   }
 
-  /** @returns undefined where nothing need be ordered */
+  /** @returns undefined if no order is due */
   private getReason(
     key: string,
     count: number,
@@ -175,12 +193,12 @@
     now: Milliseconds,
     { bootTime }: ScalingLimits,
   ): OrderReason | undefined {
-    const { listLag, repeatAfter } = scalingOptions;
-    const last = this.orders.get(key);
+    const { listDelay, minOrderInterval } = defaultScalingOptions;
+    const last = this.lastOrders.get(key);
     if (last === undefined) {
       return count === running ? undefined : OrderReason.Demand;
     }
-    if (now - last.at < repeatAfter) {
+    if (now - last.at < minOrderInterval) {
       return undefined;
     }
     if (count !== last.count) {
@@ -193,6 +211,6 @@
     if (last.isListed) {
       return OrderReason.Lost;
     }
-    return now - last.at > bootTime + listLag ? OrderReason.NotListed : undefined;
+    return now - last.at > bootTime + listDelay ? OrderReason.NotListed : undefined;
   }
 }
--- a/packages/duties/src/lib/scaling/ScalingDuty/ScalingDuty.ts
+++ b/packages/duties/src/lib/scaling/ScalingDuty/ScalingDuty.ts
@@ -7,20 +7,19 @@
 import type { DemandMeter } from '../DemandMeter/DemandMeter.js';
 import { ReplicaPlanner } from '../ReplicaPlanner/ReplicaPlanner.js';
 import type { PlannedOrder } from '../ReplicaPlanner/ReplicaPlanner.js';
-import type { ByZone, ScalingLimits, ZoneSupply } from '../scalingTypes.js';
+import type { ZoneMap, ScalingLimits, ZoneSupply } from '../scalingTypes.js';
 
-/** A service whose replicas can be ordered, as it is now. */
+/** The current state of a service whose replicas can be ordered. */
 export interface ScalableService {
   service: string;
   limits: ScalingLimits;
   /** By availability zone. */
-  supply: ByZone<ZoneSupply>;
-  /** Prompt tokens that one engine reads in a millisecond. */
+  supply: ZoneMap<ZoneSupply>;
+  /** Prompt tokens that one engine prefills per millisecond. */
   readRate: number;
 }
 
-/** What the duty needs. */
-export interface ScalingDutyParts {
+export interface ScalingDutySettings {
   self: string;
   clock: Clock;
   lease: LeaseManager;
@@ -39,35 +38,35 @@
 export class ScalingDuty {
   private planners = new Map<string, ReplicaPlanner>();
 
-  constructor(private readonly parts: ScalingDutyParts) {}
+  constructor(private readonly settings: ScalingDutySettings) {}
 
-  /** Another holder may have ordered since: planning begins with what is listed. */
+  /** Restarts planning from the listed replicas: another holder may have sent orders since. */
   reset(): void {
     this.planners = new Map();
   }
 
-  /** The last order of each sort of replicas, for operators. */
+  /** The last order for each service, zone and replica type, shown to operators. */
   readonly lastOrders = new Map<string, PlannedOrder>();
 
   /**
-   * Gives the orders that are due.
+   * Sends the orders that are due.
    *
-   * @returns how long until the next look
-   * @throws StepError when the platform gave no answer
+   * @returns the time until the next step
+   * @throws StepError when the platform did not respond
    */
-  async work(): Promise<Milliseconds> {
-    const { clock, demand, getServices, options } = this.parts;
+  async runStep(): Promise<Milliseconds> {
+    const { clock, demand, getServices, options } = this.settings;
     for (const { service, limits, supply, readRate } of getServices()) {
       const planner = this.getPlanner(service);
       const now = clock.now();
-      const situation = { limits, supply, readRate, now, demand: demand.getDemand(service, now) };
-      for (const order of planner.plan(situation)) {
-        // Orders of one holder go out one after the other, so that none overtakes another.
+      const input = { limits, supply, readRate, now, demand: demand.getDemand(service, now) };
+      for (const order of planner.plan(input)) {
+        // A holder sends its orders one at a time, so that none overtakes another.
         // eslint-disable-next-line no-await-in-loop
-        await this.order(planner, order);
+        await this.sendOrder(planner, order);
       }
     }
-    return options.planPeriod;
+    return options.planInterval;
   }
 
   private getPlanner(service: string): ReplicaPlanner {
@@ -76,15 +75,15 @@
     return planner;
   }
 
-  private async order(planner: ReplicaPlanner, planned: PlannedOrder): Promise<void> {
-    const { clock, lease, log, platform, self } = this.parts;
+  private async sendOrder(planner: ReplicaPlanner, planned: PlannedOrder): Promise<void> {
+    const { clock, lease, log, platform, self } = this.settings;
     const fencingNumber = lease.getFencingNumber();
     if (fencingNumber === undefined) {
       return;
     }
     const { service, availabilityZone, count, isPreemptible, reason, wanted, running } = planned;
     const order: ReplicaOrder = { service, availabilityZone, count, isPreemptible };
-    planner.noteOrdered(order, clock.now());
+    planner.recordOrder(order, clock.now());
     log({ event: 'replicas-ordered', ...order, running, reason, wanted, fencingNumber });
     this.lastOrders.set(`${service} ${availabilityZone} ${String(isPreemptible)}`, planned);
     const result = await platform.orderReplicas(order, { holder: self, fencingNumber });
@@ -93,8 +92,8 @@
       log({ event: 'duty-failed', call, result, fencingNumber });
     }
     if (result === CallResult.Conflict) {
-      // The answer is the same where a higher number was seen and where none are available: a fresh
-      // number is asked for in either case, and the old one never used again.
+      // The platform sends the same response for a stale fencing number and for unavailable replicas.
+      // In both cases the lease requests a new number and never uses the old one again.
       lease.reportFenced(fencingNumber + 1);
     }
   }
--- a/packages/duties/src/lib/scaling/getTargets.ts
+++ b/packages/duties/src/lib/scaling/getTargets.ts
@@ -1,73 +1,79 @@
-import type { ByZone, ScalingLimits, ZoneSupply, ZoneTarget } from './scalingTypes.js';
+import type { ZoneMap, ScalingLimits, ZoneSupply, ZoneTarget } from './scalingTypes.js';
 
-/** What a service needs in all its availability zones together. */
-export interface ScalingNeed {
-  /** Replicas with which all is served, if late: never fewer, of whichever sort. */
-  least: number;
-  /** Replicas that there were at the start. */
-  usual: number;
-  /** Replicas that serve the demand in time, bursts and losses included. */
+/** The replicas that a service needs in all its availability zones together. */
+export interface ScalingRequirement {
+  /** Minimum of either type with which every request is still served, though possibly late. */
+  min: number;
+  /** Replicas that were listed at the start. */
+  initial: number;
+  /** Replicas that serve the demand in time, including bursts and lost replicas. */
   wanted: number;
 }
 
-/** Zones by price, the cheapest first. */
-function getZones({ zonePrices }: ScalingLimits): string[] {
+/** Returns the availability zones, the cheapest first. */
+function getZonesByPrice({ zonePrices }: ScalingLimits): string[] {
   return Object.entries(zonePrices)
     .sort(([, left], [, right]) => left - right)
     .map(([zone]) => zone);
 }
 
-/** Part of a zone that is given up at a time where all are full, to make room for cheaper replicas. */
-const REPLACED_PART = 0.25;
+/**
+ * Fraction of a zone's replicas that is given up at a time when all zones are full, to make room for
+ * cheaper replicas.
+ */
+const REPLACED_FRACTION = 0.25;
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
 
-/** Splits a number evenly; what is left over goes to the first of the zones. */
-function split(total: number, zones: readonly string[]): Map<string, number> {
-  const each = Math.floor(total / zones.length);
-  const rest = total - each * zones.length;
-  return new Map(zones.map((zone, index) => [zone, each + (index < rest ? 1 : 0)]));
+/** Splits a number evenly over the zones; the first zones get the remainder. */
+function splitEvenly(total: number, zones: readonly string[]): Map<string, number> {
+  const perZone = Math.floor(total / zones.length);
+  const remainder = total - perZone * zones.length;
+  return new Map(zones.map((zone, index) => [zone, perZone + (index < remainder ? 1 : 0)]));
 }
 
-function getSize({ onDemand, preemptible }: ZoneSupply): number {
+function getReplicaCount({ onDemand, preemptible }: ZoneSupply): number {
   return onDemand + preemptible;
 }
 
-function sum(supply: ByZone<ZoneSupply>, sort: keyof ZoneSupply): number {
-  return [...supply.values()].reduce((total, zone) => total + zone[sort], 0);
+function sumSupply(supply: ZoneMap<ZoneSupply>, replicaType: keyof ZoneSupply): number {
+  return [...supply.values()].reduce((total, zone) => total + zone[replicaType], 0);
 }
 
-/** Takes away the dearest replicas first, and adds the cheapest first. */
-function shiftOnDemand(
-  supply: ByZone<ZoneSupply>,
+/**
+ * Changes the number of on-demand replicas. Removes them from the most expensive zones first, and adds
+ * them to the zone that has the fewest, the cheapest of several.
+ */
+function changeOnDemand(
+  supply: ZoneMap<ZoneSupply>,
   zones: readonly string[],
   change: number,
   { mostPerZone }: ScalingLimits,
 ): Map<string, number> {
   const counts = new Map(zones.map((zone) => [zone, supply.get(zone)?.onDemand ?? 0]));
-  let left = Math.abs(change);
-  while (left > 0) {
+  let remaining = Math.abs(change);
+  while (remaining > 0) {
     const zone =
       change < 0
-        ? zones.findLast((one) => counts.get(one)! > 0)
+        ? zones.findLast((candidate) => counts.get(candidate)! > 0)
         : [...zones]
-            .filter((one) => counts.get(one)! < mostPerZone)
-            .sort((one, other) => counts.get(one)! - counts.get(other)!)[0];
+            .filter((candidate) => counts.get(candidate)! < mostPerZone)
+            .sort((candidate, other) => counts.get(candidate)! - counts.get(other)!)[0];
     if (zone === undefined) {
       break;
     }
     counts.set(zone, counts.get(zone)! + Math.sign(change));
-    left -= 1;
+    remaining -= 1;
   }
   return counts;
 }
 
-/** Without preemptible replicas, those on demand are spread over all zones. */
+/** Spreads on-demand replicas over all zones, for services without preemptible replicas. */
 function getOnDemandTargets(wanted: number, limits: ScalingLimits): Map<string, ZoneTarget> {
   const { leastPerZone, mostPerZone } = limits;
-  const shares = split(wanted, getZones(limits));
+  const shares = splitEvenly(wanted, getZonesByPrice(limits));
   return new Map(
     [...shares].map(([zone, count]) => [
       zone,
@@ -77,39 +83,46 @@
 }
 
 /**
- * How many replicas of each sort each zone is to have.
+ * Returns the target number of replicas of each type for each zone.
  *
- * Load pattern: bursts of three times the usual load that are over before a replica has booted, beside
- * preemptible replicas at a fifth of the price, all of which may be taken away in one zone at two
- * seconds' notice. They are spread evenly over the zones, so that a zone's loss is within what is kept
- * ready. Replicas on demand go once preemptible ones have taken their place, and come only where so
- * few preemptible ones are left that requests would not be served at all.
+ * Bursts of three times the usual load end before a new replica has booted, so spare replicas must be
+ * running already. Preemptible replicas cost a fifth of the price, but all of those in one zone may be
+ * reclaimed at two seconds' notice. They are spread evenly over the zones, so that the spare replicas
+ * cover the loss of a zone. On-demand replicas are removed once preemptible ones have replaced them,
+ * and are added only if so few preemptible replicas are left that requests would not be served at all.
  */
 export function getTargets(
-  { least, usual, wanted }: ScalingNeed,
-  supply: ByZone<ZoneSupply>,
+  { min, initial, wanted }: ScalingRequirement,
+  supply: ZoneMap<ZoneSupply>,
   limits: ScalingLimits,
 ): Map<string, ZoneTarget> {
   const { leastPerZone, mostPerZone, preemptiblePrice } = limits;
-  const zones = getZones(limits);
+  const zones = getZonesByPrice(limits);
   const total = clamp(wanted, leastPerZone * zones.length, mostPerZone * zones.length);
   if (preemptiblePrice === undefined || preemptiblePrice >= 1 || zones.length < 2) {
     return getOnDemandTargets(total, limits);
   }
-  const preemptible = sum(supply, 'preemptible');
-  const onDemand = sum(supply, 'onDemand');
-  const missing = clamp(onDemand, least - preemptible, Math.min(usual, total) - preemptible);
-  const kept = shiftOnDemand(supply, zones, Math.max(0, missing) - onDemand, limits);
-  const shares = split(total, zones);
-  const isFull = [...supply.values()].every((zone) => getSize(zone) >= mostPerZone);
-  const isStuck = isFull && missing >= onDemand;
-  const given = Math.ceil(mostPerZone * REPLACED_PART);
+  const preemptible = sumSupply(supply, 'preemptible');
+  const onDemand = sumSupply(supply, 'onDemand');
+  const onDemandTarget = clamp(onDemand, min - preemptible, Math.min(initial, total) - preemptible);
+  const onDemandByZone = changeOnDemand(
+    supply,
+    zones,
+    Math.max(0, onDemandTarget) - onDemand,
+    limits,
+  );
+  const shares = splitEvenly(total, zones);
+  const areAllZonesFull = [...supply.values()].every(
+    (zone) => getReplicaCount(zone) >= mostPerZone,
+  );
+  const mustFreeRoom = areAllZonesFull && onDemandTarget >= onDemand;
+  const freedPerZone = Math.ceil(mostPerZone * REPLACED_FRACTION);
   return new Map(
     zones.map((zone) => {
-      const running = supply.get(zone)?.onDemand ?? 0;
-      const most = isStuck ? Math.max(0, running - given) : mostPerZone;
-      const target = Math.min(kept.get(zone)!, most);
-      const room = Math.max(0, mostPerZone - Math.max(target, running));
+      const listed = supply.get(zone)?.onDemand ?? 0;
+      const maxOnDemand = mustFreeRoom ? Math.max(0, listed - freedPerZone) : mostPerZone;
+      const target = Math.min(onDemandByZone.get(zone)!, maxOnDemand);
+      const room = Math.max(0, mostPerZone - Math.max(target, listed));
       return [zone, { onDemand: target, preemptible: Math.min(room, shares.get(zone)!) }];
     }),
   );
--- a/packages/duties/src/lib/scaling/scalingOptions.ts
+++ b/packages/duties/src/lib/scaling/scalingOptions.ts
@@ -1,36 +1,39 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * How many replicas are ordered for a demand.
+ * Default options for the number of replicas to order.
  *
  * @public
  */
-export const scalingOptions = {
-  /** The part of its time that an engine may spend on reading prompts. */
-  readingUse: 0.35,
-  /** Requests under way at one engine. */
-  runningPerReplica: 8,
-  /** The highest demand within this time counts. */
-  peakSpan: 20_000 satisfies Milliseconds,
-  /** Replicas that were there at the start are kept until demand was seen for this long. */
-  learnSpan: 30_000 satisfies Milliseconds,
-  /** Replicas ordered for each that the demand needs, where they are preemptible. */
+export const defaultScalingOptions = {
+  /** The fraction of its time that an engine should spend on prefill at most. */
+  maxPrefillUtilization: 0.35,
+  /** Requests in flight per replica. */
+  maxInFlightPerReplica: 8,
+  /** The peak demand within this time determines the number of replicas. */
+  peakWindow: 20_000 satisfies Milliseconds,
+  /** The initial number of replicas is kept until demand has been observed for this long. */
+  learningPeriod: 30_000 satisfies Milliseconds,
+  /** Replicas ordered per replica needed, for services with preemptible replicas. */
   headroom: 1.5,
-  /** The same where they are not. */
+  /** Replicas ordered per replica needed, for services without preemptible replicas. */
   onDemandHeadroom: 1.25,
-  /** Part of the replicas that the demand needs below which others are ordered at any price. */
-  leastPart: 0.5,
   /**
-   * Preemptible replicas are kept ready for this part of what those cost that were there at the
-   * start, until the demand is known.
+   * If fewer than this fraction of the needed replicas are available, replicas are ordered at any
+   * price.
    */
-  readyPart: 0.4,
-  /** Fewer replicas are ordered only if they are fewer by this part. */
-  shrinkBy: 0.25,
-  /** After an order, the list is given the boot time and this to show it. */
-  listLag: 4_000 satisfies Milliseconds,
-  /** Between two orders of the same count, and after a refusal. */
-  repeatAfter: 2_000 satisfies Milliseconds,
-  /** A daemon's word on its demand counts for this long. */
+  minReplicaRatio: 0.5,
+  /**
+   * Until the demand is known, preemptible replicas are kept ready for this fraction of the cost of
+   * the initial replicas.
+   */
+  initialCostRatio: 0.4,
+  /** The number of wanted replicas is reduced only if it shrinks by at least this fraction. */
+  minShrinkRatio: 0.25,
+  /** Time after the boot time within which the list must show an order. */
+  listDelay: 4_000 satisfies Milliseconds,
+  /** Minimum time between two orders for the same zone and replica type. */
+  minOrderInterval: 2_000 satisfies Milliseconds,
+  /** A daemon's demand report expires after this time. */
   demandExpiry: 3_000 satisfies Milliseconds,
 };
--- a/packages/duties/src/lib/scaling/scalingTypes.ts
+++ b/packages/duties/src/lib/scaling/scalingTypes.ts
@@ -1,38 +1,39 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * Bounds under which replicas of a service may be ordered.
+ * Limits for the replicas of a service that may be ordered.
  *
  * @public
  */
 export interface ScalingLimits {
-  /** In each availability zone, both sorts of replicas together. */
+  /** Minimum in each availability zone, on-demand and preemptible replicas together. */
   leastPerZone: number;
+  /** Maximum in each availability zone, on-demand and preemptible replicas together. */
   mostPerZone: number;
   bootTime: Milliseconds;
-  /** Price of a preemptible replica as a part of another's; absent where there are none. */
+  /** Price of a preemptible replica as a fraction of the on-demand price; absent if there are none. */
   preemptiblePrice?: number;
-  /** Price of a replica by availability zone; replicas may be ordered in these zones. */
+  /** Replica price by availability zone; replicas may be ordered only in these zones. */
   zonePrices: Readonly<Record<string, number>>;
 }
 
-/** The replicas of a service in one availability zone that are listed and stay. */
+/** The replicas of a service that are listed in one availability zone and are not leaving. */
 export interface ZoneSupply {
   onDemand: number;
   preemptible: number;
 }
 
-/** How many replicas of each sort a zone is to have. */
+/** The target number of replicas of each type in an availability zone. */
 export type ZoneTarget = ZoneSupply;
 
-/** A number for each availability zone of the service. */
-export type ByZone<Value> = ReadonlyMap<string, Value>;
+/** Values by availability zone. */
+export type ZoneMap<Value> = ReadonlyMap<string, Value>;
 
-/** What one daemon had under way for a service lately. */
+/** The recent load that one daemon, or the whole fleet, sends to a service. */
 export interface ServiceDemand {
   service: string;
-  /** Prompt tokens a second that engines had to read. */
+  /** Prompt tokens per second that engines had to prefill. */
   tokensPerSecond: number;
-  /** Attempts under way. */
+  /** Attempts in flight. */
   running: number;
 }
--- a/packages/duties/src/lib/usage/FleetUsage/FleetUsage.ts
+++ b/packages/duties/src/lib/usage/FleetUsage/FleetUsage.ts
@@ -1,36 +1,39 @@
 import type { SourceUsage } from '../SourceUsage.js';
 
-/** Windows that are kept at most, against daemons whose clocks are far off. */
-const MOST_WINDOWS = 64;
+/** Limits memory use when daemons with badly wrong clocks report arbitrary windows. */
+const MAX_WINDOWS = 64;
 
 /**
- * The counts of all daemons, as far as this one was told.
+ * The usage counts of all daemons, as received by this one.
  *
  * @public
  */
 export class FleetUsage {
   private readonly windows = new Map<number, Map<string, Map<string, number>>>();
 
-  private oldest = 0;
+  private oldestWindow = 0;
 
-  /** Takes in the counts of one daemon; the order and repeats do not matter. */
+  /**
+   * Merges the counts of one daemon. Each count keeps its maximum, so updates may arrive repeatedly
+   * and in any order.
+   */
   merge({ source, window, counts }: SourceUsage): void {
-    if (window < this.oldest) {
+    if (window < this.oldestWindow) {
       return;
     }
     const sources = this.windows.get(window) ?? new Map<string, Map<string, number>>();
-    if (!this.windows.has(window) && this.windows.size >= MOST_WINDOWS) {
+    if (!this.windows.has(window) && this.windows.size >= MAX_WINDOWS) {
       return;
     }
     this.windows.set(window, sources);
-    const known = sources.get(source) ?? new Map<string, number>();
-    sources.set(source, known);
+    const knownCounts = sources.get(source) ?? new Map<string, number>();
+    sources.set(source, knownCounts);
     counts.forEach(([workspace, count]) => {
-      known.set(workspace, Math.max(known.get(workspace) ?? 0, count));
+      knownCounts.set(workspace, Math.max(knownCounts.get(workspace) ?? 0, count));
     });
   }
 
-  /** The sum over all daemons, by workspace. */
+  /** Returns the sum over all daemons, by workspace. */
   getCounts(window: number): Record<string, number> {
     const sums: Record<string, number> = {};
     this.windows.get(window)?.forEach((counts) =>
@@ -45,10 +48,11 @@
     return this.windows.has(window);
   }
 
-  forgetBefore(window: number): void {
-    this.oldest = Math.max(this.oldest, window);
+  /** Drops the windows before the given one and ignores later updates to them. */
+  evictBefore(window: number): void {
+    this.oldestWindow = Math.max(this.oldestWindow, window);
     [...this.windows.keys()]
-      .filter((kept) => kept < window)
-      .forEach((old) => this.windows.delete(old));
+      .filter((other) => other < window)
+      .forEach((expired) => this.windows.delete(expired));
   }
 }
--- a/packages/duties/src/lib/usage/SourceUsage.ts
+++ b/packages/duties/src/lib/usage/SourceUsage.ts
@@ -1,22 +1,22 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * Requests that replicas began to run in one window, as counted by one life of one daemon. Counts
- * only grow, so a share that is heard late, twice or in parts does no harm.
+ * Requests that replicas started in one window, as counted by one daemon process. Counts only grow,
+ * so an update that arrives late, repeatedly or in parts is harmless.
  *
  * @public
  */
 export interface SourceUsage {
-  /** The life of the daemon that counted. */
+  /** Identifies the daemon process that counted; it changes with each restart. */
   source: string;
-  /** Number of the window, counted from the start of 1970. */
+  /** Number of the window, counted from the Unix epoch. */
   window: number;
-  /** By workspace. */
+  /** Pairs of workspace and count. */
   counts: readonly (readonly [string, number])[];
 }
 
 /**
- * The number of the window that a moment lies in.
+ * Returns the number of the window that contains a point in time.
  *
  * @param at - Unix milliseconds
  * @example
@@ -29,7 +29,7 @@
   return Math.floor(at / span);
 }
 
-/** When a window ends, in Unix milliseconds. */
+/** Returns the end of a window, in Unix milliseconds. */
 export function getWindowEnd(window: number, span: Milliseconds): Milliseconds {
   return (window + 1) * span;
 }
--- a/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
+++ b/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
@@ -2,65 +2,64 @@
 import { getWindow } from '../SourceUsage.js';
 import type { SourceUsage } from '../SourceUsage.js';
 
-/** What a counter needs. */
-export interface UsageCounterParts {
-  /** The life of this daemon: a restart counts anew. */
+export interface UsageCounterSettings {
+  /** Identifies this daemon process: counts start from zero after a restart. */
   source: string;
   windowSpan: Milliseconds;
 }
 
 /**
- * Counts the requests of this daemon that replicas began to run, by window and workspace.
+ * Counts the requests of this daemon that replicas started, by window and workspace.
  *
  * @public
  */
 export class UsageCounter {
   private readonly windows = new Map<number, Map<string, number>>();
 
-  /** Counts that were not taken yet. */
-  private changed = new Map<number, Set<string>>();
+  /** Workspaces by window whose counts changed since the last `takeChanged` call. */
+  private changedWorkspaces = new Map<number, Set<string>>();
 
-  constructor(private readonly parts: UsageCounterParts) {}
+  constructor(private readonly settings: UsageCounterSettings) {}
 
-  /** @param at - when the replica began, in Unix milliseconds */
+  /** @param at - when the replica started the request, in Unix milliseconds */
   count(workspace: string, at: Milliseconds): void {
-    const window = getWindow(at, this.parts.windowSpan);
+    const window = getWindow(at, this.settings.windowSpan);
     const counts = this.windows.get(window) ?? new Map<string, number>();
     this.windows.set(window, counts);
     counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
-    const changed = this.changed.get(window) ?? new Set<string>();
-    this.changed.set(window, changed);
-    changed.add(workspace);
+    const changedWorkspaces = this.changedWorkspaces.get(window) ?? new Set<string>();
+    this.changedWorkspaces.set(window, changedWorkspaces);
+    changedWorkspaces.add(workspace);
   }
 
-  /** Counts that have changed since the last call. */
+  /** Returns the counts that have changed since the last call. */
   takeChanged(): SourceUsage[] {
-    const { changed } = this;
-    this.changed = new Map();
-    return [...changed].map(([window, workspaces]) => {
+    const { changedWorkspaces } = this;
+    this.changedWorkspaces = new Map();
+    return [...changedWorkspaces].map(([window, workspaces]) => {
       const counts = this.windows.get(window);
-      return this.createShare(
+      return this.createSourceUsage(
         window,
         [...workspaces].map((workspace) => [workspace, counts?.get(workspace) ?? 0]),
       );
     });
   }
 
-  /** All counts of the windows that are kept. */
+  /** Returns all counts of the retained windows. */
   getAll(): SourceUsage[] {
-    return [...this.windows].map(([window, counts]) => this.createShare(window, [...counts]));
+    return [...this.windows].map(([window, counts]) => this.createSourceUsage(window, [...counts]));
   }
 
   forgetBefore(window: number): void {
     [...this.windows.keys()]
-      .filter((kept) => kept < window)
-      .forEach((old) => {
-        this.windows.delete(old);
-        this.changed.delete(old);
+      .filter((other) => other < window)
+      .forEach((expired) => {
+        this.windows.delete(expired);
+        this.changedWorkspaces.delete(expired);
       });
   }
 
-  private createShare(window: number, counts: SourceUsage['counts']): SourceUsage {
-    return { source: this.parts.source, window, counts };
+  private createSourceUsage(window: number, counts: SourceUsage['counts']): SourceUsage {
+    return { source: this.settings.source, window, counts };
   }
 }
--- a/packages/duties/src/lib/usage/UsageDuty/UsageDuty.ts
+++ b/packages/duties/src/lib/usage/UsageDuty/UsageDuty.ts
@@ -11,125 +11,127 @@
 import type { UsageLedger } from '../UsageLedger.js';
 import { getWindowEnd } from '../SourceUsage.js';
 
-/** What the duty needs. */
-export interface UsageDutyParts {
+export interface UsageDutySettings {
   self: string;
   clock: Clock;
-  /** Unix milliseconds, put right by the clocks of the other daemons. */
+  /** Unix milliseconds, corrected by the clocks of the other daemons. */
   getFleetTime: () => Milliseconds;
   lease: LeaseManager;
   store: LeaseStore;
   platform: DutyPlatform;
   usage: FleetUsage;
   windowSpan: Milliseconds;
-  /** How long after a window's end its report is due. */
-  delay: Milliseconds;
+  /** Time after the end of a window by which its report is due. */
+  reportDeadline: Milliseconds;
   options: DutyOptions;
   log: DutyLog;
 }
 
-/** Counts of what was reported and what was not. */
-export interface UsageCounters {
+/** Numbers of windows that were reported and that were missed. */
+export interface UsageReportCounters {
   reported: number;
   missed: number;
 }
 
 const LEDGER_KEY = 'usage/ledger';
 
-const EMPTY: UsageLedger = { entries: [] };
+const EMPTY_LEDGER: UsageLedger = { entries: [] };
 
-/** The ledger as it lies at the store. */
+/** The ledger as last read from or written to the store. */
 interface StoredLedger {
   ledger: UsageLedger;
   version: number;
 }
 
 /**
- * Reports, while this daemon holds the lease, the usage of each window once it is settled.
+ * Settles and reports the usage of each window while this daemon holds the lease.
  *
  * @internal
  */
 export class UsageDuty {
-  readonly counters: UsageCounters = { reported: 0, missed: 0 };
+  readonly counters: UsageReportCounters = { reported: 0, missed: 0 };
 
-  private readonly since: Milliseconds;
+  private readonly startedAt: Milliseconds;
 
   private stored: StoredLedger | undefined;
 
-  /** Windows that this daemon has reported; the ledger says so only once the next one is settled. */
-  private readonly done = new Set<number>();
+  /**
+   * Windows that this daemon has reported. The stored ledger marks them as reported only when the
+   * next window is settled.
+   */
+  private readonly reportedWindows = new Set<number>();
 
-  constructor(private readonly parts: UsageDutyParts) {
-    this.since = parts.getFleetTime();
+  constructor(private readonly settings: UsageDutySettings) {
+    this.startedAt = settings.getFleetTime();
   }
 
-  /** What lies at the store is unknown after a time without the lease. */
+  /** Discards the cached ledger: another holder may have changed it since. */
   reset(): void {
     this.stored = undefined;
   }
 
   /**
-   * Does what is to be done now.
+   * Performs the next step that is due.
    *
-   * @returns how long until there is more to do
-   * @throws StepError when the store or the platform gave no answer
+   * @returns the time until the next step
+   * @throws StepError when the store or the platform did not respond
    */
-  async work(): Promise<Milliseconds> {
+  async runStep(): Promise<Milliseconds> {
     if (this.stored === undefined) {
-      this.stored = await this.read();
+      this.stored = await this.readLedger();
       return 0;
     }
-    const step = this.getStep(this.stored.ledger);
+    const step = this.getNextStep(this.stored.ledger);
     switch (step.kind) {
       case 'settle':
-        await this.settle(step, this.stored.version);
+        await this.settleWindows(step, this.stored.version);
         return 0;
       case 'report':
-        return this.report(step, this.stored.ledger);
+        return this.reportWindow(step, this.stored.ledger);
       case 'wait':
-        return Math.max(0, step.until - this.parts.getFleetTime());
+        return Math.max(0, step.until - this.settings.getFleetTime());
       default:
         return step satisfies never;
     }
   }
 
-  private getStep(ledger: UsageLedger): UsageStep {
-    const { getFleetTime: getTrueTime, usage, windowSpan, delay, options } = this.parts;
+  private getNextStep(ledger: UsageLedger): UsageStep {
+    const { getFleetTime, usage, windowSpan, reportDeadline, options } = this.settings;
     return getUsageStep({
       ledger,
       usage,
-      now: getTrueTime(),
-      since: this.since,
+      now: getFleetTime(),
+      startedAt: this.startedAt,
       windowSpan,
-      delay,
+      reportDeadline,
       settleDelay: options.settleDelay,
     });
   }
 
-  private async read(): Promise<StoredLedger> {
-    const object = await this.parts.store.get(LEDGER_KEY);
+  private async readLedger(): Promise<StoredLedger> {
+    const object = await this.settings.store.get(LEDGER_KEY);
     if (object === undefined) {
-      return { ledger: EMPTY, version: 0 };
+      return { ledger: EMPTY_LEDGER, version: 0 };
     }
     const entries = parseLedger(object.value).entries.map((entry) => ({
       ...entry,
-      isReported: entry.isReported || this.done.has(entry.window),
+      isReported: entry.isReported || this.reportedWindows.has(entry.window),
     }));
     return { ledger: { entries }, version: object.version };
   }
 
-  private async settle(
+  private async settleWindows(
     { ledger, settled, missed }: Extract<UsageStep, { kind: 'settle' }>,
     version: number,
   ): Promise<void> {
-    const { log, store, usage } = this.parts;
-    // Until the answer comes, nobody knows what lies there.
+    const { log, store, usage } = this.settings;
+    // The stored ledger is unknown until the write is confirmed.
     this.stored = undefined;
-    const outcome = await store.put(LEDGER_KEY, JSON.stringify(ledger), version);
-    if (outcome.kind === 'conflict') {
+    const putResult = await store.put(LEDGER_KEY, JSON.stringify(ledger), version);
+    if (putResult.kind === 'conflict') {
       return;
     }
-    this.stored = { ledger, version: outcome.version };
+    this.stored = { ledger, version: putResult.version };
     settled.forEach(({ window, counts }) => {
       const requests = Object.values(counts).reduce((sum, count) => sum + count, 0);
       const workspaces = Object.keys(counts).length;
@@ -139,54 +141,47 @@
       this.counters.missed += 1;
       log({ event: 'usage-missed', window, reason: 'no daemon counted it' });
     });
-    const oldest = ledger.entries[0]?.window ?? 0;
-    [...this.done]
-      .filter((window) => window < oldest)
-      .forEach((window) => this.done.delete(window));
-    usage.forgetBefore(Math.min(...settled.map(({ window }) => window)));
+    const oldestWindow = ledger.entries[0]?.window ?? 0;
+    [...this.reportedWindows]
+      .filter((window) => window < oldestWindow)
+      .forEach((window) => this.reportedWindows.delete(window));
+    usage.evictBefore(Math.min(...settled.map(({ window }) => window)));
   }
 
-  /** @returns how long until the next try */
-  private async report(
+  /** @returns the time until the next step */
+  private async reportWindow(
     { entry }: Extract<UsageStep, { kind: 'report' }>,
     ledger: UsageLedger,
   ): Promise<Milliseconds> {
-    const {
-      getFleetTime: getTrueTime,
-      lease,
-      log,
-      options,
-      platform,
-      self,
-      windowSpan,
-    } = this.parts;
+    const { getFleetTime, lease, log, options, platform, self, windowSpan } = this.settings;
     const fencingNumber = lease.getFencingNumber();
     if (fencingNumber === undefined) {
-      return options.retry;
+      return options.retryDelay;
     }
     const { window, counts } = entry;
     const result = await platform.reportUsage({ window, counts }, { holder: self, fencingNumber });
     switch (result) {
       case CallResult.Accepted:
-        // Written down with the next window: a successor repeats it, which does no harm.
+        // The ledger is updated when the next window is settled. Until then a successor may repeat
+        // the report, which is harmless.
         this.markReported(ledger, window);
         this.counters.reported += 1;
         log({
           event: 'usage-reported',
           window,
-          after: getTrueTime() - getWindowEnd(window, windowSpan),
+          after: getFleetTime() - getWindowEnd(window, windowSpan),
           fencingNumber,
         });
         return 0;
       case CallResult.Conflict:
         lease.reportFenced(fencingNumber + 1);
         log({ event: 'duty-failed', call: `report ${window}`, result, fencingNumber });
-        return options.retry;
+        return options.retryDelay;
       case CallResult.Unavailable:
         log({ event: 'duty-failed', call: `report ${window}`, result, fencingNumber });
-        return options.retry;
+        return options.retryDelay;
       case CallResult.Rejected:
-        // The same report would be refused again.
+        // Retrying is useless: the platform would reject the same report again.
         this.markReported(ledger, window);
         this.counters.missed += 1;
         log({ event: 'duty-failed', call: `report ${window}`, result, fencingNumber });
@@ -197,7 +192,7 @@
   }
 
   private markReported(ledger: UsageLedger, window: number): void {
-    this.done.add(window);
+    this.reportedWindows.add(window);
     if (this.stored === undefined || this.stored.ledger !== ledger) {
       return;
     }
--- a/packages/duties/src/lib/usage/UsageLedger.ts
+++ b/packages/duties/src/lib/usage/UsageLedger.ts
@@ -11,17 +11,17 @@
 });
 
 /**
- * What was decided to be reported, as it lies at the store. An entry's counts never change: every
- * holder reports the same for a window.
+ * The usage to report, as kept in the store. The counts of an entry never change, so every holder
+ * reports the same usage for a window.
  *
  * @public
  */
 export type UsageLedger = z.infer<typeof ledgerSchema>;
 
-/** What is reported for one window. */
+/** The usage to report for one window. */
 export type UsageEntry = UsageLedger['entries'][number];
 
-/** @throws ZodError or SyntaxError when the text is no ledger */
+/** @throws ZodError or SyntaxError when the text is not a valid ledger */
 export function parseLedger(text: string): UsageLedger {
   return ledgerSchema.parse(JSON.parse(text));
 }
--- a/packages/duties/src/test/DutyFleet.ts
+++ b/packages/duties/src/test/DutyFleet.ts
@@ -11,20 +11,23 @@
 
 export const WINDOW: Milliseconds = 5_000;
 
-export const DELAY: Milliseconds = 10_000;
+export const REPORT_DEADLINE: Milliseconds = 10_000;
 
-/** How often a daemon tells those that stand by of its counts. */
-const TELL_PERIOD: Milliseconds = 200;
+/** Interval at which a daemon sends its counts to the lease candidates. */
+const UPDATE_INTERVAL: Milliseconds = 200;
 
 interface Daemon {
   clock: PausableClock;
   manager: DutyManager;
   counter: UsageCounter;
   isRunning: boolean;
-  isCutOff: boolean;
+  isPartitioned: boolean;
 }
 
-/** Daemons with duties before one store and one platform, with the truth of what they ran. */
+/**
+ * Simulates daemons that share one store and one platform, and records the requests that each of
+ * them really ran.
+ */
 export class DutyFleet {
   readonly clock = new ManualClock(1_700_000_000_000);
 
@@ -32,12 +35,12 @@
 
   readonly objects = new ObjectStore(this.clock);
 
-  /** What replicas began to run, by window and workspace. */
-  readonly truth = new Map<number, Record<string, number>>();
+  /** Requests that replicas started, by window and workspace. */
+  readonly actualCounts = new Map<number, Record<string, number>>();
 
   isStoreDown = false;
 
-  lostAnswers = 0;
+  lostResponses = 0;
 
   services: ScalableService[] = [];
 
@@ -45,7 +48,7 @@
 
   private readonly daemons: Daemon[];
 
-  private lives = 0;
+  private incarnations = 0;
 
   constructor(size: number, seed: number) {
     this.random = createRandom(seed);
@@ -61,7 +64,7 @@
     return this.daemons.findIndex(({ isRunning, manager }) => isRunning && manager.status.isHolder);
   }
 
-  /** Ends a daemon without warning; what it has not told is lost. */
+  /** Kills a daemon without warning; counts that it has not sent yet are lost. */
   kill(index: number): void {
     const daemon = this.daemons[index]!;
     daemon.manager.dispose();
@@ -73,28 +76,30 @@
     this.daemons[index] = this.createDaemon(index);
   }
 
-  /** A daemon that the store and the platform do not answer. */
-  setCutOff(index: number, isCutOff: boolean): void {
-    this.daemons[index]!.isCutOff = isCutOff;
+  /** Cuts a daemon off from the store and the platform, or reconnects it. */
+  setPartitioned(index: number, isPartitioned: boolean): void {
+    this.daemons[index]!.isPartitioned = isPartitioned;
   }
 
-  freeze(index: number): void {
+  pause(index: number): void {
     this.daemons[index]!.clock.pause();
   }
 
-  wake(index: number): void {
+  resume(index: number): void {
     this.daemons[index]!.clock.resume();
   }
 
-  /** Lets time pass, with requests at all daemons that run. */
-  async run(span: Milliseconds, isQuiet = false): Promise<void> {
-    const end = this.clock.now() + span;
+  /** Advances time; unless idle, every running daemon keeps serving requests. */
+  async run(duration: Milliseconds, isIdle = false): Promise<void> {
+    const end = this.clock.now() + duration;
     while (this.clock.now() < end) {
-      if (!isQuiet) {
-        this.daemons.filter(({ isRunning }) => isRunning).forEach((daemon) => this.serve(daemon));
+      if (!isIdle) {
+        this.daemons
+          .filter(({ isRunning }) => isRunning)
+          .forEach((daemon) => this.serveRequest(daemon));
       }
       // eslint-disable-next-line no-await-in-loop
-      await advanceClock(this.clock, TELL_PERIOD);
+      await advanceClock(this.clock, UPDATE_INTERVAL);
     }
   }
 
@@ -102,32 +107,35 @@
     this.daemons.forEach(({ manager }) => manager.dispose());
   }
 
-  private serve(daemon: Daemon): void {
+  private serveRequest(daemon: Daemon): void {
     const now = this.clock.now();
     const workspace = `shop-${this.random.integer(4)}`;
     daemon.counter.count(workspace, now);
     const window = getWindow(now, WINDOW);
-    const counts = this.truth.get(window) ?? {};
-    this.truth.set(window, counts);
+    const counts = this.actualCounts.get(window) ?? {};
+    this.actualCounts.set(window, counts);
     counts[workspace] = (counts[workspace] ?? 0) + 1;
     daemon.counter
       .takeChanged()
-      .forEach((share) =>
+      .forEach((usage) =>
         this.daemons
           .filter(({ isRunning }) => isRunning)
-          .forEach(({ clock, manager }) => clock.run(() => manager.usage.merge(share))),
+          .forEach(({ clock, manager }) => clock.run(() => manager.usage.merge(usage))),
       );
   }
 
   private createDaemon(index: number): Daemon {
-    this.lives += 1;
+    this.incarnations += 1;
     const clock = new PausableClock(this.clock);
-    const counter = new UsageCounter({ source: `${index}/${this.lives}`, windowSpan: WINDOW });
+    const counter = new UsageCounter({
+      source: `${index}/${this.incarnations}`,
+      windowSpan: WINDOW,
+    });
     const daemon: Daemon = {
       clock,
       counter,
       isRunning: true,
-      isCutOff: false,
+      isPartitioned: false,
       manager: undefined as unknown as DutyManager,
     };
     daemon.manager = new DutyManager({
@@ -136,8 +144,8 @@
       getFleetTime: () => clock.now(),
       getTimeOfDay: () => clock.now(),
       store: this.createStore(daemon),
-      platform: this.createLink(daemon),
-      settings: { windowSpan: WINDOW, usageDelay: DELAY, holderRest: 3_000 },
+      platform: this.createPlatform(daemon),
+      settings: { windowSpan: WINDOW, usageDelay: REPORT_DEADLINE, holderRest: 3_000 },
       getRank: () => index,
       getServices: () => this.services,
       log: () => undefined,
@@ -146,33 +154,33 @@
   }
 
   private createStore(daemon: Daemon): LeaseStore {
-    const answer = async <Value>(effect: () => Value): Promise<Value> => {
-      if (this.isStoreDown || daemon.isCutOff) {
-        throw new Error('no answer');
+    const respond = async <Value>(effect: () => Value): Promise<Value> => {
+      if (this.isStoreDown || daemon.isPartitioned) {
+        throw new Error('no response');
       }
       return effect();
     };
     return {
-      get: (key) => answer(() => this.objects.get(key)),
+      get: (key) => respond(() => this.objects.get(key)),
       put: (key, value, expected) =>
-        answer(() => {
-          const outcome = this.objects.put(key, value, expected);
-          if (outcome.kind === 'accepted' && this.lostAnswers > 0) {
-            this.lostAnswers -= 1;
-            throw new Error('the answer is lost');
+        respond(() => {
+          const result = this.objects.put(key, value, expected);
+          if (result.kind === 'accepted' && this.lostResponses > 0) {
+            this.lostResponses -= 1;
+            throw new Error('response lost');
           }
-          return outcome;
+          return result;
         }),
     };
   }
 
-  /** A daemon that is cut off reaches neither the store nor the platform. */
-  private createLink(daemon: Daemon): FakePlatform {
+  /** The platform as this daemon sees it: calls fail while the daemon is partitioned. */
+  private createPlatform(daemon: Daemon): FakePlatform {
     const { platform } = this;
     return new Proxy(platform, {
       get: (target, name, receiver) => {
-        if (daemon.isCutOff && (name === 'reportUsage' || name === 'orderReplicas')) {
-          return () => Promise.reject(new Error('no answer'));
+        if (daemon.isPartitioned && (name === 'reportUsage' || name === 'orderReplicas')) {
+          return () => Promise.reject(new Error('no response'));
         }
         return Reflect.get(target, name, receiver) as unknown;
       },
--- a/packages/duties/src/test/FakePlatform.ts
+++ b/packages/duties/src/test/FakePlatform.ts
@@ -2,43 +2,43 @@
 import { CallResult } from '../lib/DutyPlatform.js';
 import type { LeaseHolder, DutyPlatform, ReplicaOrder, UsageReport } from '../lib/DutyPlatform.js';
 
-/** A report as the platform took it. */
-export interface TakenReport extends UsageReport {
+/** A report as the platform received it. */
+export interface ReceivedReport extends UsageReport {
   at: Milliseconds;
 }
 
-/** What the platform's API does wrong. */
+/** How the platform's API fails. */
 export enum PlatformFault {
   None = 'none',
-  /** No answer, and nothing is done. */
-  Silent = 'silent',
+  /** The call is neither executed nor answered. */
+  NoResponse = 'no-response',
   Busy = 'busy',
-  /** Done, and not answered. */
-  Lost = 'lost',
-  /** Not answered, and done seconds later. */
-  Late = 'late',
+  /** The call is executed, but the response is lost. */
+  ResponseLost = 'response-lost',
+  /** The call is not answered, and is executed some seconds later. */
+  Delayed = 'delayed',
 }
 
-/** The platform's API for duties, in memory, with everything that it saw. */
+/** An in-memory version of the platform's API for duties that records every call. */
 export class FakePlatform implements DutyPlatform {
   fault = PlatformFault.None;
 
-  readonly reports: TakenReport[] = [];
+  readonly reports: ReceivedReport[] = [];
 
   readonly orders: (ReplicaOrder & LeaseHolder)[] = [];
 
-  /** Rules of the platform that were broken. */
+  /** Violations of the platform's rules. */
   readonly violations: string[] = [];
 
-  private readonly highest = new Map<string, LeaseHolder>();
+  private readonly latestHolders = new Map<string, LeaseHolder>();
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
   ) {}
 
-  reportUsage(report: UsageReport, authority: LeaseHolder): Promise<CallResult> {
-    return this.call('usage', authority, () => {
+  reportUsage(report: UsageReport, leaseHolder: LeaseHolder): Promise<CallResult> {
+    return this.call('usage', leaseHolder, () => {
       const known = this.reports.find(({ window }) => window === report.window);
       if (known === undefined) {
         this.reports.push({ ...report, at: this.clock.now() });
@@ -48,30 +48,30 @@
     });
   }
 
-  orderReplicas(order: ReplicaOrder, authority: LeaseHolder): Promise<CallResult> {
-    return this.call(`${order.service} ${order.availabilityZone}`, authority, () => {
-      this.orders.push({ ...order, ...authority });
+  orderReplicas(order: ReplicaOrder, leaseHolder: LeaseHolder): Promise<CallResult> {
+    return this.call(`${order.service} ${order.availabilityZone}`, leaseHolder, () => {
+      this.orders.push({ ...order, ...leaseHolder });
     });
   }
 
   private async call(
     subject: string,
-    authority: LeaseHolder,
-    effect: () => void,
+    leaseHolder: LeaseHolder,
+    action: () => void,
   ): Promise<CallResult> {
     switch (this.fault) {
       case PlatformFault.None:
-        return this.carryOut(subject, authority, effect);
+        return this.execute(subject, leaseHolder, action);
       case PlatformFault.Busy:
         return CallResult.Unavailable;
-      case PlatformFault.Silent:
+      case PlatformFault.NoResponse:
         break;
-      case PlatformFault.Lost:
-        this.carryOut(subject, authority, effect);
+      case PlatformFault.ResponseLost:
+        this.execute(subject, leaseHolder, action);
         break;
-      case PlatformFault.Late:
+      case PlatformFault.Delayed:
         this.clock.setTimer(2_000 + this.random.integer(10_000), () =>
-          this.carryOut(subject, authority, effect),
+          this.execute(subject, leaseHolder, action),
         );
         break;
       default:
@@ -80,19 +80,22 @@
     await new Promise<void>((resolve) => {
       this.clock.setTimer(1_000, resolve);
     });
-    throw new Error('no answer');
+    throw new Error('no response');
   }
 
-  private carryOut(subject: string, authority: LeaseHolder, effect: () => void): CallResult {
-    const highest = this.highest.get(subject);
-    if (highest !== undefined && authority.fencingNumber < highest.fencingNumber) {
+  private execute(subject: string, leaseHolder: LeaseHolder, action: () => void): CallResult {
+    const latest = this.latestHolders.get(subject);
+    if (latest !== undefined && leaseHolder.fencingNumber < latest.fencingNumber) {
       return CallResult.Conflict;
     }
-    if (highest?.fencingNumber === authority.fencingNumber && highest.holder !== authority.holder) {
-      this.violations.push(`${authority.fencingNumber} is used by two holders for ${subject}`);
+    if (
+      latest?.fencingNumber === leaseHolder.fencingNumber &&
+      latest.holder !== leaseHolder.holder
+    ) {
+      this.violations.push(`${leaseHolder.fencingNumber} is used by two holders for ${subject}`);
     }
-    this.highest.set(subject, authority);
-    effect();
+    this.latestHolders.set(subject, leaseHolder);
+    action();
     return CallResult.Accepted;
   }
 }
--- a/packages/lease/src/lib/Lease/Lease.ts
+++ b/packages/lease/src/lib/Lease/Lease.ts
@@ -1,29 +1,29 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { PutResult, StoredObject } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
-import { LeaseCalls, NEVER } from './LeaseCalls.js';
+import { LeaseCalls, DISTANT_PAST } from './LeaseCalls.js';
 import { getGrantedFencingNumber, parseLeaseRecord } from './LeaseRecord.js';
 import type { LeaseCall, LeaseWrite } from './LeaseCalls.js';
 import type { LeaseRecord } from './LeaseRecord.js';
 import type { LeaseEffect, LeaseMessage } from './leaseMessages.js';
 import type { LeaseOptions } from '../leaseOptions.js';
 
-/** The object as last seen, and since when it has been seen not to move. */
-interface Sighting {
+/** The last observed state of the object, and since when it has not changed. */
+interface Observation {
   version: number;
   record: LeaseRecord | undefined;
-  since: Milliseconds;
+  unchangedSince: Milliseconds;
 }
 
-/** A stretch of time in which this daemon holds the lease. */
+/** A period for which this daemon holds the lease. */
 interface Term {
   fencingNumber: number;
-  until: Milliseconds;
+  expiresAt: Milliseconds;
   renewAt: Milliseconds;
 }
 
-/** Who contends for a lease, and how it is timed. */
-interface Contender {
+/** The process that contends for a lease, and the timing of the lease. */
+interface LeaseCandidate {
   self: string;
   incarnation: string;
   options: LeaseOptions;
@@ -32,19 +32,19 @@
 const VACANT = { holder: '', holderIncarnation: '', fencingNumber: 0 };
 
 /**
- * One lease at the platform's store, as a state machine without I/O.
+ * A lease in the platform's store, as a state machine without I/O.
  *
- * No two daemons' clocks are compared. A stand-by takes over only after it has itself seen the
- * object's version not move for the whole span, counted from the answer that showed the version.
- * The holder counts from before it sent the write, and stops a margin earlier. The write happened
- * between the two, so the holder's end lies before the stand-by's take-over.
+ * The clocks of different daemons are never compared. A candidate takes over only after the version
+ * of the object has not changed for the whole lease duration, counted from the response that showed
+ * the version. The holder counts from before it sent the write, and stops a safety margin earlier.
+ * The write took effect between these two points, so the holder stops before the candidate takes over.
  *
  * @internal
  */
 export class Lease {
   private readonly calls: LeaseCalls;
 
-  private seen: Sighting | undefined;
+  private observed: Observation | undefined;
 
   private term: Term | undefined;
 
@@ -52,137 +52,145 @@
 
   private outrankedSince: Milliseconds | undefined;
 
-  private readAt: Milliseconds = NEVER;
+  private lastReadAt: Milliseconds = DISTANT_PAST;
 
-  private restUntil: Milliseconds = NEVER;
+  private standDownUntil: Milliseconds = DISTANT_PAST;
 
-  /** A write's answer was lost: its fate has to be read back. */
-  private unsure = false;
+  /** The response to a write was lost: its result has to be read back. */
+  private isWriteUncertain = false;
 
-  private releasing = false;
+  private isReleasePending = false;
 
-  /** The next renewal asks for a new fencing number; until then this daemon does not act. */
-  private regrant = false;
+  /** The next renewal requests a new fencing number; until then this daemon does not act. */
+  private needsNewGrant = false;
 
-  constructor(private readonly contender: Contender) {
-    this.calls = new LeaseCalls(contender.options);
+  constructor(private readonly candidate: LeaseCandidate) {
+    this.calls = new LeaseCalls(candidate.options);
   }
 
-  /** Takes a message in and returns what to do: at most one call, and when to wake. */
+  /** Handles a message and returns the resulting effects: at most one call, and a wake-up. */
   handle(message: LeaseMessage, now: Milliseconds): LeaseEffect[] {
-    this.take(message, now);
-    if (this.term !== undefined && now >= this.term.until) {
+    this.applyMessage(message, now);
+    if (this.term !== undefined && now >= this.term.expiresAt) {
       this.term = undefined;
     }
-    const effects = this.calls.isBusy() ? [] : [this.next(now)];
-    // While a call is under way, all that time alone can change is the end of the term.
+    const effects = this.calls.isBusy() ? [] : [this.getNextEffect(now)];
+    // While a call is in flight, the only change that time alone can cause is the end of the term.
     if (this.calls.isBusy() && this.term !== undefined) {
-      effects.push({ kind: 'wake', at: this.term.until });
+      effects.push({ kind: 'wake', at: this.term.expiresAt });
     }
     return effects;
   }
 
-  /** Whether this daemon may act as holder at this moment. */
+  /** Whether this daemon may act as the holder at this moment. */
   isHeld(now: Milliseconds): boolean {
-    return this.term !== undefined && now < this.term.until && !this.releasing && !this.regrant;
+    return (
+      this.term !== undefined &&
+      now < this.term.expiresAt &&
+      !this.isReleasePending &&
+      !this.needsNewGrant
+    );
   }
 
-  /** The number for orders; undefined when the lease isn't held. */
+  /** The current fencing number; undefined if the lease is not held. */
   getFencingNumber(now: Milliseconds): number | undefined {
     return this.isHeld(now) ? this.term?.fencingNumber : undefined;
   }
 
-  /** Whether a release asked for is still under way. */
+  /** Whether a requested release is not complete yet. */
   isReleasing(): boolean {
-    return this.releasing;
+    return this.isReleasePending;
   }
 
-  private take(message: LeaseMessage, now: Milliseconds): void {
+  private applyMessage(message: LeaseMessage, now: Milliseconds): void {
     switch (message.kind) {
       case 'tick':
         this.rank = message.rank;
         this.yieldWhenOutranked(now);
         return;
       case 'release':
-        this.releasing = true;
+        this.isReleasePending = true;
         return;
       case 'fenced':
-        // Either this daemon was replaced, and the conditional update of the renewal will say so; or
-        // the number came from another lease, and a fresh grant is higher than it.
-        this.regrant ||= this.term !== undefined && message.highest > this.term.fencingNumber;
+        // Either this daemon was replaced, in which case the conditional write of the renewal will
+        // fail, or the number came from another lease, in which case a new grant exceeds it.
+        this.needsNewGrant ||= this.term !== undefined && message.highest > this.term.fencingNumber;
         return;
       case 'suspended':
-        // Another daemon may have taken the lease meanwhile: only a fresh grant proves otherwise.
-        this.regrant ||= this.term !== undefined;
+        // Another daemon may have taken the lease meanwhile: only a new grant proves otherwise.
+        this.needsNewGrant ||= this.term !== undefined;
         return;
-      case 'read-answered':
-      case 'write-answered':
+      case 'read-completed':
+      case 'write-completed':
       case 'call-failed':
-        this.takeAnswer(message, now);
+        this.handleResponse(message, now);
         return;
       default:
         throw exhaustiveSwitchError(message);
     }
   }
 
-  private takeAnswer(message: Extract<LeaseMessage, { attempt: number }>, now: Milliseconds): void {
-    const call = this.calls.settle(message.attempt);
+  private handleResponse(
+    message: Extract<LeaseMessage, { attempt: number }>,
+    now: Milliseconds,
+  ): void {
+    const call = this.calls.complete(message.attempt);
     if (call === undefined) {
       return;
     }
     switch (message.kind) {
-      case 'read-answered':
-        this.unsure = false;
-        this.readAt = now;
-        this.see(message.object, now);
+      case 'read-completed':
+        this.isWriteUncertain = false;
+        this.lastReadAt = now;
+        this.observe(message.object, now);
         return;
-      case 'write-answered':
-        this.readAt = now;
-        this.takeOutcome(message.outcome, call, now);
+      case 'write-completed':
+        this.lastReadAt = now;
+        this.handlePutResult(message.result, call, now);
         return;
       case 'call-failed':
-        this.takeFailure(call, now);
+        this.handleCallFailure(call, now);
         return;
       default:
         throw exhaustiveSwitchError(message);
     }
   }
 
-  private takeOutcome(outcome: PutResult, call: LeaseCall, now: Milliseconds): void {
-    if (outcome.kind === 'accepted') {
-      this.see({ key: '', value: call.value ?? '', version: outcome.version }, now);
+  private handlePutResult(result: PutResult, call: LeaseCall, now: Milliseconds): void {
+    if (result.kind === 'accepted') {
+      this.observe({ key: '', value: call.value ?? '', version: result.version }, now);
       return;
     }
-    this.calls.writeAfter = now + this.contender.options.retry;
-    this.see(outcome.current, now);
+    this.calls.nextWriteAt = now + this.candidate.options.retryDelay;
+    this.observe(result.current, now);
   }
 
-  private takeFailure(call: LeaseCall, now: Milliseconds): void {
-    const retryAt = now + this.contender.options.retry;
+  private handleCallFailure(call: LeaseCall, now: Milliseconds): void {
+    const retryAt = now + this.candidate.options.retryDelay;
     if (call.value === undefined) {
-      this.calls.readAfter = retryAt;
+      this.calls.nextReadAt = retryAt;
       return;
     }
-    this.unsure = true;
-    this.calls.writeAfter = retryAt;
+    this.isWriteUncertain = true;
+    this.calls.nextWriteAt = retryAt;
   }
 
-  /** Takes note of the object; a version seen before says nothing new. */
-  private see(object: StoredObject | undefined, now: Milliseconds): void {
+  /** Records the state of the object; an unchanged version adds no information. */
+  private observe(object: StoredObject | undefined, now: Milliseconds): void {
     const version = object?.version ?? 0;
-    if (this.seen?.version === version) {
+    if (this.observed?.version === version) {
       return;
     }
     const record = parseLeaseRecord(object);
-    this.seen = { version, record, since: now };
+    this.observed = { version, record, unchangedSince: now };
     this.term = this.getTerm(record, version);
-    this.regrant &&= this.term !== undefined;
-    this.calls.forgetWrites();
+    this.needsNewGrant &&= this.term !== undefined;
+    this.calls.clearSentWrites();
   }
 
   /**
-   * The term that a record proves. When the answer to our write was lost, reading back shows it
-   * here, and the term still counts from before that write was sent.
+   * Returns the term that a record proves. This includes a write whose response was lost and that was
+   * read back; its term still counts from before the write was sent.
    */
   private getTerm(record: LeaseRecord | undefined, version: number): Term | undefined {
     if (record === undefined || !this.isOwn(record)) {
@@ -192,17 +200,17 @@
     if (sentAt === undefined) {
       return undefined;
     }
-    this.regrant &&= record.fencingNumber !== 0;
-    const { margin, renewal } = this.contender.options;
+    this.needsNewGrant &&= record.fencingNumber !== 0;
+    const { safetyMargin, renewalInterval } = this.candidate.options;
     return {
       fencingNumber: getGrantedFencingNumber(record, version),
-      until: sentAt + record.grantedFor - margin,
-      renewAt: sentAt + renewal,
+      expiresAt: sentAt + record.grantedFor - safetyMargin,
+      renewAt: sentAt + renewalInterval,
     };
   }
 
   private isOwn(record: LeaseRecord | undefined): boolean {
-    const { self, incarnation } = this.contender;
+    const { self, incarnation } = this.candidate;
     return record?.holder === self && record.holderIncarnation === incarnation;
   }
 
@@ -212,90 +220,98 @@
       return;
     }
     this.outrankedSince ??= now;
-    if (now - this.outrankedSince >= this.contender.options.yieldAfter) {
-      this.releasing = true;
+    if (now - this.outrankedSince >= this.candidate.options.yieldAfter) {
+      this.isReleasePending = true;
     }
   }
 
-  private next(now: Milliseconds): LeaseEffect {
-    if (this.unsure) {
-      return this.calls.read(this.calls.readAfter, now);
+  private getNextEffect(now: Milliseconds): LeaseEffect {
+    if (this.isWriteUncertain) {
+      return this.calls.read(this.calls.nextReadAt, now);
     }
-    if (this.releasing) {
-      return this.nextOfRelease(now);
+    if (this.isReleasePending) {
+      return this.getReleaseEffect(now);
     }
     if (this.term !== undefined) {
-      return this.nextOfHolder(this.term, now);
+      return this.getHolderEffect(this.term, now);
     }
-    return this.nextOfStandBy(now);
+    return this.getStandbyEffect(now);
   }
 
-  private nextOfRelease(now: Milliseconds): LeaseEffect {
-    if (this.isOwn(this.seen?.record)) {
+  private getReleaseEffect(now: Milliseconds): LeaseEffect {
+    if (this.isOwn(this.observed?.record)) {
       return this.calls.write(
-        this.calls.writeAfter,
-        this.getWrite({ ...VACANT, grantedFor: this.contender.options.rest }),
+        this.calls.nextWriteAt,
+        this.createWrite({ ...VACANT, grantedFor: this.candidate.options.releaseCooldown }),
         now,
       );
     }
-    this.releasing = false;
+    this.isReleasePending = false;
     this.term = undefined;
-    this.restUntil = now + this.contender.options.span;
-    return { kind: 'wake', at: this.restUntil };
+    this.standDownUntil = now + this.candidate.options.span;
+    return { kind: 'wake', at: this.standDownUntil };
   }
 
-  private nextOfHolder(term: Term, now: Milliseconds): LeaseEffect {
-    const renewAt = Math.max(this.regrant ? NEVER : term.renewAt, this.calls.writeAfter);
+  private getHolderEffect(term: Term, now: Milliseconds): LeaseEffect {
+    const renewAt = Math.max(
+      this.needsNewGrant ? DISTANT_PAST : term.renewAt,
+      this.calls.nextWriteAt,
+    );
     if (now < renewAt) {
-      return { kind: 'wake', at: Math.min(renewAt, term.until) };
+      return { kind: 'wake', at: Math.min(renewAt, term.expiresAt) };
     }
-    return this.calls.write(renewAt, this.getGrant(this.regrant ? 0 : term.fencingNumber), now);
+    return this.calls.write(
+      renewAt,
+      this.createGrantWrite(this.needsNewGrant ? 0 : term.fencingNumber),
+      now,
+    );
   }
 
-  private nextOfStandBy(now: Milliseconds): LeaseEffect {
-    const { options } = this.contender;
-    if (this.rank >= options.candidates || now < this.restUntil) {
-      return { kind: 'wake', at: Math.max(this.restUntil, now + options.renewal) };
+  private getStandbyEffect(now: Milliseconds): LeaseEffect {
+    const { options } = this.candidate;
+    if (this.rank >= options.candidates || now < this.standDownUntil) {
+      return { kind: 'wake', at: Math.max(this.standDownUntil, now + options.renewalInterval) };
     }
-    const readAt = Math.max(this.readAt + options.renewal, this.calls.readAfter);
-    if (this.seen === undefined) {
+    const readAt = Math.max(this.lastReadAt + options.renewalInterval, this.calls.nextReadAt);
+    if (this.observed === undefined) {
       return this.calls.read(readAt, now);
     }
-    if (this.seen.version === 0) {
-      return this.calls.write(this.calls.writeAfter, this.getVacancy(), now);
+    if (this.observed.version === 0) {
+      return this.calls.write(this.calls.nextWriteAt, this.createVacantWrite(), now);
     }
-    const freeAt = Math.max(this.getFreeAt(this.seen), this.calls.writeAfter);
-    return readAt < freeAt
+    const takeoverAt = Math.max(this.getTakeoverTime(this.observed), this.calls.nextWriteAt);
+    return readAt < takeoverAt
       ? this.calls.read(readAt, now)
-      : this.calls.write(freeAt, this.getGrant(0), now);
+      : this.calls.write(takeoverAt, this.createGrantWrite(0), now);
   }
 
-  /** When the lease may be taken, if its version doesn't move until then. */
-  private getFreeAt(seen: Sighting): Milliseconds {
-    const { options } = this.contender;
-    if (this.isOwn(seen.record)) {
-      return seen.since;
+  /** Returns when the lease may be taken, provided that its version does not change until then. */
+  private getTakeoverTime(observed: Observation): Milliseconds {
+    const { options } = this.candidate;
+    if (this.isOwn(observed.record)) {
+      return observed.unchangedSince;
     }
-    const span = seen.record?.grantedFor ?? options.span;
-    return seen.since + span + this.rank * options.candidateDelay;
+    const span = observed.record?.grantedFor ?? options.span;
+    return observed.unchangedSince + span + this.rank * options.candidateDelay;
   }
 
   /**
-   * What is written where there is no object. Absence has no version: somebody may create the
-   * object, hold the lease and have it deleted unseen between two looks. So absence is never taken
-   * for an expired lease; this record gets a version, which is then watched for a whole span.
+   * Returns the record to write if there is no object. A missing object has no version: between two
+   * reads another daemon may have created the object, held the lease and had the object deleted. A
+   * missing object is therefore never treated as an expired lease. This record gets a version, which
+   * must then stay unchanged for a whole lease duration.
    */
-  private getVacancy(): LeaseWrite {
-    return this.getWrite({ ...VACANT, grantedFor: this.contender.options.span });
+  private createVacantWrite(): LeaseWrite {
+    return this.createWrite({ ...VACANT, grantedFor: this.candidate.options.span });
   }
 
-  private getGrant(fencingNumber: number): LeaseWrite {
-    const { self, incarnation, options } = this.contender;
+  private createGrantWrite(fencingNumber: number): LeaseWrite {
+    const { self, incarnation, options } = this.candidate;
     const holder = { holder: self, holderIncarnation: incarnation };
-    return this.getWrite({ ...holder, grantedFor: options.span, fencingNumber });
+    return this.createWrite({ ...holder, grantedFor: options.span, fencingNumber });
   }
 
-  private getWrite(record: LeaseWrite['record']): LeaseWrite {
-    return { record, expectedVersion: this.seen?.version ?? 0 };
+  private createWrite(record: LeaseWrite['record']): LeaseWrite {
+    return { record, expectedVersion: this.observed?.version ?? 0 };
   }
 }
--- a/packages/lease/src/lib/Lease/LeaseCalls.ts
+++ b/packages/lease/src/lib/Lease/LeaseCalls.ts
@@ -3,77 +3,77 @@
 import type { LeaseEffect } from './leaseMessages.js';
 import type { LeaseOptions } from '../leaseOptions.js';
 
-/** The call under way; a write carries its text. */
+/** A call in flight; a write includes the text that it stores. */
 export interface LeaseCall {
   attempt: number;
   value?: string;
 }
 
-/** A write to make: everything of the record but the number of the write itself. */
+/** A conditional write: the record without the number of the write. */
 export interface LeaseWrite {
   record: Omit<LeaseRecord, 'renewals'>;
   expectedVersion: number;
 }
 
-/** Earlier than any time. */
-export const NEVER = Number.NEGATIVE_INFINITY;
+/** A time before any other. */
+export const DISTANT_PAST = Number.NEGATIVE_INFINITY;
 
 /**
- * The calls of one lease to the store: at most one under way, none sooner than allowed after a
- * failure, and the sending time of each write whose fate isn't known.
+ * Tracks the store calls of one lease: allows at most one call in flight, delays retries after a
+ * failure, and remembers when each unconfirmed write was sent.
  *
  * @internal
  */
 export class LeaseCalls {
-  /** Not before this time after a read that failed. */
-  readAfter: Milliseconds = NEVER;
+  /** Earliest time of the next read, after a failed read. */
+  nextReadAt: Milliseconds = DISTANT_PAST;
 
-  /** Not before this time after a write that failed or met a conflict. */
-  writeAfter: Milliseconds = NEVER;
+  /** Earliest time of the next write, after a write that failed or had a conflict. */
+  nextWriteAt: Milliseconds = DISTANT_PAST;
 
-  private call: LeaseCall | undefined;
+  private pendingCall: LeaseCall | undefined;
 
   private attempts = 0;
 
-  private readonly sent = new Map<number, Milliseconds>();
+  private readonly sentTimes = new Map<number, Milliseconds>();
 
   constructor(private readonly options: LeaseOptions) {}
 
   isBusy(): boolean {
-    return this.call !== undefined;
+    return this.pendingCall !== undefined;
   }
 
-  /** Ends the call and returns it; undefined for a call that was given up before. */
-  settle(attempt: number): LeaseCall | undefined {
-    const { call } = this;
-    if (call?.attempt !== attempt) {
+  /** Completes and returns the call in flight; undefined if the attempt was abandoned before. */
+  complete(attempt: number): LeaseCall | undefined {
+    const { pendingCall } = this;
+    if (pendingCall?.attempt !== attempt) {
       return undefined;
     }
-    this.call = undefined;
-    return call;
+    this.pendingCall = undefined;
+    return pendingCall;
   }
 
-  /** When the write that left `renewals` in the object was sent; undefined for any other write. */
+  /** Returns when the write with this `renewals` number was sent; undefined for an unknown write. */
   getSentAt(renewals: number): Milliseconds | undefined {
-    return this.sent.get(renewals);
+    return this.sentTimes.get(renewals);
   }
 
-  /** The object moved: a conditional write against an older version can't take effect any more. */
-  forgetWrites(): void {
-    this.sent.clear();
+  /** Called when the object changed: older conditional writes can no longer take effect. */
+  clearSentWrites(): void {
+    this.sentTimes.clear();
   }
 
-  /** A read, or the wish to be woken when one is allowed. */
+  /** Returns a read, or a wake-up at the time when a read is allowed. */
   read(at: Milliseconds, now: Milliseconds): LeaseEffect {
     if (now < at) {
       return { kind: 'wake', at };
     }
     this.attempts += 1;
-    this.call = { attempt: this.attempts };
+    this.pendingCall = { attempt: this.attempts };
     return { kind: 'read', attempt: this.attempts };
   }
 
-  /** A conditional write, or the wish to be woken when one is allowed. */
+  /** Returns a conditional write, or a wake-up at the time when a write is allowed. */
   write(at: Milliseconds, write: LeaseWrite, now: Milliseconds): LeaseEffect {
     if (now < at) {
       return { kind: 'wake', at };
@@ -81,18 +81,18 @@
     this.attempts += 1;
     const attempt = this.attempts;
     const value = JSON.stringify({ ...write.record, renewals: attempt });
-    this.call = { attempt, value };
-    this.noteSent(attempt, now);
+    this.pendingCall = { attempt, value };
+    this.recordSent(attempt, now);
     return { kind: 'write', attempt, value, expectedVersion: write.expectedVersion };
   }
 
-  /** Forgets writes so old that the term they would prove is over. */
-  private noteSent(attempt: number, now: Milliseconds): void {
-    this.sent.forEach((sentAt, earlier) => {
+  /** Records a write, and evicts those so old that the term they would prove has expired. */
+  private recordSent(attempt: number, now: Milliseconds): void {
+    this.sentTimes.forEach((sentAt, earlier) => {
       if (now >= sentAt + this.options.span) {
-        this.sent.delete(earlier);
+        this.sentTimes.delete(earlier);
       }
     });
-    this.sent.set(attempt, now);
+    this.sentTimes.set(attempt, now);
   }
 }
--- a/packages/lease/src/lib/Lease/LeaseRecord.ts
+++ b/packages/lease/src/lib/Lease/LeaseRecord.ts
@@ -3,23 +3,23 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * The lease object as it lies at the store.
+ * The lease object in the store.
  *
  * @public
  */
 export interface LeaseRecord {
-  /** The daemon that holds the lease; empty when it was released or not taken yet. */
+  /** The daemon that holds the lease; empty if the lease was released or not taken yet. */
   holder: string;
-  /** Tells two processes of the same daemon id apart. */
+  /** Distinguishes processes with the same daemon id. */
   holderIncarnation: string;
   /**
-   * The store's version of the write that granted the lease. That write can't know its version
-   * yet and says 0: the number is then the object's own version.
+   * The object version of the write that granted the lease. That write cannot know its own version
+   * and contains 0, which stands for the version of the object itself.
    */
   fencingNumber: number;
-  /** How long others wait without seeing a renewal. */
+  /** How long other candidates wait without a renewal before they take over. */
   grantedFor: Milliseconds;
-  /** Counts the holder's writes, so that it recognises the one whose answer was lost. */
+  /** Number of the write, by which the holder recognises a write whose response was lost. */
   renewals: number;
 }
 
@@ -40,10 +40,10 @@
 }
 
 /**
- * Reads a lease object.
+ * Parses a lease object.
  *
- * @param object - as the store gave it
- * @returns undefined when the text isn't a lease
+ * @param object - the object as read from the store
+ * @returns undefined if the object is missing or not a valid lease
  * @example
  * ```ts
  * const record = parseLeaseRecord(await store.get('leases/placement-chat'));
@@ -56,11 +56,11 @@
 }
 
 /**
- * The number under which the holder of a record gives orders. Versions of the store only grow, so
- * a later grant has a higher number, also after the object was deleted, and also across leases
- * when a replica moves from one service to another.
+ * Returns the fencing number (fencing token) of a lease record. Versions of the store only increase,
+ * so a later grant has a higher number. This also holds after the object was deleted, and across
+ * leases when a replica moves from one service to another.
  *
- * @param record - the lease
+ * @param record - the lease record
  * @param version - the version of the object it was read from
  * @example
  * ```ts
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
@@ -10,12 +10,9 @@
 };
 
 describe('LeaseManager', () => {
-  /*
-   * Symptom: a daemon never contends for a lease again, though the store is well.
-   * Sequence: one read goes out on a connection that has gone silent, and is never answered.
-   * Cause: the lease has one call under way at a time and waited for that one for good.
-   */
-  it('gives up a call that is never answered', async () => {
+  // Guards against a daemon that never contends for a lease again although the store is available: one
+  // read on an unresponsive connection is never answered, and the lease has only one call in flight.
+  it('abandons a call that is never answered', async () => {
     const clock = new ManualClock();
     let reads = 0;
     let version = 7;
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.ts
@@ -8,50 +8,50 @@
 import type { LeaseOptions } from '../leaseOptions.js';
 
 /**
- * The calls to the store that a lease needs.
+ * The store operations that a lease needs.
  *
  * @public
  */
 export type LeaseStore = Pick<PlatformStore, 'get' | 'put'>;
 
 /**
- * What a lease needs around it.
+ * Constructor arguments of a `LeaseManager`.
  *
  * @public
  */
 export interface LeaseSettings {
-  /** This daemon's id. */
+  /** The id of this daemon. */
   self: string;
   clock: Clock;
   store: LeaseStore;
-  /** The object is `leases/<name>`. */
+  /** Name of the lease; the object in the store is `leases/<name>`. */
   name: string;
   options?: LeaseOptions;
-  /** Tells this process from an earlier one of the same id; random when absent. */
+  /** Distinguishes this process from an earlier one with the same id; random if absent. */
   incarnation?: string;
-  /** This daemon's place among the lease's candidates, 0 the preferred; 0 when absent. */
+  /** This daemon's rank among the lease's candidates; 0 is preferred and the default. */
   getRank?: () => number;
   /**
-   * The time of day. A machine that is suspended stands still by `clock` and not by this; when the
-   * two part, the lease is asked for anew before this daemon acts.
+   * The wall clock. While a machine is suspended, it advances and `clock` does not. When the two
+   * diverge, this daemon requests a new grant before it acts.
    */
   getTimeOfDay?: () => Milliseconds;
 }
 
 /**
- * Told when this daemon gains or loses a lease, or goes on under a new number.
+ * Called when this daemon gains or loses a lease, or holds it under a new fencing number.
  *
- * @param fencingNumber - undefined when the lease was lost
+ * @param fencingNumber - undefined if the lease was lost
  * @public
  */
 export type LeaseListener = (fencingNumber: number | undefined) => void;
 
 /**
- * Contends for one lease at the platform's store and keeps it while the store answers. In an outage
- * a held lease runs out: orders stop, and whatever runs goes on.
+ * Contends for one lease in the platform's store and keeps it while the store responds. During an
+ * outage of the store a held lease expires: no more orders are sent, and running work continues.
  *
- * `isHeld()` reads the clock, so it is right also in a process that was frozen and whose timers
- * have not run yet.
+ * `isHeld()` reads the clock, so it is correct even in a process that was paused and whose timers have
+ * not run yet.
  *
  * @example
  * ```ts
@@ -71,12 +71,12 @@
 
   private wakeTimer: Timer | undefined;
 
-  private lastNumber: number | undefined;
+  private lastFencingNumber: number | undefined;
 
-  private disposed = false;
+  private isDisposed = false;
 
-  /** The time of day less the clock's, when last looked at. */
-  private dayOffset: Milliseconds | undefined;
+  /** Last observed difference between the wall clock and `clock`. */
+  private wallClockOffset: Milliseconds | undefined;
 
   constructor(private readonly settings: LeaseSettings) {
     this.options = settings.options ?? defaultLeaseOptions;
@@ -85,38 +85,38 @@
     this.tick();
   }
 
-  /** Whether this daemon may act as the holder at this very moment. */
+  /** Whether this daemon may act as the holder at this moment. */
   isHeld(): boolean {
     return this.getFencingNumber() !== undefined;
   }
 
-  /** The number under which to give orders; undefined when the lease isn't held. */
+  /** The fencing number for orders; undefined if the lease is not held. */
   getFencingNumber(): number | undefined {
     this.detectSuspension();
-    return this.disposed ? undefined : this.lease.getFencingNumber(this.settings.clock.now());
+    return this.isDisposed ? undefined : this.lease.getFencingNumber(this.settings.clock.now());
   }
 
   /**
-   * Listens for gains and losses.
+   * Adds a listener for changes of the lease.
    *
-   * @returns a function that stops listening
+   * @returns a function that removes the listener
    */
   onChange(listener: LeaseListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Tells the lease that an engine has seen this fencing number. */
+  /** Reports that a receiver has seen this fencing number. */
   reportFenced(highest: number): void {
     this.dispatch({ kind: 'fenced', highest });
   }
 
   /**
-   * Gives the lease up at once and tells the store, so that the next holder need not wait for the
-   * span to end. After one span this daemon stands by again.
+   * Stops acting as the holder at once and releases the lease in the store, so that the next holder
+   * need not wait for it to expire. After one lease duration this daemon contends again.
    *
-   * @returns when the store has confirmed, or gave no answer for twice the call timeout: the lease
-   *   then runs out by itself
+   * @returns a promise that resolves when the store has confirmed the release, or after twice the call
+   *   timeout; without a confirmation the lease expires by itself
    */
   async release(): Promise<void> {
     this.dispatch({ kind: 'release' });
@@ -124,20 +124,20 @@
       return;
     }
     await new Promise<void>((resolve) => {
-      const limit = this.settings.clock.setTimer(2 * this.options.callTimeout, resolve);
+      const timer = this.settings.clock.setTimer(2 * this.options.callTimeout, resolve);
       this.releaseWaiters.push(() => {
-        limit.cancel();
+        timer.cancel();
         resolve();
       });
     });
   }
 
-  /** Stops contending. The lease, if held and not released, runs out by itself. */
+  /** Stops contending. A lease that is held and not released expires by itself. */
   dispose(): void {
-    this.disposed = true;
+    this.isDisposed = true;
     this.wakeTimer?.cancel();
     this.listeners.clear();
-    this.settleReleases();
+    this.resolveReleases();
   }
 
   private detectSuspension(): void {
@@ -146,9 +146,9 @@
       return;
     }
     const offset = getTimeOfDay() - clock.now();
-    const shift = Math.abs(offset - (this.dayOffset ?? offset));
-    this.dayOffset = offset;
-    if (shift > this.options.margin / 2) {
+    const shift = Math.abs(offset - (this.wallClockOffset ?? offset));
+    this.wallClockOffset = offset;
+    if (shift > this.options.safetyMargin / 2) {
       this.dispatch({ kind: 'suspended' });
     }
   }
@@ -158,14 +158,14 @@
   }
 
   private dispatch(message: LeaseMessage): void {
-    if (this.disposed) {
+    if (this.isDisposed) {
       return;
     }
     const effects = this.lease.handle(message, this.settings.clock.now());
     effects.forEach((effect) => this.run(effect));
     this.notify();
     if (!this.lease.isReleasing()) {
-      this.settleReleases();
+      this.resolveReleases();
     }
   }
 
@@ -176,13 +176,13 @@
       case 'read':
         this.call(effect.attempt, async () => {
           const object = await store.get(key);
-          return { kind: 'read-answered', attempt: effect.attempt, object };
+          return { kind: 'read-completed', attempt: effect.attempt, object };
         });
         return;
       case 'write':
         this.call(effect.attempt, async () => {
-          const outcome = await store.put(key, effect.value, effect.expectedVersion);
-          return { kind: 'write-answered', attempt: effect.attempt, outcome };
+          const result = await store.put(key, effect.value, effect.expectedVersion);
+          return { kind: 'write-completed', attempt: effect.attempt, result };
         });
         return;
       case 'wake':
@@ -194,14 +194,14 @@
   }
 
   /**
-   * Runs a call and gives it up after the timeout: a connection that went silent would otherwise
-   * hold the lease's one call for good. The core drops the answer if it still comes.
+   * Makes a call and abandons it after the timeout: the lease has only one call in flight, and an
+   * unresponsive connection would block it forever. The state machine ignores a late response.
    */
   private call(attempt: number, send: () => Promise<LeaseMessage>): void {
-    const giveUp = () => this.dispatch({ kind: 'call-failed', attempt });
-    const timer = this.settings.clock.setTimer(this.options.callTimeout, giveUp);
+    const handleFailure = () => this.dispatch({ kind: 'call-failed', attempt });
+    const timer = this.settings.clock.setTimer(this.options.callTimeout, handleFailure);
     send()
-      .then((message) => this.dispatch(message), giveUp)
+      .then((message) => this.dispatch(message), handleFailure)
       .finally(() => timer.cancel());
   }
 
@@ -213,14 +213,14 @@
 
   private notify(): void {
     const fencingNumber = this.getFencingNumber();
-    if (fencingNumber === this.lastNumber) {
+    if (fencingNumber === this.lastFencingNumber) {
       return;
     }
-    this.lastNumber = fencingNumber;
+    this.lastFencingNumber = fencingNumber;
     this.listeners.forEach((listener) => listener(fencingNumber));
   }
 
-  private settleReleases(): void {
-    this.releaseWaiters.splice(0).forEach((settle) => settle());
+  private resolveReleases(): void {
+    this.releaseWaiters.splice(0).forEach((resolve) => resolve());
   }
 }
--- a/packages/lease/src/lib/getLeaseCandidates.test.ts
+++ b/packages/lease/src/lib/getLeaseCandidates.test.ts
@@ -12,18 +12,18 @@
 }
 
 describe('getLeaseCandidates', () => {
-  // Guards against a lease that nobody can take when one availability zone is lost.
-  it('takes daemons of different availability zones', () => {
+  // Guards against a lease without candidates after the loss of one availability zone.
+  it('selects daemons in different availability zones', () => {
     const candidates = getLeaseCandidates('duties', MEMBERS, 3);
     expect(new Set(candidates.map(getZone)).size).toBe(3);
   });
 
-  it('fills up from one zone where there is no other', () => {
+  it('selects several daemons of one zone if there is no other', () => {
     const alone = MEMBERS.filter(({ availabilityZone }) => availabilityZone === 'a');
     expect(getLeaseCandidates('duties', alone, 3)).toHaveLength(3);
   });
 
-  it('keeps those that stay when one of them leaves', () => {
+  it('keeps the remaining candidates when one leaves', () => {
     const [first, ...others] = getLeaseCandidates('duties', MEMBERS, 3);
     const rest = MEMBERS.filter(({ id }) => id !== first);
     expect(getLeaseCandidates('duties', rest, 4)).toEqual(expect.arrayContaining(others));
--- a/packages/lease/src/lib/getLeaseCandidates.ts
+++ b/packages/lease/src/lib/getLeaseCandidates.ts
@@ -1,18 +1,18 @@
 import { getRendezvousOrder } from '@apricotrill/utils';
 
-/** A daemon and where it runs. */
+/** A daemon and its availability zone. */
 interface Member {
   id: string;
   availabilityZone: string;
 }
 
 /**
- * The daemons that stand by for a lease, the preferred one first: one of each availability zone, then
- * the second of each, so that the loss of a zone leaves others.
+ * Returns the candidates for a lease, the preferred one first. Takes one daemon from each availability
+ * zone, then a second from each and so on, so that candidates remain when a zone is lost.
  *
- * @param name - the lease
+ * @param name - the name of the lease
  * @param members - the live daemons
- * @param count - how many stand by
+ * @param count - the maximum number of candidates
  * @example
  * ```ts
  * const rank = getLeaseCandidates('duties', members, 3).indexOf('daemon-1');
@@ -26,15 +26,15 @@
 ): string[] {
   const zones = new Map(members.map(({ id, availabilityZone }) => [id, availabilityZone]));
   const order = getRendezvousOrder(name, [...zones.keys()]);
-  const taken = new Map<string, number>();
-  const places = order.map((id) => {
+  const zoneCounts = new Map<string, number>();
+  const rankedMembers = order.map((id) => {
     const zone = zones.get(id)!;
-    const place = taken.get(zone) ?? 0;
-    taken.set(zone, place + 1);
-    return { id, place };
+    const zoneRank = zoneCounts.get(zone) ?? 0;
+    zoneCounts.set(zone, zoneRank + 1);
+    return { id, zoneRank };
   });
-  return places
-    .sort((left, right) => left.place - right.place)
+  return rankedMembers
+    .sort((left, right) => left.zoneRank - right.zoneRank)
     .slice(0, count)
     .map(({ id }) => id);
 }
--- a/packages/lease/src/lib/getLeaseRank.ts
+++ b/packages/lease/src/lib/getLeaseRank.ts
@@ -1,14 +1,14 @@
 import { getRendezvousScore } from '@apricotrill/utils';
 
 /**
- * How many members rendezvous hashing prefers over this daemon for a lease. Counting stops at the
- * limit: with 1,800 members and a hundred leases a full sort each few seconds would cost a good
- * part of the processor time that control may spend.
+ * Returns how many members rendezvous hashing prefers over this daemon for a lease. Counting stops at
+ * the limit: with 1,800 members and a hundred leases, a full sort every few seconds would use much of
+ * the processor time that is available for control work.
  *
- * @param name - the lease
- * @param self - this daemon
+ * @param name - the name of the lease
+ * @param self - the id of this daemon
  * @param members - the live daemons, with or without this one
- * @param limit - ranks from here on are all the same
+ * @param limit - higher ranks are not distinguished
  * @example
  * ```ts
  * const isPreferred = getLeaseRank('placement-chat', 'daemon-1', members, 3) === 0;
--- a/packages/lease/src/lib/leaseOptions.ts
+++ b/packages/lease/src/lib/leaseOptions.ts
@@ -1,51 +1,54 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * How a lease is timed. Rates follow from these: a held lease costs one write each `renewal`, a
- * stand-by one read each `renewal`.
+ * Timing of a lease. It determines the load on the store: the holder makes one write and each other
+ * candidate one read per `renewalInterval`.
  *
  * @public
  */
 export interface LeaseOptions {
-  /** How long others wait, seeing no renewal, before they take the lease over. Default 15,000 ms. */
+  /** How long other candidates wait without a renewal before they take over. Default 15,000 ms. */
   span: Milliseconds;
   /**
-   * How long before the end of the span the holder stops believing, to cover clocks that run at
-   * unequal speed and orders that are on their way. Default 3,000 ms.
+   * The holder stops acting this long before the lease expires, to allow for clocks that run at
+   * different speeds and for orders that are still in transit. Default 3,000 ms.
    */
-  margin: Milliseconds;
-  /** Between two renewals of the holder, and between two looks of a stand-by. Default 5,000 ms. */
-  renewal: Milliseconds;
-  /** Before a call that failed or met a conflict is tried again. Default 1,000 ms. */
-  retry: Milliseconds;
-  /** A call at the store with no answer by then counts as lost. Default 3,000 ms. */
+  safetyMargin: Milliseconds;
+  /** Interval between renewals by the holder and between reads by other candidates. Default 5,000 ms. */
+  renewalInterval: Milliseconds;
+  /** Delay before a call that failed or had a conflict is retried. Default 1,000 ms. */
+  retryDelay: Milliseconds;
+  /** Timeout of a call to the store. Default 3,000 ms. */
   callTimeout: Milliseconds;
-  /** How many daemons, in rendezvous order, stand by for one lease. Default 3. */
+  /** Maximum number of daemons, in rendezvous order, that contend for one lease. Default 3. */
   candidates: number;
-  /** How much longer each rank waits, so that stand-bys don't race. Default 2,000 ms. */
+  /** Additional takeover delay per rank, so that candidates do not race. Default 2,000 ms. */
   candidateDelay: Milliseconds;
   /**
-   * How long a holder that is no longer the preferred daemon keeps the lease before it releases
-   * it, so that duties spread again after a rolling restart. Default 300,000 ms.
+   * How long a holder that is no longer the preferred candidate keeps the lease before releasing it,
+   * so that leases spread over the daemons again after a rolling restart. Default 300,000 ms.
    */
   yieldAfter: Milliseconds;
-  /** How long a released lease stays free, for receivers that limit changes of holder. Default 0. */
-  rest: Milliseconds;
+  /**
+   * How long a released lease stays vacant, for receivers that limit how often the holder changes.
+   * Default 0.
+   */
+  releaseCooldown: Milliseconds;
 }
 
 /**
- * The defaults, for duties that may wait some seconds.
+ * Default options, for duties that tolerate a gap of several seconds.
  *
  * @public
  */
 export const defaultLeaseOptions: LeaseOptions = {
   span: 15_000,
-  margin: 3_000,
-  renewal: 5_000,
-  retry: 1_000,
+  safetyMargin: 3_000,
+  renewalInterval: 5_000,
+  retryDelay: 1_000,
   callTimeout: 3_000,
   candidates: 3,
   candidateDelay: 2_000,
   yieldAfter: 300_000,
-  rest: 0,
+  releaseCooldown: 0,
 };
--- a/packages/lease/src/test/Contender.ts
+++ b/packages/lease/src/test/Contender.ts
@@ -4,38 +4,38 @@
 import type { LeaseStore } from '../lib/LeaseManager/LeaseManager.js';
 import type { LeaseOptions } from '../lib/leaseOptions.js';
 
-export const LEASE = 'duties';
+export const LEASE_NAME = 'duties';
 
-/** An act of a daemon that believed to hold the lease. */
-export interface Act {
+/** An action of a daemon that believed it held the lease. */
+export interface HolderAction {
   daemon: number;
   fencingNumber: number;
   at: Milliseconds;
 }
 
-/** What the contenders share. */
-export interface Surroundings {
+/** The environment that all contenders share. */
+export interface LeaseEnvironment {
   clock: ManualClock;
   store: LeaseStore;
   options: LeaseOptions;
   getDelay: () => Milliseconds;
-  onAct: (act: Act) => void;
+  onAction: (action: HolderAction) => void;
 }
 
-/** Longer than a lease waits: giving up a silent call is the lease's own task. */
+/** Longer than the lease's own call timeout, so that the lease has to abandon unanswered calls itself. */
 const LINK_TIMEOUT: Milliseconds = 60_000;
 
-/** One daemon that contends for the lease and acts as often as it may. */
+/** A daemon that contends for the lease and acts whenever it believes it holds it. */
 export class Contender {
   readonly clock: PausableClock;
 
-  isCutOff = false;
+  isPartitioned = false;
 
-  /** Its time of day less the true one. */
-  dayShift: Milliseconds = 0;
+  /** Difference between its wall clock and the true time. */
+  wallClockShift: Milliseconds = 0;
 
-  /** How long its machine stood still in all. */
-  stoodStill: Milliseconds = 0;
+  /** Total time for which its machine was suspended. */
+  suspendedDuration: Milliseconds = 0;
 
   private readonly link: SimulatedLink;
 
@@ -43,10 +43,10 @@
 
   constructor(
     private readonly index: number,
-    private readonly world: Surroundings,
+    private readonly environment: LeaseEnvironment,
   ) {
-    this.clock = new PausableClock(world.clock);
-    this.link = new SimulatedLink(world.clock, this.clock, () => world.getDelay());
+    this.clock = new PausableClock(environment.clock);
+    this.link = new SimulatedLink(environment.clock, this.clock, () => environment.getDelay());
     this.lease = this.createLease();
   }
 
@@ -63,12 +63,16 @@
   act(): void {
     const fencingNumber = this.lease.getFencingNumber();
     if (fencingNumber !== undefined) {
-      this.world.onAct({ daemon: this.index, fencingNumber, at: this.world.clock.now() });
+      this.environment.onAction({
+        daemon: this.index,
+        fencingNumber,
+        at: this.environment.clock.now(),
+      });
     }
   }
 
-  /** Tells the lease that a receiver refused its number. */
-  refuse(): void {
+  /** Reports to the lease that a receiver rejected its fencing number. */
+  rejectFencingNumber(): void {
     const fencingNumber = this.lease.getFencingNumber();
     if (fencingNumber !== undefined) {
       this.lease.reportFenced(fencingNumber + 1);
@@ -80,32 +84,32 @@
   }
 
   private createLease(): LeaseManager {
-    const { world, index } = this;
-    const steady = {
-      // A machine that is suspended does not count that time.
-      now: () => this.clock.now() - this.stoodStill,
+    const { environment, index } = this;
+    const monotonicClock = {
+      // The monotonic clock of a machine does not advance while the machine is suspended.
+      now: () => this.clock.now() - this.suspendedDuration,
       setTimer: (delay: Milliseconds, callback: () => void) => this.clock.setTimer(delay, callback),
     };
     return new LeaseManager({
       self: `daemon-${index}`,
-      clock: steady,
+      clock: monotonicClock,
       store: this.createStore(),
-      name: LEASE,
-      options: world.options,
+      name: LEASE_NAME,
+      options: environment.options,
       getRank: () => index,
-      getTimeOfDay: () => world.clock.now() + this.dayShift,
+      getTimeOfDay: () => environment.clock.now() + this.wallClockShift,
     });
   }
 
   private createStore(): LeaseStore {
-    const { store } = this.world;
-    const call = <Value>(effect: () => Promise<Value>) =>
+    const { store } = this.environment;
+    const call = <Value>(request: () => Promise<Value>) =>
       this.link
         .call(LINK_TIMEOUT, () => {
-          if (this.isCutOff) {
-            throw new Error('no answer');
+          if (this.isPartitioned) {
+            throw new Error('no response');
           }
-          return effect();
+          return request();
         })
         .then((value) => value);
     return {
