--- a/packages/callers/src/lib/BodyReader/BodyReader.test.ts
+++ b/packages/callers/src/lib/BodyReader/BodyReader.test.ts
@@ -17,7 +17,7 @@
     return { clock, request, result };
   }
 
-  it('takes a whole body, and none where none was promised', async () => {
+  it('returns a complete body, or none if the headers announce none', async () => {
     const { request, result } = setUp();
     request.emit('data', Buffer.from('he'));
     request.emit('data', Buffer.from('llo'));
@@ -28,16 +28,16 @@
     expect(await empty.result).toEqual({ kind: 'whole', body: undefined });
   });
 
-  it('ends what is too large, by its head or by its bytes', async () => {
+  it('rejects a body that is too large by its headers or by its bytes', async () => {
     expect(await setUp({ 'content-length': '11' }).result).toEqual({ kind: 'too-large' });
     const { request, result } = setUp({ 'transfer-encoding': 'chunked' });
     request.emit('data', Buffer.alloc(11));
     expect(await result).toEqual({ kind: 'too-large' });
   });
 
-  // Symptom: a daemon's sockets and memory are used up by callers that get nothing. Sequence: each
-  // sends a byte of its body now and then. Cause: only the head was bounded in time.
-  it('ends what comes byte by byte for too long', async () => {
+  // Guards against callers that send a byte of their bodies from time to time and so use up the
+  // sockets and the memory of a daemon that limits only the time for the headers.
+  it('rejects a body that arrives too slowly', async () => {
     const { clock, request, result } = setUp();
     for (let index = 0; index < 4; index += 1) {
       clock.advance(250);
@@ -47,7 +47,7 @@
     expect(() => request.emit('error', new Error('late'))).not.toThrow();
   });
 
-  it('says when the caller left in the middle', async () => {
+  it('reports a caller that disconnects before the body is complete', async () => {
     const { request, result } = setUp();
     request.emit('data', Buffer.from('he'));
     request.emit('close');
--- a/packages/callers/src/lib/BodyReader/BodyReader.ts
+++ b/packages/callers/src/lib/BodyReader/BodyReader.ts
@@ -1,27 +1,27 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
 
-/** What a caller may send. */
+/** Limits for the body of a request. */
 export interface BodyLimits {
   maxBytes: number;
-  /** How long the whole body may take. */
+  /** Timeout for the complete body. */
   timeout: Milliseconds;
 }
 
-/** What became of reading a body. */
+/** The result of reading a body. */
 export type BodyResult =
-  /** No bytes, where the head promises none. */
+  /** `body` is undefined if the headers announce none. */
   | { kind: 'whole'; body: Buffer | undefined }
   | { kind: 'too-large' }
   | { kind: 'too-slow' }
-  /** The caller left in the middle. */
+  /** The caller disconnected before the body was complete. */
   | { kind: 'cut' };
 
-function isExpected({ headers }: IncomingMessage): boolean {
+function hasBody({ headers }: IncomingMessage): boolean {
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
-/** Collects one body; listens no longer than it must. */
+/** Collects one body, and removes its listeners when it is done. */
 class BodyReader {
   private readonly chunks: Buffer[] = [];
 
@@ -37,44 +37,44 @@
 
   start(clock: Clock): void {
     const { request, limits } = this;
-    this.timer = clock.setTimer(limits.timeout, () => this.end({ kind: 'too-slow' }));
-    request.on('data', this.take);
-    request.once('end', this.finish);
-    request.once('close', this.cut);
-    request.once('error', this.cut);
+    this.timer = clock.setTimer(limits.timeout, () => this.complete({ kind: 'too-slow' }));
+    request.on('data', this.handleData);
+    request.once('end', this.handleEnd);
+    request.once('close', this.handleClose);
+    request.once('error', this.handleClose);
   }
 
-  private readonly take = (chunk: Buffer) => {
+  private readonly handleData = (chunk: Buffer) => {
     this.size += chunk.length;
     this.chunks.push(chunk);
     if (this.size > this.limits.maxBytes) {
-      this.end({ kind: 'too-large' });
+      this.complete({ kind: 'too-large' });
     }
   };
 
-  private readonly finish = () => {
-    const body = isExpected(this.request) ? Buffer.concat(this.chunks) : undefined;
-    this.end({ kind: 'whole', body });
+  private readonly handleEnd = () => {
+    const body = hasBody(this.request) ? Buffer.concat(this.chunks) : undefined;
+    this.complete({ kind: 'whole', body });
   };
 
-  private readonly cut = () => this.end({ kind: 'cut' });
+  private readonly handleClose = () => this.complete({ kind: 'cut' });
 
-  private end(result: BodyResult): void {
+  private complete(result: BodyResult): void {
     this.timer?.cancel();
-    this.request.off('data', this.take);
-    this.request.off('end', this.finish);
-    this.request.off('close', this.cut);
-    this.request.off('error', this.cut);
-    // A request without a listener for errors would end the process with the next one.
+    this.request.off('data', this.handleData);
+    this.request.off('end', this.handleEnd);
+    this.request.off('close', this.handleClose);
+    this.request.off('error', this.handleClose);
+    // Without an error listener, a later error event of the request would crash the process.
     this.request.on('error', () => undefined);
     this.onResult(result);
   }
 }
 
 /**
- * Reads the whole body, within its bounds. A body that is too large, too slow or cut off ends its
- * own request and nothing else: without the time bound, callers that send a byte now and then
- * would hold sockets and memory for ever.
+ * Reads a complete body within its limits. A body that is too large, too slow or cut off affects
+ * only its own request. Without the timeout, callers that send a byte from time to time would
+ * occupy sockets and memory forever.
  *
  * @example
  * ```ts
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
@@ -8,18 +8,18 @@
 const CALLER_STALL = 30_000;
 const FIRST_REQUEST = 1000;
 
-/** A socket or an answer, of which only the end matters. */
-class FakeEnd extends EventEmitter {
+/** A fake socket or response that records only whether it was destroyed. */
+class FakeStream extends EventEmitter {
   bytesRead = 0;
 
-  ended = false;
+  isDestroyed = false;
 
   destroySoon(): void {
     this.destroy();
   }
 
   destroy(): void {
-    this.ended = true;
+    this.isDestroyed = true;
     this.emit('close');
   }
 }
@@ -34,86 +34,89 @@
       callerStall: CALLER_STALL,
     });
     const open = () => {
-      const socket = new FakeEnd();
+      const socket = new FakeStream();
       connections.add(socket as unknown as Socket);
       return socket;
     };
-    const begin = (socket: FakeEnd) => {
-      const response = new FakeEnd();
+    const beginRequest = (socket: FakeStream) => {
+      const response = new FakeStream();
       Object.assign(socket, { bytesRead: socket.bytesRead + 100 });
       const request = { socket, complete: true } as unknown as IncomingMessage;
       connections.trackRequest(request, response as unknown as ServerResponse);
       return response;
     };
-    return { clock, connections, open, begin };
+    return { clock, connections, open, beginRequest };
   }
 
-  // Symptom: a daemon that was told to stop never stops. Sequence: a caller keeps a connection
-  // that never carried a request, or whose request is over. Cause: the shutdown waits for every
-  // connection, and nobody ends these.
-  it('ends connections without a request, and others when theirs is over', () => {
-    const { clock, connections, open, begin } = setUp();
+  // Guards against a daemon that never stops because the shutdown waits for connections that never
+  // carried a request, or whose request is complete, and nothing closes them.
+  it('closes idle connections at once, and others when their request is complete', () => {
+    const { clock, connections, open, beginRequest } = setUp();
     const unused = open();
     const used = open();
-    begin(used).emit('close');
+    beginRequest(used).emit('close');
     const busy = open();
-    const answer = begin(busy);
+    const response = beginRequest(busy);
     connections.drain();
     clock.advance(HEADERS_TIMEOUT);
-    expect([unused.ended, used.ended, busy.ended]).toEqual([true, true, false]);
-    answer.emit('close');
-    expect(busy.ended).toBe(true);
+    expect([unused.isDestroyed, used.isDestroyed, busy.isDestroyed]).toEqual([true, true, false]);
+    response.emit('close');
+    expect(busy.isDestroyed).toBe(true);
     const late = open();
     clock.advance(FIRST_REQUEST);
-    expect(late.ended).toBe(true);
+    expect(late.isDestroyed).toBe(true);
   });
 
-  // Symptom: a call fails a few milliseconds after it was sent, as its daemon closes. Sequence: its
-  // caller has just opened the connection; its request arrives after the port was closed. Cause: a
-  // connection that is about to carry its first request taken for one that rests.
-  it('waits a moment for the first request on a connection that was just opened', () => {
-    const { clock, connections, open, begin } = setUp();
+  // Guards against a call that fails a few milliseconds after it was sent. The caller has just
+  // opened the connection and its request arrives after the daemon has closed the port; the
+  // connection must not be treated as idle.
+  it('waits a short time for the first request on a new connection', () => {
+    const { clock, connections, open, beginRequest } = setUp();
     const old = open();
     clock.advance(FIRST_REQUEST);
-    const [fresh, unused, half] = [open(), open(), open()];
+    const [recent, unused, partial] = [open(), open(), open()];
     clock.advance(1);
     expect(connections.drain()).toMatchObject({ unused: 4, youngestUnused: 1 });
-    expect([old.ended, fresh.ended]).toEqual([true, false]);
-    const answer = begin(fresh);
-    half.bytesRead = 10;
+    expect([old.isDestroyed, recent.isDestroyed]).toEqual([true, false]);
+    const response = beginRequest(recent);
+    partial.bytesRead = 10;
     clock.advance(FIRST_REQUEST - 1);
-    expect([fresh.ended, unused.ended, half.ended]).toEqual([false, true, false]);
-    answer.emit('close');
+    expect([recent.isDestroyed, unused.isDestroyed, partial.isDestroyed]).toEqual([
+      false,
+      true,
+      false,
+    ]);
+    response.emit('close');
     clock.advance(HEADERS_TIMEOUT);
-    expect([fresh.ended, half.ended]).toEqual([true, true]);
+    expect([recent.isDestroyed, partial.isDestroyed]).toEqual([true, true]);
   });
 
-  // Symptom: a caller's request is lost though it was sent in time. Sequence: half of its head has
-  // arrived when the daemon closes. Cause: a connection in the middle of a request taken for idle.
-  it('lets a request come whole that has begun, for as long as a head may take', () => {
-    const { clock, connections, open, begin } = setUp();
+  // Guards against the loss of a request that has partly arrived when the daemon closes the port:
+  // its connection must not be treated as idle.
+  it('lets a partly received request complete within the header timeout', () => {
+    const { clock, connections, open, beginRequest } = setUp();
     const slow = open();
     const stuck = open();
     slow.bytesRead = 10;
     stuck.bytesRead = 10;
     connections.drain();
     clock.advance(HEADERS_TIMEOUT - 1);
-    const answer = begin(slow);
+    const response = beginRequest(slow);
     clock.advance(1);
-    expect([slow.ended, stuck.ended]).toEqual([false, true]);
-    answer.emit('close');
-    expect(slow.ended).toBe(true);
+    expect([slow.isDestroyed, stuck.isDestroyed]).toEqual([false, true]);
+    response.emit('close');
+    expect(slow.isDestroyed).toBe(true);
   });
 
-  // Symptom: the same, with an answer that is over for the daemon. Sequence: the caller never
-  // reads the last bytes. Cause: an answer's end taken for its arrival.
-  it('gives an answer up whose last bytes nobody reads', () => {
-    const { clock, open, begin } = setUp();
-    const [stuck, read] = [begin(open()), begin(open())];
+  // Guards against a daemon that never stops because a caller does not read the last bytes of a
+  // response that the daemon has finished writing.
+  it('destroys a response whose last bytes the caller does not read', () => {
+    const { clock, open, beginRequest } = setUp();
+    const [stuck, read] = [beginRequest(open()), beginRequest(open())];
     stuck.emit('prefinish');
     read.emit('prefinish');
     read.emit('close');
     clock.advance(CALLER_STALL);
-    expect([stuck.ended, read.ended]).toEqual([true, false]);
+    expect([stuck.isDestroyed, read.isDestroyed]).toEqual([true, false]);
   });
 });
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.ts
@@ -3,58 +3,64 @@
 import type { Socket } from 'node:net';
 
 /**
- * How long callers' connections are waited for.
+ * Timeouts for callers' connections.
  *
  * @public
  */
 export interface CallerConnectionOptions {
   clock: Clock;
-  /** How long a request that has begun may take to be whole when draining. */
+  /** While draining, how long a request that has begun to arrive may take to complete. */
   headersTimeout: Milliseconds;
-  /** How long after it was opened a connection may wait for its first request when draining. */
+  /** While draining, how long after it was opened a connection may wait for its first request. */
   firstRequest: Milliseconds;
-  /** How long a caller may take nothing of its answer before it counts as gone. */
+  /** How long a caller may read nothing of its response before it is considered gone. */
   callerStall: Milliseconds;
 }
 
-/** What is known of one caller's connection. */
+/** The state of one caller's connection. */
 interface Connection {
-  /** Requests whose answers are not over. */
+  /** Requests whose responses are not complete. */
   inFlight: Set<IncomingMessage>;
-  /** What had been read when the last request was over: more means that another has begun. */
-  readAtRest: number;
+  /**
+   * Bytes read when the last request was complete. If more bytes have been read since, another
+   * request has begun to arrive.
+   */
+  bytesReadWhenIdle: number;
   openedAt: Milliseconds;
-  /** Requests that have begun on it. */
-  requests: number;
+  /** Number of requests received on the connection. */
+  requestCount: number;
   timer: Timer | undefined;
 }
 
 /**
- * What a shutdown found when it closed the port. A caller whose connection is ended before its
- * request was read sees a reset; whether that can have been one of these is told by their ages.
+ * The connections that were open when a shutdown closed the port. A caller sees a reset if its
+ * connection is closed before its request was read; the ages of unused connections tell whether
+ * this may have happened to one of them.
  *
  * @public
  */
 export interface ConnectionCounts {
-  /** Connections that carried a request. */
+  /** Connections with a request in flight. */
   busy: number;
   /** Connections on which a request has begun to arrive. */
   arriving: number;
-  /** Connections that rested after a request, and were ended. */
+  /** Connections that were idle after a request, and were closed. */
   resting: number;
-  /** Connections that never sent a byte; those just opened get a moment for it. */
+  /**
+   * Connections on which no byte has arrived; new ones get a short time for their first request.
+   */
   unused: number;
-  /** How long the youngest unused one had been open. */
+  /** Age of the youngest unused connection. */
   youngestUnused: Milliseconds | undefined;
 }
 
 /**
- * Owns the connections of callers: knows which carry a request, and ends those that don't when the
- * daemon shuts down.
+ * Tracks the connections of callers, and closes those without a request in flight when the daemon
+ * shuts down.
  *
- * The HTTP server ends idle connections itself, but takes one that never sent anything, or was
- * opened again by the caller's library in advance, for busy: one such connection would hold the
- * shutdown for good.
+ * The HTTP server closes idle connections itself, but treats a connection as busy if it never
+ * carried a request or was reopened in advance by the caller's HTTP library. One such connection
+ * would block the shutdown forever.
  *
  * @public
  */
@@ -65,25 +71,25 @@
 
   private readonly options: CallerConnectionOptions;
 
-  private draining = false;
+  private isDraining = false;
 
   constructor(options: CallerConnectionOptions) {
     this.clock = options.clock;
     this.options = options;
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get size(): number {
     return this.connections.size;
   }
 
-  /** A caller has connected. */
+  /** Starts tracking a new connection. */
   add(socket: Socket): void {
     const connection: Connection = {
       inFlight: new Set(),
-      readAtRest: socket.bytesRead,
+      bytesReadWhenIdle: socket.bytesRead,
       openedAt: this.clock.now(),
-      requests: 0,
+      requestCount: 0,
       timer: undefined,
     };
     this.connections.set(socket, connection);
@@ -91,12 +97,12 @@
       connection.timer?.cancel();
       this.connections.delete(socket);
     });
-    if (this.draining) {
-      this.endIfIdle(socket, connection);
+    if (this.isDraining) {
+      this.closeIfIdle(socket, connection);
     }
   }
 
-  /** A request has begun: its connection lasts until its answer is over. */
+  /** Keeps the request's connection open until the response is complete. */
   trackRequest(request: IncomingMessage, response: ServerResponse): void {
     const { socket } = request;
     const connection = this.connections.get(socket);
@@ -104,87 +110,93 @@
       return;
     }
     connection.inFlight.add(request);
-    connection.requests += 1;
+    connection.requestCount += 1;
     connection.timer?.cancel();
     connection.timer = undefined;
-    this.boundTail(response);
+    this.limitFinalWrite(response);
     response.once('close', () => {
       connection.inFlight.delete(request);
-      connection.readAtRest = socket.bytesRead;
-      if (this.draining) {
-        this.endIfIdle(socket, connection);
+      connection.bytesReadWhenIdle = socket.bytesRead;
+      if (this.isDraining) {
+        this.closeIfIdle(socket, connection);
       }
     });
   }
 
-  /** Whether a request that has been read whole is being answered on the connection. */
+  /** Whether a response to a completely received request is in progress on the connection. */
   isResponding(socket: Socket): boolean {
     const inFlight = this.connections.get(socket)?.inFlight ?? [];
     return [...inFlight].some(({ complete }) => complete);
   }
 
   /**
-   * From now on each connection ends as soon as it carries no request.
+   * From now on, closes each connection as soon as it has no request in flight.
    *
-   * @returns what was open
+   * @returns the connections that were open
    */
   drain(): ConnectionCounts {
-    this.draining = true;
-    const census = this.getCensus();
-    this.connections.forEach((connection, socket) => this.endIfIdle(socket, connection));
-    return census;
+    this.isDraining = true;
+    const counts = this.getCounts();
+    this.connections.forEach((connection, socket) => this.closeIfIdle(socket, connection));
+    return counts;
   }
 
-  private getCensus(): ConnectionCounts {
-    const open = [...this.connections];
-    const idle = open.filter(([, { inFlight }]) => inFlight.size === 0);
-    const quiet = idle.filter(([socket, { readAtRest }]) => socket.bytesRead === readAtRest);
-    const unused = quiet.filter(([, { requests }]) => requests === 0);
+  private getCounts(): ConnectionCounts {
+    const all = [...this.connections];
+    const idle = all.filter(([, { inFlight }]) => inFlight.size === 0);
+    const inactive = idle.filter(
+      ([socket, { bytesReadWhenIdle }]) => socket.bytesRead === bytesReadWhenIdle,
+    );
+    const unused = inactive.filter(([, { requestCount }]) => requestCount === 0);
     const now = this.clock.now();
     const ages = unused.map(([, { openedAt }]) => now - openedAt);
     return {
-      busy: open.length - idle.length,
-      arriving: idle.length - quiet.length,
-      resting: quiet.length - unused.length,
+      busy: all.length - idle.length,
+      arriving: idle.length - inactive.length,
+      resting: inactive.length - unused.length,
       unused: unused.length,
       youngestUnused: ages.length === 0 ? undefined : Math.min(...ages),
     };
   }
 
-  private endIfIdle(socket: Socket, connection: Connection): void {
+  private closeIfIdle(socket: Socket, connection: Connection): void {
     if (connection.inFlight.size > 0) {
       return;
     }
     connection.timer?.cancel();
-    if (socket.bytesRead !== connection.readAtRest) {
-      // A caller is in the middle of sending a request: it gets its answer, if it comes to it.
+    if (socket.bytesRead !== connection.bytesReadWhenIdle) {
+      // A caller is sending a request. It gets a response if the request completes in time.
       this.setTimer(connection, this.options.headersTimeout, () => socket.destroy());
       return;
     }
-    const wait = this.getFirstRequestWait(connection);
-    if (wait > 0) {
-      this.setTimer(connection, wait, () => this.endIfIdle(socket, connection));
+    const remainingWait = this.getRemainingFirstRequestWait(connection);
+    if (remainingWait > 0) {
+      this.setTimer(connection, remainingWait, () => this.closeIfIdle(socket, connection));
     } else {
       socket.destroySoon();
     }
   }
 
   /**
-   * What is left of the wait for a connection's first request. Callers that are asked to close open
-   * a connection for each call; ended before its request is read, the call is lost with a reset, though
-   * its daemon had accepted the connection. A caller sends right after it connects, so the wait is
-   * short, and bounded: one that was opened in advance must not hold the shutdown.
+   * Returns the remaining time to wait for a connection's first request. Callers that were asked to
+   * close their connections open one for each call. If it is closed before its request was read,
+   * the call fails with a reset although the daemon had accepted the connection. Callers send right
+   * after they connect, so the wait can be short. It is limited because a connection that was
+   * opened in advance must not block the shutdown.
    */
-  private getFirstRequestWait({ openedAt, requests }: Connection): Milliseconds {
-    return requests > 0 ? 0 : openedAt + this.options.firstRequest - this.clock.now();
+  private getRemainingFirstRequestWait({ openedAt, requestCount }: Connection): Milliseconds {
+    return requestCount > 0 ? 0 : openedAt + this.options.firstRequest - this.clock.now();
   }
 
-  private setTimer(connection: Connection, span: Milliseconds, act: () => void): void {
-    Object.assign(connection, { timer: this.clock.setTimer(span, act) });
+  private setTimer(connection: Connection, duration: Milliseconds, callback: () => void): void {
+    Object.assign(connection, { timer: this.clock.setTimer(duration, callback) });
   }
 
-  /** The last bytes of an answer that its caller never reads must not hold the process for good. */
-  private boundTail(response: ServerResponse): void {
+  /**
+   * Destroys a response whose last bytes the caller never reads, so that it cannot block a
+   * shutdown.
+   */
+  private limitFinalWrite(response: ServerResponse): void {
     response.once('prefinish', () => {
       const timer = this.clock.setTimer(this.options.callerStall, () => response.destroy());
       response.once('close', () => timer.cancel());
--- a/packages/callers/src/lib/refuseConnection.ts
+++ b/packages/callers/src/lib/refuseConnection.ts
@@ -1,14 +1,14 @@
 import { STATUS_CODES } from 'node:http';
 import type { Socket } from 'node:net';
 
-/** Why bytes never became a request. */
+/** Why received bytes could not be parsed as a request. */
 export enum MalformedKind {
   Malformed = 'malformed',
   HeadTooLarge = 'head-too-large',
   HeadTooSlow = 'head-too-slow',
 }
 
-/** A body for the answer, and of which type it is. */
+/** The body of a response and its content type. */
 export interface RefusalBody {
   type: string;
   text: string;
@@ -26,10 +26,11 @@
 };
 
 /**
- * Answers bytes that never became a request, and ends their connection. Nothing of them ran.
+ * Responds to bytes that could not be parsed as a request, and closes their connection. No part of
+ * the request was executed.
  *
- * @param error - what the HTTP parser says of them
- * @param getBody - the answer's body
+ * @param error - the error from the HTTP parser
+ * @param getBody - creates the body of the response
  * @example
  * ```ts
  * server.on('clientError', (error, socket) => refuseConnection(socket, error));
--- a/packages/callers/src/lib/waitForAccepted.ts
+++ b/packages/callers/src/lib/waitForAccepted.ts
@@ -1,7 +1,8 @@
 /**
- * Waits until the connections that the kernel has completed are accepted; call it right before a port
- * is closed. A port that closes resets them: their callers see their first request fail, and the
- * daemon never knows of them. Sockets are polled before the next immediate callback runs.
+ * Waits until the process has accepted the connections that the kernel has established. Call it
+ * right before closing a port: closing resets connections that were not accepted, so their callers'
+ * first requests fail without the daemon noticing. The event loop polls sockets before it runs the
+ * next immediate callback.
  *
  * @example
  * ```ts
--- a/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.fuzz.test.ts
@@ -14,7 +14,7 @@
   StoreDown = 'store-down',
   LostResponses = 'lost-responses',
   Busy = 'busy',
-  NoResponse = 'no-response',
+  NoResponse = 'silent',
   LostCallResponses = 'lost-call-responses',
   DelayedCalls = 'delayed-calls',
 }
@@ -75,7 +75,7 @@
 }
 
 describe('DutyManager', () => {
-  it('reports each window once, whichever daemon holds the lease', async () => {
+  it('reports the same usage once for each window, whichever daemon holds the lease', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 2, max: 6 }),
--- a/packages/duties/src/lib/FleetClock/FleetClock.ts
+++ b/packages/duties/src/lib/FleetClock/FleetClock.ts
@@ -13,8 +13,8 @@
 
 /**
  * Corrects this daemon's clock by the median of all daemons' clocks. A machine's clock may be wrong
- * when its daemon starts, and it stands still while the machine is suspended. The median is right as
- * long as most clocks are.
+ * when its daemon starts, and it stands still while the machine is suspended. The median is right
+ * as long as most clocks are.
  *
  * @public
  */
--- a/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.ts
+++ b/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * Decides which replicas of one service to order, based on the demand, the listed replicas and earlier
- * orders. Does no I/O.
+ * Decides which replicas of one service to order, based on the demand, the listed replicas and
+ * earlier orders. Does no I/O.
  *
  * @example
  * ```ts
--- a/packages/duties/src/lib/scaling/ScalingDuty/ScalingDuty.ts
+++ b/packages/duties/src/lib/scaling/ScalingDuty/ScalingDuty.ts
@@ -92,8 +92,8 @@
       log({ event: 'duty-failed', call, result, fencingNumber });
     }
     if (result === CallResult.Conflict) {
-      // The platform sends the same response for a stale fencing number and for unavailable replicas.
-      // In both cases the lease requests a new number and never uses the old one again.
+      // The platform sends the same response for a stale fencing number and for unavailable
+      // replicas. In both cases the lease requests a new number and never uses the old one again.
       lease.reportFenced(fencingNumber + 1);
     }
   }
--- a/packages/duties/src/lib/scaling/getTargets.ts
+++ b/packages/duties/src/lib/scaling/getTargets.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Fraction of a zone's replicas that is given up at a time when all zones are full, to make room for
- * cheaper replicas.
+ * Fraction of a zone's replicas that is given up at a time when all zones are full, to make room
+ * for cheaper replicas.
  */
 const REPLACED_FRACTION = 0.25;
 
@@ -43,8 +43,8 @@
 }
 
 /**
- * Changes the number of on-demand replicas. Removes them from the most expensive zones first, and adds
- * them to the zone that has the fewest, the cheapest of several.
+ * Changes the number of on-demand replicas. Removes them from the most expensive zones first, and
+ * adds them to the zone that has the fewest, the cheapest of several.
  */
 function changeOnDemand(
   supply: ZoneMap<ZoneSupply>,
@@ -85,11 +85,12 @@
 /**
  * Returns the target number of replicas of each type for each zone.
  *
- * Bursts of three times the usual load end before a new replica has booted, so spare replicas must be
- * running already. Preemptible replicas cost a fifth of the price, but all of those in one zone may be
- * reclaimed at two seconds' notice. They are spread evenly over the zones, so that the spare replicas
- * cover the loss of a zone. On-demand replicas are removed once preemptible ones have replaced them,
- * and are added only if so few preemptible replicas are left that requests would not be served at all.
+ * Bursts of three times the usual load end before a new replica has booted, so spare replicas must
+ * be running already. Preemptible replicas cost a fifth of the price, but all of those in one zone
+ * may be reclaimed at two seconds' notice. They are spread evenly over the zones, so that the spare
+ * replicas cover the loss of a zone. On-demand replicas are removed once preemptible ones have
+ * replaced them, and are added only if so few preemptible replicas are left that requests would not
+ * be served at all.
  */
 export function getTargets(
   { min, initial, wanted }: ScalingRequirement,
--- a/packages/duties/src/lib/scaling/scalingTypes.ts
+++ b/packages/duties/src/lib/scaling/scalingTypes.ts
@@ -11,7 +11,9 @@
   /** Maximum in each availability zone, on-demand and preemptible replicas together. */
   mostPerZone: number;
   bootTime: Milliseconds;
-  /** Price of a preemptible replica as a fraction of the on-demand price; absent if there are none. */
+  /**
+   * Price of a preemptible replica as a fraction of the on-demand price; absent if there are none.
+   */
   preemptiblePrice?: number;
   /** Replica price by availability zone; replicas may be ordered only in these zones. */
   zonePrices: Readonly<Record<string, number>>;
--- a/packages/duties/src/test/FakePlatform.ts
+++ b/packages/duties/src/test/FakePlatform.ts
@@ -11,12 +11,12 @@
 export enum PlatformFault {
   None = 'none',
   /** The call is neither executed nor answered. */
-  NoResponse = 'no-response',
+  NoResponse = 'silent',
   Busy = 'busy',
   /** The call is executed, but the response is lost. */
-  ResponseLost = 'response-lost',
+  ResponseLost = 'lost',
   /** The call is not answered, and is executed some seconds later. */
-  Delayed = 'delayed',
+  Delayed = 'late',
 }
 
 /** An in-memory version of the platform's API for duties that records every call. */
--- a/packages/lease/src/lib/Lease/Lease.test.ts
+++ b/packages/lease/src/lib/Lease/Lease.test.ts
@@ -48,8 +48,8 @@
     expect(lease.isHeld(options.span - options.safetyMargin)).toBe(false);
   });
 
-  // Guards against a holder that does not recognise its own write after the response was lost: nobody
-  // holds the granted lease, or its term is counted from the read.
+  // Guards against a holder that does not recognise its own write after the response was lost:
+  // nobody holds the granted lease, or its term is counted from the read.
   it('detects a grant whose response was lost by reading it back', () => {
     const lease = createLease();
     const { attempt, value } = getWrite(readObject(lease, free, 0));
@@ -61,9 +61,10 @@
     expect(lease.isHeld(options.span - options.safetyMargin)).toBe(false);
   });
 
-  // Guards against a late response that is attributed to the wrong call. A first write times out and
-  // reading back shows nothing; while a second write is in flight, the first one is confirmed. The
-  // holder would count its term from a write that never took effect, and hold the lease too long.
+  // Guards against a late response that is attributed to the wrong call. A first write times out
+  // and reading back shows nothing; while a second write is in flight, the first one is confirmed.
+  // The holder would count its term from a write that never took effect, and hold the lease too
+  // long.
   it('ignores the response to an abandoned call', () => {
     const lease = createLease();
     const { attempt } = getWrite(readObject(lease, free, 0));
@@ -75,8 +76,9 @@
     expect(lease.isHeld(5_000)).toBe(false);
   });
 
-  // Guards against a candidate that takes a lease although the holder renews it every 5 s, because it
-  // counts the lease duration from its first read instead of from the last change of the version.
+  // Guards against a candidate that takes a lease although the holder renews it every 5 s, because
+  // it counts the lease duration from its first read instead of from the last change of the
+  // version.
   it('takes over only after the version has not changed for the whole lease duration', () => {
     const standby = createLease('daemon-2');
     const { value } = getWrite(readObject(createLease(), free, 0));
@@ -102,8 +104,8 @@
     expect(JSON.parse(grant.value)).toMatchObject({ holder: 'daemon-1' });
   });
 
-  // Guards against one daemon that keeps all leases after a rolling restart: the preferred candidate is
-  // back, but the holder keeps renewing and never releases the lease.
+  // Guards against one daemon that keeps all leases after a rolling restart: the preferred
+  // candidate is back, but the holder keeps renewing and never releases the lease.
   it('releases the lease after another candidate has been preferred for long enough', () => {
     const lease = createLease();
     const { attempt } = getWrite(readObject(lease, free, 0));
--- a/packages/lease/src/lib/Lease/Lease.ts
+++ b/packages/lease/src/lib/Lease/Lease.ts
@@ -37,7 +37,8 @@
  * The clocks of different daemons are never compared. A candidate takes over only after the version
  * of the object has not changed for the whole lease duration, counted from the response that showed
  * the version. The holder counts from before it sent the write, and stops a safety margin earlier.
- * The write took effect between these two points, so the holder stops before the candidate takes over.
+ * The write took effect between these two points, so the holder stops before the candidate takes
+ * over.
  *
  * @internal
  */
@@ -189,8 +190,8 @@
   }
 
   /**
-   * Returns the term that a record proves. This includes a write whose response was lost and that was
-   * read back; its term still counts from before the write was sent.
+   * Returns the term that a record proves. This includes a write whose response was lost and that
+   * was read back; its term still counts from before the write was sent.
    */
   private getTerm(record: LeaseRecord | undefined, version: number): Term | undefined {
     if (record === undefined || !this.isOwn(record)) {
@@ -298,8 +299,8 @@
   /**
    * Returns the record to write if there is no object. A missing object has no version: between two
    * reads another daemon may have created the object, held the lease and had the object deleted. A
-   * missing object is therefore never treated as an expired lease. This record gets a version, which
-   * must then stay unchanged for a whole lease duration.
+   * missing object is therefore never treated as an expired lease. This record gets a version,
+   * which must then stay unchanged for a whole lease duration.
    */
   private createVacantWrite(): LeaseWrite {
     return this.createWrite({ ...VACANT, grantedFor: this.candidate.options.span });
--- a/packages/lease/src/lib/Lease/LeaseCalls.ts
+++ b/packages/lease/src/lib/Lease/LeaseCalls.ts
@@ -53,7 +53,9 @@
     return pendingCall;
   }
 
-  /** Returns when the write with this `renewals` number was sent; undefined for an unknown write. */
+  /**
+   * Returns when the write with this `renewals` number was sent; undefined for an unknown write.
+   */
   getSentAt(renewals: number): Milliseconds | undefined {
     return this.sentTimes.get(renewals);
   }
--- a/packages/lease/src/lib/Lease/LeaseRecord.ts
+++ b/packages/lease/src/lib/Lease/LeaseRecord.ts
@@ -56,9 +56,9 @@
 }
 
 /**
- * Returns the fencing number (fencing token) of a lease record. Versions of the store only increase,
- * so a later grant has a higher number. This also holds after the object was deleted, and across
- * leases when a replica moves from one service to another.
+ * Returns the fencing number (fencing token) of a lease record. Versions of the store only
+ * increase, so a later grant has a higher number. This also holds after the object was deleted, and
+ * across leases when a replica moves from one service to another.
  *
  * @param record - the lease record
  * @param version - the version of the object it was read from
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.fuzz.test.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.fuzz.test.ts
@@ -27,16 +27,16 @@
   fc.record({ kind: fc.constant('pause' as const), daemon: fc.nat(), duration: fc.nat(12_000) }),
   fc.record({ kind: fc.constant('suspend' as const), daemon: fc.nat(), duration: fc.nat(12_000) }),
   fc.record({
-    kind: fc.constant('partition' as const),
+    kind: fc.constant('cut' as const),
     daemon: fc.nat(),
     duration: fc.nat(12_000),
   }),
   fc.record({ kind: fc.constant('shutdown' as const), daemon: fc.nat(), duration: fc.nat(800) }),
   fc.record({ kind: fc.constant('restart' as const), daemon: fc.nat(), duration: fc.nat(2_000) }),
   fc.record({ kind: fc.constant('release' as const), daemon: fc.nat(), duration: fc.nat(4_000) }),
-  fc.record({ kind: fc.constant('reject' as const), daemon: fc.nat(), duration: fc.nat(2_000) }),
+  fc.record({ kind: fc.constant('refuse' as const), daemon: fc.nat(), duration: fc.nat(2_000) }),
   fc.record({
-    kind: fc.constant('clock-step' as const),
+    kind: fc.constant('step' as const),
     daemon: fc.nat(),
     duration: fc.nat(4_000),
   }),
@@ -46,12 +46,12 @@
     duration: fc.nat(12_000),
   }),
   fc.record({
-    kind: fc.constant('lost-responses' as const),
+    kind: fc.constant('lost' as const),
     daemon: fc.nat(),
     duration: fc.nat(3_000),
   }),
   fc.record({
-    kind: fc.constant('delete-object' as const),
+    kind: fc.constant('delete' as const),
     daemon: fc.nat(),
     duration: fc.nat(8_000),
   }),
@@ -75,7 +75,7 @@
       }
       contender.clock.resume();
       break;
-    case 'partition':
+    case 'cut':
       contender.isPartitioned = true;
       await simulation.run(duration);
       contender.isPartitioned = false;
@@ -94,11 +94,11 @@
       contender.release();
       await simulation.run(duration);
       break;
-    case 'reject':
+    case 'refuse':
       contender.rejectFencingNumber();
       await simulation.run(duration);
       break;
-    case 'clock-step':
+    case 'step':
       contender.wallClockShift += duration - 2_000;
       await simulation.run(duration);
       break;
@@ -107,11 +107,11 @@
       await simulation.run(duration);
       Object.assign(simulation, { isStoreDown: false });
       break;
-    case 'lost-responses':
+    case 'lost':
       Object.assign(simulation, { lostResponses: 2 });
       await simulation.run(duration);
       break;
-    case 'delete-object':
+    case 'delete':
       simulation.deleteObject();
       await simulation.run(duration);
       break;
@@ -156,7 +156,7 @@
 }
 
 describe('a lease with many candidates', () => {
-  it('never has two holders, decreasing fencing numbers or holders that alternate too fast', async () => {
+  it('never has two holders, decreasing fencing numbers or fast alternation', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 1, max: 1_000_000 }),
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.test.ts
@@ -10,8 +10,9 @@
 };
 
 describe('LeaseManager', () => {
-  // Guards against a daemon that never contends for a lease again although the store is available: one
-  // read on an unresponsive connection is never answered, and the lease has only one call in flight.
+  // Guards against a daemon that never contends for a lease again although the store is available:
+  // one read on an unresponsive connection is never answered, and the lease has only one call in
+  // flight.
   it('abandons a call that is never answered', async () => {
     const clock = new ManualClock();
     let reads = 0;
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.ts
@@ -50,8 +50,8 @@
  * Contends for one lease in the platform's store and keeps it while the store responds. During an
  * outage of the store a held lease expires: no more orders are sent, and running work continues.
  *
- * `isHeld()` reads the clock, so it is correct even in a process that was paused and whose timers have
- * not run yet.
+ * `isHeld()` reads the clock, so it is correct even in a process that was paused and whose timers
+ * have not run yet.
  *
  * @example
  * ```ts
@@ -115,8 +115,8 @@
    * Stops acting as the holder at once and releases the lease in the store, so that the next holder
    * need not wait for it to expire. After one lease duration this daemon contends again.
    *
-   * @returns a promise that resolves when the store has confirmed the release, or after twice the call
-   *   timeout; without a confirmation the lease expires by itself
+   * @returns a promise that resolves when the store has confirmed the release, or after twice the
+   *   call timeout; without a confirmation the lease expires by itself
    */
   async release(): Promise<void> {
     this.dispatch({ kind: 'release' });
--- a/packages/lease/src/lib/getLeaseCandidates.ts
+++ b/packages/lease/src/lib/getLeaseCandidates.ts
@@ -7,8 +7,9 @@
 }
 
 /**
- * Returns the candidates for a lease, the preferred one first. Takes one daemon from each availability
- * zone, then a second from each and so on, so that candidates remain when a zone is lost.
+ * Returns the candidates for a lease, the preferred one first. Takes one daemon from each
+ * availability zone, then a second from each and so on, so that candidates remain when a zone is
+ * lost.
  *
  * @param name - the name of the lease
  * @param members - the live daemons
--- a/packages/lease/src/lib/getLeaseRank.ts
+++ b/packages/lease/src/lib/getLeaseRank.ts
@@ -1,9 +1,9 @@
 import { getRendezvousScore } from '@apricotrill/utils';
 
 /**
- * Returns how many members rendezvous hashing prefers over this daemon for a lease. Counting stops at
- * the limit: with 1,800 members and a hundred leases, a full sort every few seconds would use much of
- * the processor time that is available for control work.
+ * Returns how many members rendezvous hashing prefers over this daemon for a lease. Counting stops
+ * at the limit: with 1,800 members and a hundred leases, a full sort every few seconds would use
+ * much of the processor time that is available for control work.
  *
  * @param name - the name of the lease
  * @param self - the id of this daemon
--- a/packages/lease/src/lib/leaseOptions.ts
+++ b/packages/lease/src/lib/leaseOptions.ts
@@ -14,7 +14,10 @@
    * different speeds and for orders that are still in transit. Default 3,000 ms.
    */
   safetyMargin: Milliseconds;
-  /** Interval between renewals by the holder and between reads by other candidates. Default 5,000 ms. */
+  /**
+   * Interval between renewals by the holder and between reads by other candidates. Default 5,000
+   * ms.
+   */
   renewalInterval: Milliseconds;
   /** Delay before a call that failed or had a conflict is retried. Default 1,000 ms. */
   retryDelay: Milliseconds;
@@ -25,8 +28,8 @@
   /** Additional takeover delay per rank, so that candidates do not race. Default 2,000 ms. */
   candidateDelay: Milliseconds;
   /**
-   * How long a holder that is no longer the preferred candidate keeps the lease before releasing it,
-   * so that leases spread over the daemons again after a rolling restart. Default 300,000 ms.
+   * How long a holder that is no longer the preferred candidate keeps the lease before releasing
+   * it, so that leases spread over the daemons again after a rolling restart. Default 300,000 ms.
    */
   yieldAfter: Milliseconds;
   /**
--- a/packages/lease/src/test/Contender.ts
+++ b/packages/lease/src/test/Contender.ts
@@ -22,7 +22,10 @@
   onAction: (action: HolderAction) => void;
 }
 
-/** Longer than the lease's own call timeout, so that the lease has to abandon unanswered calls itself. */
+/**
+ * Longer than the lease's own call timeout, so that the lease has to abandon unanswered calls
+ * itself.
+ */
 const LINK_TIMEOUT: Milliseconds = 60_000;
 
 /** A daemon that contends for the lease and acts whenever it believes it holds it. */
--- a/packages/lease/src/test/LeaseSimulation.ts
+++ b/packages/lease/src/test/LeaseSimulation.ts
@@ -12,7 +12,9 @@
 /** Interval at which each daemon acts while it holds the lease. */
 const ACTION_INTERVAL: Milliseconds = 100;
 
-/** Simulates daemons that contend for one lease under faults, and records their actions as holder. */
+/**
+ * Simulates daemons that contend for one lease under faults, and records their actions as holder.
+ */
 export class LeaseSimulation {
   readonly clock = new ManualClock(1_000_000);
 
--- a/packages/utils/src/lib/Clock.ts
+++ b/packages/utils/src/lib/Clock.ts
@@ -1,32 +1,32 @@
 /**
- * Time as the whole project sees it: one small clock, in milliseconds. Everything that decides
- * takes a clock, so that tests and experiments move time themselves.
+ * The project's interface to time. All code that depends on time takes a clock, so that tests and
+ * experiments can control it.
  */
 
 /**
- * A point in time or a span, in milliseconds.
+ * A point in time or a duration, in milliseconds.
  *
  * @public
  */
 export type Milliseconds = number;
 
 /**
- * A pending callback that can be called off.
+ * A pending callback that can be cancelled.
  *
  * @public
  */
 export interface Timer {
-  /** Calls the callback off; harmless after it ran. */
+  /** Cancels the callback; does nothing after it ran. */
   cancel(): void;
 }
 
 /**
- * Where time comes from.
+ * A source of time and timers.
  *
  * @public
  */
 export interface Clock {
-  /** Milliseconds since the epoch; it never goes back within a process. */
+  /** Returns the milliseconds since the Unix epoch; never decreases within a process. */
   now(): Milliseconds;
   /** Runs the callback once, `delay` milliseconds from now. */
   setTimer(delay: Milliseconds, callback: () => void): Timer;
--- a/packages/utils/src/lib/ManualClock.test.ts
+++ b/packages/utils/src/lib/ManualClock.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from './ManualClock.js';
 
 describe('ManualClock', () => {
-  it('runs timers in order of due time, then of setting, and skips cancelled ones', () => {
+  it('runs timers by due time, then in the order they were set, and skips cancelled ones', () => {
     const clock = new ManualClock(10);
     const calls: string[] = [];
     clock.setTimer(30, () => calls.push(`late@${clock.now()}`));
--- a/packages/utils/src/lib/ManualClock.ts
+++ b/packages/utils/src/lib/ManualClock.ts
@@ -2,18 +2,20 @@
 
 interface PendingTimer {
   due: Milliseconds;
-  order: number;
+  sequence: number;
   callback: () => void;
 }
 
-/** Sorts by time, then by the order of setting, so that runs repeat exactly. */
+/**
+ * Sorts by due time, then by the order in which the timers were set, so that runs are reproducible.
+ */
 function compareTimers(left: PendingTimer, right: PendingTimer): number {
-  return left.due - right.due || left.order - right.order;
+  return left.due - right.due || left.sequence - right.sequence;
 }
 
 /**
- * A clock that moves only when told to; timers run in order of their due time. The queue is a
- * binary heap, since experiments hold hundreds of thousands of timers.
+ * A clock that advances only when told to, and runs timers in order of their due time. The queue is
+ * a binary heap because experiments have hundreds of thousands of pending timers.
  *
  * @example
  * ```ts
@@ -26,13 +28,13 @@
 export class ManualClock implements Clock {
   private time: Milliseconds;
 
-  private order = 0;
+  private sequence = 0;
 
   private readonly heap: PendingTimer[] = [];
 
   private readonly cancelled = new WeakSet<PendingTimer>();
 
-  /** @param start - the first reading, in milliseconds */
+  /** @param start - the initial time, in milliseconds */
   constructor(start: Milliseconds = 0) {
     this.time = start;
   }
@@ -42,24 +44,24 @@
   }
 
   setTimer(delay: Milliseconds, callback: () => void): Timer {
-    this.order += 1;
-    const timer = { due: this.time + Math.max(0, delay), order: this.order, callback };
+    this.sequence += 1;
+    const timer = { due: this.time + Math.max(0, delay), sequence: this.sequence, callback };
     this.push(timer);
     return { cancel: () => this.cancelled.add(timer) };
   }
 
-  /** Moves time forward, running each timer that falls due at its own time. */
-  advance(span: Milliseconds): void {
-    const end = this.time + span;
+  /** Advances the time, and runs each timer that is due on the way at its own due time. */
+  advance(duration: Milliseconds): void {
+    const end = this.time + duration;
     while (this.runNext(end));
     this.time = end;
   }
 
   /**
-   * Jumps to the next timer and runs it.
+   * Advances to the next timer and runs it.
    *
    * @param limit - timers due later than this stay pending
-   * @returns false when no timer is due up to the limit
+   * @returns false if no timer is due up to the limit
    */
   runNext(limit: Milliseconds = Number.POSITIVE_INFINITY): boolean {
     for (;;) {
--- a/packages/utils/src/lib/Result.ts
+++ b/packages/utils/src/lib/Result.ts
@@ -1,5 +1,5 @@
 /**
- * The answer of an operation whose failure is an ordinary outcome, not an exception.
+ * The result of an operation whose failures are expected and not thrown as exceptions.
  *
  * @public
  */
--- a/packages/utils/src/lib/StepError.ts
+++ b/packages/utils/src/lib/StepError.ts
@@ -1,6 +1,6 @@
 /**
- * An error that says at which step it arose and which peer was on the other end, so that a log
- * line alone is enough to find the broken path.
+ * An error that includes the step that failed and the peer at the other end, so that a single log
+ * line is enough to locate the failing connection.
  *
  * @example
  * ```ts
@@ -15,7 +15,7 @@
 
   /**
    * @param message - what went wrong
-   * @param context - the step, the peer (an address or a name) and the error underneath, if any
+   * @param context - the step, the peer (an address or a name) and the underlying error, if any
    */
   constructor(message: string, context: { step: string; peer: string; cause?: unknown }) {
     super(`${context.step} (${context.peer}): ${message}`, { cause: context.cause });
--- a/packages/utils/src/lib/SystemClock.ts
+++ b/packages/utils/src/lib/SystemClock.ts
@@ -1,7 +1,8 @@
 import type { Clock, Milliseconds, Timer } from './Clock.js';
 
 /**
- * The machine's clock, made monotonic: a step of the wall clock must not shorten a timeout.
+ * A monotonic clock based on the machine's time: a step of the wall clock must not shorten a
+ * timeout.
  *
  * @example
  * ```ts
@@ -18,7 +19,7 @@
 
   // eslint-disable-next-line class-methods-use-this
   setTimer(delay: Milliseconds, callback: () => void): Timer {
-    const handle = setTimeout(callback, Math.max(0, delay));
-    return { cancel: () => clearTimeout(handle) };
+    const timeout = setTimeout(callback, Math.max(0, delay));
+    return { cancel: () => clearTimeout(timeout) };
   }
 }
--- a/packages/utils/src/lib/assert.ts
+++ b/packages/utils/src/lib/assert.ts
@@ -1,9 +1,9 @@
 /**
- * Stops at once where an invariant of ours does not hold, instead of carrying a wrong state on.
+ * Throws an error if an invariant does not hold, instead of continuing with an inconsistent state.
  *
- * @param condition - what must be true
- * @param message - what was expected, for the reader of the stack trace
- * @throws Error when the condition is false
+ * @param condition - the condition that must be true
+ * @param message - a description of the invariant, for the error message
+ * @throws Error if the condition is false
  * @example
  * ```ts
  * assert(slots > 0, 'a replica has at least one slot');
--- a/packages/utils/src/lib/exhaustiveSwitchError.ts
+++ b/packages/utils/src/lib/exhaustiveSwitchError.ts
@@ -1,8 +1,9 @@
 /**
- * The error for the default branch of an exhaustive switch. The compiler refuses the call while a
- * variant is unhandled; at run time it names a value that came from outside our types.
+ * Creates the error for the default branch of an exhaustive switch. The compiler rejects the call
+ * while a variant is unhandled. At run time, the message shows a value that does not match its
+ * type.
  *
- * @param value - the value no branch took
+ * @param value - the unhandled value
  * @example
  * ```ts
  * default: throw exhaustiveSwitchError(message);
--- a/packages/utils/src/lib/hash.ts
+++ b/packages/utils/src/lib/hash.ts
@@ -3,7 +3,7 @@
 const xxhash = await createXxhash();
 
 /**
- * A fast 32-bit hash, the same on every daemon. Not for secrets.
+ * Returns a fast 32-bit hash that is the same on every daemon. Not cryptographically secure.
  *
  * @example
  * ```ts
@@ -16,7 +16,8 @@
 }
 
 /**
- * A 64-bit hash as sixteen hexadecimal digits, for content addresses. Not for secrets.
+ * Returns a 64-bit hash as sixteen hexadecimal digits, for content addresses. Not cryptographically
+ * secure.
  *
  * @example
  * ```ts
@@ -29,8 +30,8 @@
 }
 
 /**
- * How strongly a key prefers a candidate: every daemon that knows both computes the same score,
- * so daemons agree on owners without talking.
+ * Returns the rendezvous hashing score of a candidate for a key. Every daemon that knows both
+ * computes the same score, so daemons agree on owners without communicating.
  *
  * @example
  * ```ts
@@ -43,8 +44,8 @@
 }
 
 /**
- * The candidates in the order of a key's preference. A candidate that leaves moves only the keys
- * that preferred it.
+ * Returns the candidates for a key in order of rendezvous hashing. When a candidate leaves, only
+ * the keys that preferred it move.
  *
  * @example
  * ```ts
--- a/packages/utils/src/lib/random.ts
+++ b/packages/utils/src/lib/random.ts
@@ -1,23 +1,23 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /**
- * A stream of random numbers that repeats for the same seed.
+ * A random number generator that produces the same sequence for the same seed.
  *
  * @public
  */
 export interface Random {
-  /** A number from 0 (included) to 1 (excluded). */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number;
-  /** A whole number from 0 (included) to `bound` (excluded). */
+  /** Returns an integer from 0 (inclusive) to `bound` (exclusive). */
   integer(bound: number): number;
 }
 
 const TWO_TO_32 = 4294967296;
 
 /**
- * Creates a random stream.
+ * Creates a random number generator.
  *
- * @param seed - any whole number; the same seed gives the same stream
+ * @param seed - any integer; the same seed produces the same sequence
  * @example
  * ```ts
  * const random = createRandom(1);
