--- a/packages/lease/src/lib/Lease/Lease.ts
+++ b/packages/lease/src/lib/Lease/Lease.ts
@@ -292,8 +292,8 @@
     if (this.isOwn(observed.record)) {
       return observed.unchangedSince;
     }
-    const span = observed.record?.grantedFor ?? options.span;
-    return observed.unchangedSince + span + this.rank * options.candidateDelay;
+    const duration = observed.record?.grantedFor ?? options.span;
+    return observed.unchangedSince + duration + this.rank * options.candidateDelay;
   }
 
   /**
