--- a/packages/callers/src/lib/waitForAccepted.ts
+++ b/packages/callers/src/lib/waitForAccepted.ts
@@ -6,7 +6,7 @@
  *
  * @example
  * ```ts
- * await waitForAccepted();
+ * await waitForPendingConnections();
  * server.close();
  * ```
  * @public
