--- a/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
@@ -7,7 +7,7 @@
 import { flushTasks } from '@apricotrill/standins';
 import { createConfiguration } from '../../test/PlacementWorld.js';
 import { EngineUnavailableError } from '../EngineClient/EngineClient.js';
-import { HttpEngineClient } from "./HttpEngineClient.js";
+import { HttpEngineClient } from './HttpEngineClient.js';
 
 const state = { loaded: ['a@1'], loading: [], role: 'mixed', highestFencingNumber: 3 };
 const order = { kind: 'load' as const, model: 'a', version: '1' };
