--- a/packages/placement/src/bench/placementCost.ts
+++ b/packages/placement/src/bench/placementCost.ts
@@ -5,7 +5,7 @@
 import { getLeaseRank } from '@apricotrill/lease';
 import { defaultPlacementOptions } from '../lib/placementOptions.js';
 import { measureHolder } from './measureHolder.js';
-import { measureLooks } from './measureLooks.js';
+import { measureLooks } from './measureObservations.js';
 import { measurePlanner } from './measurePlanner.js';
 
 const SIZES = [10, 100, 1_000, 6_900];
--- a/packages/placement/src/lib/DesiredPlacement/getDesiredPlacement.ts
+++ b/packages/placement/src/lib/DesiredPlacement/getDesiredPlacement.ts
@@ -1,7 +1,7 @@
 import { ServiceKind } from '@apricotrill/model';
 import type { Configuration, Replica, Service, EngineRole } from '@apricotrill/model';
 import { getBaseName, getLoadableModel } from '../modelName.js';
-import { getSpread } from './getSpread.js';
+import { getSpread } from './spreadModels.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
 /**
--- a/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo } from 'node:net';
 import type { Server, ServerResponse } from 'node:http';
 import { flushTasks } from '@apricotrill/standins';
-import { createConfiguration } from '../../test/PlacementWorld.js';
+import { createConfiguration } from '../../test/PlacementHarness.js';
 import { EngineUnavailableError } from '../EngineClient/EngineClient.js';
 import { HttpEngineClient } from '../HttpEngineClient/HttpEngineClient.js';
 
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import { createRandom } from '@apricotrill/utils';
 import { createDelayGenerator } from '@apricotrill/standins';
-import { PlacementWorld, worldOptions } from '../../test/PlacementWorld.js';
-import type { Placements } from '../../test/PlacementWorld.js';
+import { PlacementWorld, worldOptions } from '../../test/PlacementHarness.js';
+import type { Placements } from '../../test/PlacementHarness.js';
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 60);
 const SEED = Number(process.env.FUZZ_SEED ?? 4);
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
@@ -1,7 +1,7 @@
-import { PlacementWorld, worldOptions } from '../../test/PlacementWorld.js';
+import { PlacementWorld, worldOptions } from '../../test/PlacementHarness.js';
 import { DropReason } from '../PlacementEvent.js';
 import type { Arrival } from '../../test/FakeEngine.js';
-import type { Placements } from '../../test/PlacementWorld.js';
+import type { Placements } from '../../test/PlacementHarness.js';
 
 /** One engine carries a model too many, which a look at the other one allows to unload. */
 const WANTED: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1'] };
--- a/packages/placement/src/lib/PlacementManager/getLoadRates.test.ts
+++ b/packages/placement/src/lib/PlacementManager/getLoadRates.test.ts
@@ -1,4 +1,4 @@
-import { createConfiguration } from '../../test/PlacementWorld.js';
+import { createConfiguration } from '../../test/PlacementHarness.js';
 import { getLoadRates } from './getLoadRates.js';
 
 describe('getLoadRates', () => {
--- a/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
+++ b/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { EngineRole } from '@apricotrill/model';
-import { createConfiguration } from '../../test/PlacementWorld.js';
+import { createConfiguration } from '../../test/PlacementHarness.js';
 import { getDesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
 import { getBaseName, getLoadableName } from '../modelName.js';
 import { defaultPlacementOptions } from '../placementOptions.js';
--- a/packages/placement/src/lib/ServicePlacement/OrderSender.ts
+++ b/packages/placement/src/lib/ServicePlacement/OrderSender.ts
@@ -7,7 +7,7 @@
 import type { EngineTable } from '../EngineTable/EngineTable.js';
 import type { OrderContext, OrderEvent } from '../PlacementEvent.js';
 import type { PlannedOrder, Witness } from '../PlacementPlanner/PlacementPlanner.js';
-import type { ServiceSettings } from './ServiceSettings.js';
+import type { ServiceSettings } from './ServicePlacementSettings.js';
 
 /** What a plan was made on. An order goes out only while all of it still holds. */
 export interface PlanBasis {
--- a/packages/placement/src/lib/ServicePlacement/ServicePlacement.ts
+++ b/packages/placement/src/lib/ServicePlacement/ServicePlacement.ts
@@ -9,7 +9,7 @@
 import { OrderSender } from './OrderSender.js';
 import type { DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
 import type { PlannedOrder } from '../PlacementPlanner/PlacementPlanner.js';
-import type { ServiceSettings } from './ServiceSettings.js';
+import type { ServiceSettings } from './ServicePlacementSettings.js';
 
 const NOTHING: DesiredPlacement = { engines: new Map(), unversioned: [] };
 
