--- a/packages/keys/src/lib/KeyError.ts
+++ b/packages/keys/src/lib/KeyError.ts
@@ -1,7 +1,7 @@
 import { StepError } from '@apricotrill/utils';
 
 /**
- * Keys that can't be used; `peer` is the file they came from.
+ * The keys cannot be used; `peer` is the file, or the part of the key material, at fault.
  *
  * @public
  */
--- a/packages/keys/src/lib/KeyFiles/KeyFiles.test.ts
+++ b/packages/keys/src/lib/KeyFiles/KeyFiles.test.ts
@@ -12,12 +12,12 @@
   let files: KeyFileNames;
   let authority: CertificateAuthority;
   let keyFiles: KeyFiles;
-  const decisions: KeyEvent[] = [];
+  const events: KeyEvent[] = [];
 
-  async function write({ certificate, privateKey, caCertificate: ca }: KeyMaterial): Promise<void> {
+  async function write({ certificate, privateKey, caCertificate }: KeyMaterial): Promise<void> {
     await writeFile(files.certFile, certificate);
     await writeFile(files.keyFile, privateKey);
-    await writeFile(files.caFile, ca);
+    await writeFile(files.caFile, caCertificate);
   }
 
   beforeEach(async () => {
@@ -28,11 +28,11 @@
       caFile: join(directory, 'ca.pem'),
     };
     authority = await CertificateAuthority.create('test');
-    decisions.length = 0;
+    events.length = 0;
     keyFiles = new KeyFiles({
       files,
       clock: new SystemClock(),
-      onEvent: (decision) => decisions.push(decision),
+      onEvent: (event) => events.push(event),
     });
   });
 
@@ -41,48 +41,47 @@
     await rm(directory, { recursive: true });
   });
 
-  it('tells its listeners of new keys, and only of new ones', async () => {
+  it('notifies its listeners of new keys only', async () => {
     await write(await authority.issue('daemon-1'));
     await keyFiles.load();
-    const heard: KeyMaterial[] = [];
-    keyFiles.onChange((keys) => heard.push(keys));
+    const receivedKeys: KeyMaterial[] = [];
+    keyFiles.onChange((keys) => receivedKeys.push(keys));
     await keyFiles.refresh();
-    expect(heard).toHaveLength(0);
-    const next = await authority.issue('daemon-1');
-    await write(next);
+    expect(receivedKeys).toHaveLength(0);
+    const newKeys = await authority.issue('daemon-1');
+    await write(newKeys);
     await keyFiles.refresh();
-    expect(heard).toEqual([next]);
-    expect(keyFiles.getCurrent()).toEqual(next);
+    expect(receivedKeys).toEqual([newKeys]);
+    expect(keyFiles.getCurrent()).toEqual(newKeys);
   });
 
   /*
-   * Symptom: after a change of keys the daemon refuses every connection.
-   * Sequence: the files are replaced one after the other; the daemon reads them in between.
-   * Cause: a new certificate was taken over beside the key of the old one.
+   * Guards against using a new certificate with the old private key when the files are read while
+   * they are being replaced one by one: the daemon would refuse every connection.
    */
-  it('keeps the old keys while the files do not belong together, then takes the new ones', async () => {
-    const old = await authority.issue('daemon-1');
-    await write(old);
+  it('keeps the old keys while the new files do not match, then uses the new ones', async () => {
+    const oldKeys = await authority.issue('daemon-1');
+    await write(oldKeys);
     await keyFiles.load();
-    const next = await authority.issue('daemon-1');
-    await writeFile(files.certFile, next.certificate);
+    const newKeys = await authority.issue('daemon-1');
+    await writeFile(files.certFile, newKeys.certificate);
     await keyFiles.refresh();
-    expect(keyFiles.getCurrent()).toEqual(old);
-    expect(decisions).toMatchObject([{ kind: 'keys-refused', peer: 'certificate' }]);
-    await writeFile(files.keyFile, next.privateKey);
+    expect(keyFiles.getCurrent()).toEqual(oldKeys);
+    expect(events).toMatchObject([{ kind: 'keys-refused', peer: 'certificate' }]);
+    await writeFile(files.keyFile, newKeys.privateKey);
     await keyFiles.refresh();
-    expect(keyFiles.getCurrent()).toEqual(next);
-    expect(decisions.at(-1)).toEqual({ kind: 'keys-replaced' });
+    expect(keyFiles.getCurrent()).toEqual(newKeys);
+    expect(events.at(-1)).toEqual({ kind: 'keys-replaced' });
   });
 
   it.each([
     [
-      'is half written',
+      'is partly written',
       async (keys: KeyMaterial) => ({ ...keys, certificate: keys.certificate.subarray(0, 200) }),
     ],
-    ['is out of date', async () => authority.issue('daemon-1', -1000)],
-  ])('refuses to start with a certificate that %s', async (_what, spoil) => {
-    await write(await spoil(await authority.issue('daemon-1')));
+    ['is expired', async () => authority.issue('daemon-1', -1000)],
+  ])('refuses to start with a certificate that %s', async (_fault, corrupt) => {
+    await write(await corrupt(await authority.issue('daemon-1')));
     await expect(keyFiles.load()).rejects.toMatchObject({ step: 'keys', peer: 'certificate' });
   });
 
--- a/packages/keys/src/lib/KeyFiles/KeyFiles.ts
+++ b/packages/keys/src/lib/KeyFiles/KeyFiles.ts
@@ -5,7 +5,7 @@
 import type { KeyMaterial, KeySource } from '../KeyMaterial.js';
 
 /**
- * Where the keys lie.
+ * The paths of the key files.
  *
  * @public
  */
@@ -16,7 +16,7 @@
 }
 
 /**
- * What became of the files when they were read again.
+ * Reports new keys in use, or key files that were rejected.
  *
  * @public
  */
@@ -24,16 +24,16 @@
   { kind: 'keys-replaced' } | { kind: 'keys-refused'; reason: string; peer: string };
 
 /**
- * What key files are read with.
+ * Constructor arguments of {@link KeyFiles}.
  *
  * @public
  */
 export interface KeySettings {
   files: KeyFileNames;
   clock: Clock;
-  /** How often the files are read; default 10 s. */
+  /** Interval between reads of the files. Default 10 s. */
   interval?: Milliseconds;
-  onEvent?: (decision: KeyEvent) => void;
+  onEvent?: (event: KeyEvent) => void;
 }
 
 const DEFAULT_INTERVAL: Milliseconds = 10_000;
@@ -50,22 +50,22 @@
   try {
     return await readFile(file);
   } catch (cause) {
-    throw new KeyError('the file can not be read', { step: 'keys', peer: file, cause });
+    throw new KeyError('key file cannot be read', { step: 'keys', peer: file, cause });
   }
 }
 
 async function readKeyMaterial(files: KeyFileNames): Promise<KeyMaterial> {
-  const [certificate, privateKey, authority] = await Promise.all([
+  const [certificate, privateKey, caCertificate] = await Promise.all([
     readKeyFile(files.certFile),
     readKeyFile(files.keyFile),
     readKeyFile(files.caFile),
   ]);
-  return { certificate, privateKey, caCertificate: authority };
+  return { certificate, privateKey, caCertificate };
 }
 
 /**
- * The newest usable keys of a daemon. The files are read at an interval and not watched: a watch
- * misses replacements by rename on some file systems, and an interval costs three small reads.
+ * The newest valid keys of a daemon. The files are polled instead of watched: a file watch misses
+ * replacement by rename on some file systems, and each poll costs only three small reads.
  *
  * @example
  * ```ts
@@ -87,9 +87,9 @@
   constructor(private readonly settings: KeySettings) {}
 
   /**
-   * Reads the files for the first time and from then on at the interval.
+   * Reads the files for the first time and then at the interval.
    *
-   * @throws KeyError when they can't be used: a daemon must not start without its keys
+   * @throws KeyError when the keys are not valid: a daemon must not start without its keys
    */
   async load(): Promise<void> {
     const keys = await readKeyMaterial(this.settings.files);
@@ -98,10 +98,10 @@
     this.schedule();
   }
 
-  /** The keys in use; {@link KeyFiles.load} must have ended. */
+  /** The keys in use; {@link KeyFiles.load} must have completed. */
   getCurrent(): KeyMaterial {
     if (this.current === undefined) {
-      throw new KeyError('the keys are not loaded yet', {
+      throw new KeyError('keys are not loaded yet', {
         step: 'keys',
         peer: this.settings.files.certFile,
       });
@@ -114,7 +114,7 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** Reads the files now and takes them over if they are new and usable. */
+  /** Reads the files now and uses the keys if they are new and valid. */
   async refresh(): Promise<void> {
     try {
       const keys = await readKeyMaterial(this.settings.files);
--- a/packages/keys/src/lib/KeyMaterial.ts
+++ b/packages/keys/src/lib/KeyMaterial.ts
@@ -1,22 +1,23 @@
 /**
- * What a daemon proves itself with, and what it checks others by. All three are PEM texts.
+ * A daemon's certificate and private key, and the CA certificate that verifies peers, in PEM
+ * format.
  *
  * @public
  */
 export interface KeyMaterial {
   certificate: Buffer;
   privateKey: Buffer;
-  /** The authority that signs the certificates of all daemons. */
+  /** The certificate authority that signs the certificates of all daemons. */
   caCertificate: Buffer;
 }
 
 /**
- * Where the newest keys come from.
+ * Provides the current keys and notifies of changes.
  *
  * @public
  */
 export interface KeySource {
   getCurrent(): KeyMaterial;
-  /** Calls back with each new set of keys; returns how to stop that. */
+  /** Calls the listener with each new set of keys; returns a function that unsubscribes it. */
   onChange(listener: (keys: KeyMaterial) => void): () => void;
 }
--- a/packages/keys/src/lib/checkKeyMaterial.ts
+++ b/packages/keys/src/lib/checkKeyMaterial.ts
@@ -5,21 +5,21 @@
 
 const STEP = 'keys';
 
-function parse<Value>(what: string, read: () => Value): Value {
+function parse<Value>(partName: string, parsePart: () => Value): Value {
   try {
-    return read();
+    return parsePart();
   } catch (cause) {
-    throw new KeyError(`it holds no ${what} in PEM form`, { step: STEP, peer: what, cause });
+    throw new KeyError(`no valid ${partName} in PEM format`, { step: STEP, peer: partName, cause });
   }
 }
 
 /**
- * Refuses keys that would take a daemon off the network: files that are half written, a certificate
- * beside the key of another one, or a certificate that is out of date.
+ * Rejects keys that would disconnect a daemon from its peers: partly written files, a certificate
+ * that does not match the private key, or a certificate that is expired or not yet valid.
  *
- * @param keys - what the files held
+ * @param keys - the contents of the files
  * @param now - milliseconds since the epoch
- * @throws KeyError saying which file is wrong and why
+ * @throws KeyError that states which file is wrong and why
  * @example
  * ```ts
  * checkKeyMaterial(keys, clock.now());
@@ -31,13 +31,16 @@
   const privateKey = parse('private key', () => createPrivateKey(keys.privateKey));
   parse('authority', () => new X509Certificate(keys.caCertificate));
   if (!certificate.checkPrivateKey(privateKey)) {
-    throw new KeyError('it does not belong to the private key', {
+    throw new KeyError('certificate does not match the private key', {
       step: STEP,
       peer: 'certificate',
     });
   }
   if (now < Date.parse(certificate.validFrom) || now > Date.parse(certificate.validTo)) {
-    const span = `${certificate.validFrom} to ${certificate.validTo}`;
-    throw new KeyError(`it is valid from ${span} only`, { step: STEP, peer: 'certificate' });
+    const validity = `${certificate.validFrom} to ${certificate.validTo}`;
+    throw new KeyError(`certificate is valid only from ${validity}`, {
+      step: STEP,
+      peer: 'certificate',
+    });
   }
 }
