--- a/packages/placement/src/bench/createFleet.ts
+++ b/packages/placement/src/bench/createFleet.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * A configuration with one model service of so many replicas, for measurements.
+ * Creates a configuration with one model service of the given size, for benchmarks.
  *
  * @internal
  */
--- a/packages/placement/src/bench/measureHolder.ts
+++ b/packages/placement/src/bench/measureHolder.ts
@@ -7,25 +7,25 @@
 import { createFleet } from './createFleet.js';
 import type { EngineClient } from '../lib/EngineClient/EngineClient.js';
 
-const SECOND = 1_000;
-const SETTLING = 1_200 * SECOND;
-const MEASURED = 600 * SECOND;
+const MILLISECONDS_PER_SECOND = 1_000;
+const SETTLING_DURATION = 1_200 * MILLISECONDS_PER_SECOND;
+const MEASURED_DURATION = 600 * MILLISECONDS_PER_SECOND;
 
-/** What a holder does while every engine is as it should be, per second. */
+/** The cost of a lease holder whose engines have all converged, per second. */
 interface HolderCost {
-  looks: number;
+  observations: number;
   storeReads: number;
   storeWrites: number;
-  /** Milliseconds of processor time, without the sockets. */
-  processor: number;
-  /** From the lease to the last engine seen, in seconds. */
-  firstRound: number;
+  /** Milliseconds of processor time, without network I/O. */
+  processorTime: number;
+  /** From acquiring the lease to observing the last engine, in seconds. */
+  firstRoundDuration: number;
 }
 
 function createStore(counts: { reads: number; writes: number }): PlatformStore {
   let object: StoredObject | undefined;
   let version = 0;
-  const missing = () => Promise.reject(new Error('not needed here'));
+  const unsupported = () => Promise.reject(new Error('not needed here'));
   return {
     get: async () => {
       Object.assign(counts, { reads: counts.reads + 1 });
@@ -37,14 +37,14 @@
       object = { key, value, version };
       return { kind: 'accepted', version };
     },
-    delete: missing,
-    list: missing,
-    watch: missing,
+    delete: unsupported,
+    list: unsupported,
+    watch: unsupported,
   };
 }
 
-async function advance(clock: ManualClock, span: number): Promise<void> {
-  const end = clock.now() + span;
+async function advance(clock: ManualClock, duration: number): Promise<void> {
+  const end = clock.now() + duration;
   while (clock.runNext(end)) {
     // eslint-disable-next-line no-await-in-loop
     await new Promise((resolve) => {
@@ -55,21 +55,21 @@
 }
 
 /**
- * Runs one holder on a clock of its own over a service whose engines are as they should be, and
- * counts its calls. Engines and store answer in process.
+ * Runs one lease holder on a manual clock for a service whose engines have all converged, and
+ * counts its calls. Engines and store are simulated in process.
  *
  * @internal
  */
 export async function measureHolder(replicas: number): Promise<HolderCost> {
   const clock = new ManualClock(0);
-  const counts = { reads: 0, writes: 0, looks: 0 };
-  const times = { gained: 0, met: 0 };
+  const counts = { reads: 0, writes: 0, observations: 0 };
+  const eventTimes = { leaseGained: 0, lastEngineMet: 0 };
   const configuration = createFleet(replicas, ['model-1@1']);
   const { engines } = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
-  const orders: EngineClient = {
+  const engineClient: EngineClient = {
     observe: async ({ id }) => {
-      counts.looks += 1;
-      const loaded = [...engines.get(id)!.names];
+      counts.observations += 1;
+      const loaded = [...engines.get(id)!.modelNames];
       return { loaded, loading: [], role: EngineRole.Mixed, highestFencingNumber: 0 };
     },
     order: () => Promise.reject(new Error('no order is due')),
@@ -79,25 +79,26 @@
     clock,
     random: createRandom(1),
     store: createStore(counts),
-    engines: orders,
+    engines: engineClient,
     getConfiguration: () => configuration,
     onEvent: ({ kind, at }) => {
-      times.gained = kind === 'lease-gained' ? at : times.gained;
-      times.met = kind === 'engine-met' ? at : times.met;
+      eventTimes.leaseGained = kind === 'lease-gained' ? at : eventTimes.leaseGained;
+      eventTimes.lastEngineMet = kind === 'engine-met' ? at : eventTimes.lastEngineMet;
     },
   });
-  await advance(clock, SETTLING);
+  await advance(clock, SETTLING_DURATION);
   const before = { ...counts };
   const start = process.cpuUsage();
-  await advance(clock, MEASURED);
+  await advance(clock, MEASURED_DURATION);
   const { user, system } = process.cpuUsage(start);
   manager.dispose();
-  const seconds = MEASURED / SECOND;
+  const seconds = MEASURED_DURATION / MILLISECONDS_PER_SECOND;
   return {
-    looks: (counts.looks - before.looks) / seconds,
+    observations: (counts.observations - before.observations) / seconds,
     storeReads: (counts.reads - before.reads) / seconds,
     storeWrites: (counts.writes - before.writes) / seconds,
-    processor: (user + system) / SECOND / seconds,
-    firstRound: (times.met - times.gained) / SECOND,
+    processorTime: (user + system) / MILLISECONDS_PER_SECOND / seconds,
+    firstRoundDuration:
+      (eventTimes.lastEngineMet - eventTimes.leaseGained) / MILLISECONDS_PER_SECOND,
   };
 }
--- a/packages/placement/src/bench/measureObservations.ts
+++ b/packages/placement/src/bench/measureObservations.ts
@@ -5,42 +5,42 @@
 import { createFleet } from './createFleet.js';
 
 const WARM_UP = 500;
-const LOOKS = 2_000;
+const OBSERVATIONS = 2_000;
 
-/** What one look at an engine costs over HTTP. */
-interface LookCost {
-  /** Milliseconds the daemon's thread was busy. */
-  processor: number;
-  /** Bytes of HTTP, both ways. */
+/** The cost of observing one engine over HTTP. */
+interface ObservationCost {
+  /** Milliseconds that the daemon's thread was busy. */
+  processorTime: number;
+  /** Bytes of HTTP in both directions. */
   bytes: number;
 }
 
 /**
- * Measures looks at a stand-in that runs in a thread of its own.
+ * Measures observations of a simulated engine that runs in a separate thread.
  *
- * @param closes - whether each look opens a connection of its own
+ * @param closesConnections - whether each observation opens a new connection
  * @internal
  */
-export async function measureLooks(closes: boolean): Promise<LookCost> {
+export async function measureObservations(closesConnections: boolean): Promise<ObservationCost> {
   const worker = new Worker(new URL('./stateServer.js', import.meta.url), {
-    workerData: { closes },
+    workerData: { closesConnections },
   });
   const [{ port }] = await once(worker, 'message');
   const replica = { ...createFleet(1, []).register.replicas[0]!, port };
   const engines = new HttpEngineClient(new SystemClock());
-  const look = async (count: number) => {
+  const observe = async (count: number) => {
     for (let index = 0; index < count; index += 1) {
       // eslint-disable-next-line no-await-in-loop
       await engines.observe(replica);
     }
   };
-  await look(WARM_UP);
+  await observe(WARM_UP);
   const start = performance.eventLoopUtilization();
-  await look(LOOKS);
+  await observe(OBSERVATIONS);
   const { active } = performance.eventLoopUtilization(start);
   worker.postMessage('stop');
   const [traffic] = await once(worker, 'message');
   await engines.dispose();
   await worker.terminate();
-  return { processor: active / LOOKS, bytes: traffic.bytes / (WARM_UP + LOOKS) };
+  return { processorTime: active / OBSERVATIONS, bytes: traffic.bytes / (WARM_UP + OBSERVATIONS) };
 }
--- a/packages/placement/src/bench/measurePlanner.ts
+++ b/packages/placement/src/bench/measurePlanner.ts
@@ -6,28 +6,28 @@
 import type { EngineState } from '../lib/EngineClient/EngineClient.js';
 
 const MODELS = Array.from({ length: 21 }, (_, index) => `model-${index}@1`);
-const MINIMUM_SPAN = 300;
+const MIN_DURATION = 300;
 
-/** Processor time of one run, in milliseconds, over at least 300 ms of runs. */
-function getSpan(run: () => void): number {
+/** Average time of one run in milliseconds, measured over at least 300 ms of runs. */
+function measureDuration(run: () => void): number {
   run();
   const start = performance.now();
   let runs = 0;
-  while (performance.now() - start < MINIMUM_SPAN) {
+  while (performance.now() - start < MIN_DURATION) {
     run();
     runs += 1;
   }
   return (performance.now() - start) / runs;
 }
 
-/** What planning costs, in milliseconds of processor time. */
+/** The cost of planning, in milliseconds. */
 interface PlannerCost {
-  /** Once per configuration in force. */
-  desired: number;
-  /** A round in which all engines are as they should be. */
-  quiet: number;
-  /** A round in which every engine lacks its models. */
-  busy: number;
+  /** Determining the desired placement, once per configuration. */
+  desiredPlacement: number;
+  /** Planning a round in which all engines have converged. */
+  convergedPlan: number;
+  /** Planning a round in which every engine lacks its models. */
+  fullPlan: number;
 }
 
 /**
@@ -39,27 +39,32 @@
   const configuration = createFleet(replicas, MODELS);
   const getDesired = () => getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
   const desired = getDesired();
-  const createStates = (getLoaded: (names: string[]) => string[]) =>
+  const createStates = (getLoaded: (modelNames: string[]) => string[]) =>
     new Map<string, EngineState>(
-      [...desired.engines].map(([id, { names }]) => [
+      [...desired.engines].map(([id, { modelNames }]) => [
         id,
-        { loaded: getLoaded(names), loading: [], role: EngineRole.Mixed, highestFencingNumber: 0 },
+        {
+          loaded: getLoaded(modelNames),
+          loading: [],
+          role: EngineRole.Mixed,
+          highestFencingNumber: 0,
+        },
       ]),
     );
-  const none = new Set<string>();
+  const noEngines = new Set<string>();
   const plan = (observed: Map<string, EngineState>) =>
     new PlacementPlanner({
       desired,
       observed,
-      busy: none,
-      resting: none,
-      changingAtMost: Math.max(1, replicas * defaultPlacementOptions.changingShare),
+      pending: noEngines,
+      suspended: noEngines,
+      maxChanging: Math.max(1, replicas * defaultPlacementOptions.maxChangingRatio),
     }).getOrders();
-  const converged = createStates((names) => [...names]);
+  const converged = createStates((modelNames) => [...modelNames]);
   const empty = createStates(() => []);
   return {
-    desired: getSpan(getDesired),
-    quiet: getSpan(() => plan(converged)),
-    busy: getSpan(() => plan(empty)),
+    desiredPlacement: measureDuration(getDesired),
+    convergedPlan: measureDuration(() => plan(converged)),
+    fullPlan: measureDuration(() => plan(empty)),
   };
 }
--- a/packages/placement/src/bench/stateServer.ts
+++ b/packages/placement/src/bench/stateServer.ts
@@ -1,15 +1,17 @@
-/** A worker thread that stands in for engines: it answers every look, and reports its traffic. */
+/**
+ * A worker thread that simulates an engine: it responds to observations and reports its traffic.
+ */
 import { createServer } from 'node:http';
 import { parentPort, workerData } from 'node:worker_threads';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** How the stand-in answers. */
+/** The worker's settings. */
 interface StateServerData {
-  /** Whether each answer closes its connection, as happens between looks a minute apart. */
-  closes: boolean;
+  /** Whether each response closes its connection, as when observations are a minute apart. */
+  closesConnections: boolean;
 }
 
-const { closes } = workerData as StateServerData;
+const { closesConnections } = workerData as StateServerData;
 const sockets: Socket[] = [];
 const body = JSON.stringify({
   loaded: ['kielimalli-suuri:tarjous@12'],
@@ -19,7 +21,10 @@
 });
 
 const server = createServer((_request, response) => {
-  const headers = { 'content-type': 'application/json', ...(closes && { connection: 'close' }) };
+  const headers = {
+    'content-type': 'application/json',
+    ...(closesConnections && { connection: 'close' }),
+  };
   response.writeHead(200, headers).end(body);
 });
 
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -9,7 +9,7 @@
   EngineClient,
   EngineState,
   LoadableModel,
-  NumberedOrder,
+  FencedOrder,
   OrderOutcome,
 } from './lib/EngineClient/EngineClient.js';
 export { HttpEngineClient } from './lib/HttpEngineClient/HttpEngineClient.js';
@@ -20,4 +20,8 @@
 export { defaultPlacementOptions } from './lib/placementOptions.js';
 export type { PlacementOptions } from './lib/placementOptions.js';
 export { OrderReason, PlacementPlanner } from './lib/PlacementPlanner/PlacementPlanner.js';
-export type { PlanInput, PlannedOrder, Witness } from './lib/PlacementPlanner/PlacementPlanner.js';
+export type {
+  PlanInput,
+  PlannedOrder,
+  RemainingCopy,
+} from './lib/PlacementPlanner/PlacementPlanner.js';
--- a/packages/placement/src/lib/DesiredPlacement/getDesiredPlacement.ts
+++ b/packages/placement/src/lib/DesiredPlacement/getDesiredPlacement.ts
@@ -1,54 +1,54 @@
 import { ServiceKind } from '@apricotrill/model';
 import type { Configuration, Replica, Service, EngineRole } from '@apricotrill/model';
 import { getBaseName, getLoadableModel } from '../modelName.js';
-import { getSpread } from './spreadModels.js';
+import { spreadModels } from './spreadModels.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
 /**
- * How one engine should be.
+ * The desired state of one engine.
  *
  * @public
  */
 export interface DesiredEngine {
   replica: Replica;
-  /** What it should have loaded, and nothing else; never empty. */
-  names: string[];
-  /** Absent: its role is left as it is. */
+  /** The exact set of models to keep loaded; never empty. */
+  modelNames: string[];
+  /** Undefined leaves the role unchanged. */
   role: EngineRole | undefined;
 }
 
 /**
- * How the engines of a service should be. It follows from the configuration alone and not from
- * what engines report, so that a late report can't make it flap.
+ * The desired state of a service's engines. It depends only on the configuration and not on engine
+ * reports, so that a late report cannot make it oscillate.
  *
  * @public
  */
 export interface DesiredPlacement {
   /**
-   * By replica id. A replica for which nothing is wanted is absent and left alone: an edit that
-   * drops a list by mistake must not empty a fleet.
+   * By replica id. Replicas without desired models are absent and left unchanged, so that an edit
+   * that removes a list by mistake does not unload the models of a whole fleet.
    */
   engines: ReadonlyMap<string, DesiredEngine>;
-  /** Models the service lists without a version: never loaded, as nothing says which, nor unloaded. */
+  /** Models the service lists without a version, which are neither loaded nor unloaded. */
   unversioned: readonly string[];
 }
 
 type SpreadOptions = Pick<PlacementOptions, 'copies' | 'modelsPerReplica'>;
 
-const EMPTY: DesiredPlacement = { engines: new Map(), unversioned: [] };
+const EMPTY_PLACEMENT: DesiredPlacement = { engines: new Map(), unversioned: [] };
 
-function getOfService(service: Service, replicas: Replica[], options: SpreadOptions) {
-  const placedByHand = replicas.filter((replica) => replica.placement.length > 0);
-  const free = replicas.filter((replica) => replica.placement.length === 0);
+function createServicePlacement(service: Service, replicas: Replica[], options: SpreadOptions) {
+  const manualReplicas = replicas.filter((replica) => replica.placement.length > 0);
+  const automaticReplicas = replicas.filter((replica) => replica.placement.length === 0);
   const models = service.models.filter((name) => getLoadableModel(name) !== undefined);
-  const spread = getSpread({ models, placedByHand, free }, options);
+  const spreadNames = spreadModels({ models, manualReplicas, automaticReplicas }, options);
   const engines = new Map<string, DesiredEngine>();
   replicas.forEach((replica) => {
-    const listed =
-      replica.placement.length > 0 ? replica.placement : (spread.get(replica.id) ?? []);
-    const names = [...new Set(listed)].sort();
-    if (names.length > 0) {
-      engines.set(replica.id, { replica, names, role: replica.role });
+    const listedNames =
+      replica.placement.length > 0 ? replica.placement : (spreadNames.get(replica.id) ?? []);
+    const modelNames = [...new Set(listedNames)].sort();
+    if (modelNames.length > 0) {
+      engines.set(replica.id, { replica, modelNames, role: replica.role });
     }
   });
   const unversioned = service.models.filter((name) => getLoadableModel(name) === undefined);
@@ -56,12 +56,12 @@
 }
 
 /**
- * What the accepted configuration wants of a service's engines. A replica's own `placement` goes
- * first; the service's models are spread over the replicas that have none.
+ * Determines the desired state of a service's engines. A replica's own `placement` list takes
+ * precedence; the service's models are spread over the replicas without one.
  *
- * @param configuration - as it is in force
- * @param serviceName - plain and unknown services want nothing
- * @param options - how many copies to spread
+ * @param configuration - the configuration in force
+ * @param serviceName - services that are unknown or of another kind get an empty placement
+ * @param options - the number of copies, and of models per replica
  * @example
  * ```ts
  * const { engines } = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
@@ -76,14 +76,14 @@
   const { services, replicas } = configuration.register;
   const service = services.find(({ name }) => name === serviceName);
   if (service?.kind !== ServiceKind.Model) {
-    return EMPTY;
+    return EMPTY_PLACEMENT;
   }
-  const own = replicas.filter((replica) => replica.service === serviceName);
-  return getOfService(service, own, options);
+  const serviceReplicas = replicas.filter((replica) => replica.service === serviceName);
+  return createServicePlacement(service, serviceReplicas, options);
 }
 
 /**
- * Whether placement may unload a name at all where it isn't wanted.
+ * Whether placement may unload a model from engines where it is not desired.
  *
  * @internal
  */
--- a/packages/placement/src/lib/DesiredPlacement/spreadModels.ts
+++ b/packages/placement/src/lib/DesiredPlacement/spreadModels.ts
@@ -2,37 +2,37 @@
 import type { Replica } from '@apricotrill/model';
 import type { PlacementOptions } from '../placementOptions.js';
 
-/** A service's models and replicas. */
+/** A service's models and its replicas. */
 interface SpreadInput {
-  /** In the operators' order: the first get a spare copy first. */
+  /** In the operators' order: extra copies go to the first models. */
   models: readonly string[];
-  placedByHand: readonly Replica[];
-  free: readonly Replica[];
+  manualReplicas: readonly Replica[];
+  automaticReplicas: readonly Replica[];
 }
 
 type SpreadOptions = Pick<PlacementOptions, 'copies' | 'modelsPerReplica'>;
 
-/** Replicas of one availability zone that don't have the model yet, the preferred last. */
+/** Replicas of one availability zone that may get the model, the preferred one last. */
 interface ZoneCandidates {
   zone: string;
   copies: number;
   replicas: Replica[];
 }
 
-/** How many copies each model should get, in all. */
-function getCopies(input: SpreadInput, options: SpreadOptions): number[] {
-  const places = input.free.length * options.modelsPerReplica;
-  const each = Math.floor(places / input.models.length);
-  const spare = places % input.models.length;
+/** The total number of copies for each model, in the order of the models. */
+function getCopyCounts(input: SpreadInput, options: SpreadOptions): number[] {
+  const totalPlaces = input.automaticReplicas.length * options.modelsPerReplica;
+  const copiesPerModel = Math.floor(totalPlaces / input.models.length);
+  const remainder = totalPlaces % input.models.length;
   return input.models.map((_, index) => {
-    const share = each + (index < spare ? 1 : 0);
-    return Math.min(input.free.length, Math.max(options.copies, share));
+    const share = copiesPerModel + (index < remainder ? 1 : 0);
+    return Math.min(input.automaticReplicas.length, Math.max(options.copies, share));
   });
 }
 
-function getZones(model: string, input: SpreadInput): ZoneCandidates[] {
+function getZoneCandidates(model: string, input: SpreadInput): ZoneCandidates[] {
   const zones = new Map<string, ZoneCandidates>();
-  const scored = input.free.map((replica) => ({
+  const scored = input.automaticReplicas.map((replica) => ({
     replica,
     score: getRendezvousScore(model, replica.id),
   }));
@@ -43,7 +43,7 @@
     entry.replicas.push(replica);
     zones.set(zone, entry);
   });
-  input.placedByHand
+  input.manualReplicas
     .filter(({ placement }) => placement.includes(model))
     .forEach(({ availabilityZone }) => {
       const entry = zones.get(availabilityZone);
@@ -54,39 +54,39 @@
   return [...zones.values()].sort((left, right) => (left.zone < right.zone ? -1 : 1));
 }
 
-/** The zone with the fewest copies that still has a replica to offer. */
-function getScarcestZone(zones: readonly ZoneCandidates[]): ZoneCandidates | undefined {
-  const open = zones.filter(({ replicas }) => replicas.length > 0);
-  return open.reduce<ZoneCandidates | undefined>(
+/** The zone with the fewest copies that still has a candidate replica. */
+function getZoneWithFewestCopies(zones: readonly ZoneCandidates[]): ZoneCandidates | undefined {
+  const availableZones = zones.filter(({ replicas }) => replicas.length > 0);
+  return availableZones.reduce<ZoneCandidates | undefined>(
     (best, zone) => (best === undefined || zone.copies < best.copies ? zone : best),
     undefined,
   );
 }
 
-/** Places models one after the other, keeping each replica within its capacity. */
-class Spread {
-  readonly placed = new Map<string, string[]>();
+/** Places models one at a time, keeping replicas within their capacity where possible. */
+class ModelSpread {
+  readonly modelsByReplica = new Map<string, string[]>();
 
   constructor(
     private readonly input: SpreadInput,
     private readonly capacity: number,
   ) {}
 
-  place(model: string, wanted: number): void {
-    const zones = getZones(model, this.input);
-    const full: Replica[] = [];
-    let missing = wanted;
-    while (missing > 0) {
-      const zone = getScarcestZone(zones);
-      const replica = zone?.replicas.pop() ?? this.takeLeastLoaded(full);
+  place(model: string, copyCount: number): void {
+    const zones = getZoneCandidates(model, this.input);
+    const fullReplicas: Replica[] = [];
+    let remaining = copyCount;
+    while (remaining > 0) {
+      const zone = getZoneWithFewestCopies(zones);
+      const replica = zone?.replicas.pop() ?? this.popReplicaWithFewestModels(fullReplicas);
       if (replica === undefined) {
         return;
       }
-      if (zone !== undefined && this.getNames(replica).length >= this.capacity) {
-        full.push(replica);
+      if (zone !== undefined && this.getModels(replica).length >= this.capacity) {
+        fullReplicas.push(replica);
       } else {
-        this.placed.set(replica.id, [...this.getNames(replica), model]);
-        missing -= 1;
+        this.modelsByReplica.set(replica.id, [...this.getModels(replica), model]);
+        remaining -= 1;
         if (zone !== undefined) {
           zone.copies += 1;
         }
@@ -94,36 +94,39 @@
     }
   }
 
-  private getNames(replica: Replica): string[] {
-    return this.placed.get(replica.id) ?? [];
+  private getModels(replica: Replica): string[] {
+    return this.modelsByReplica.get(replica.id) ?? [];
   }
 
-  /** When every replica without the model is full, a missing copy is worse than a crowded replica. */
-  private takeLeastLoaded(full: Replica[]): Replica | undefined {
-    full.sort((left, right) => this.getNames(right).length - this.getNames(left).length);
-    return full.pop();
+  /** When every candidate is full, exceeding a replica's capacity is better than a missing copy. */
+  private popReplicaWithFewestModels(fullReplicas: Replica[]): Replica | undefined {
+    fullReplicas.sort((left, right) => this.getModels(right).length - this.getModels(left).length);
+    return fullReplicas.pop();
   }
 }
 
 /**
- * Spreads a service's models over the replicas that the register places nothing on: enough copies
- * of each, over as many availability zones as can be, by rendezvous hashing, so that a replica that
- * comes or goes moves little.
+ * Spreads a service's models over its replicas without a `placement` list. Copies of a model are
+ * distributed over as many availability zones as possible, and replicas are chosen by rendezvous
+ * hashing, so that adding or removing a replica moves few models.
  *
- * @returns names by replica id
+ * @returns model names by replica id
  * @internal
  */
-export function getSpread(input: SpreadInput, options: SpreadOptions): Map<string, string[]> {
-  if (input.models.length === 0 || input.free.length === 0) {
+export function spreadModels(input: SpreadInput, options: SpreadOptions): Map<string, string[]> {
+  if (input.models.length === 0 || input.automaticReplicas.length === 0) {
     return new Map();
   }
-  const copies = getCopies(input, options);
-  const total = copies.reduce((sum, count) => sum + count, 0);
-  const capacity = Math.max(options.modelsPerReplica, Math.ceil(total / input.free.length));
-  const spread = new Spread(input, capacity);
+  const copyCounts = getCopyCounts(input, options);
+  const total = copyCounts.reduce((sum, count) => sum + count, 0);
+  const capacity = Math.max(
+    options.modelsPerReplica,
+    Math.ceil(total / input.automaticReplicas.length),
+  );
+  const spread = new ModelSpread(input, capacity);
   input.models.forEach((model, index) => {
-    const byHand = input.placedByHand.filter(({ placement }) => placement.includes(model));
-    spread.place(model, copies[index]! - byHand.length);
+    const manualCopies = input.manualReplicas.filter(({ placement }) => placement.includes(model));
+    spread.place(model, copyCounts[index]! - manualCopies.length);
   });
-  return spread.placed;
+  return spread.modelsByReplica;
 }
--- a/packages/placement/src/lib/EngineClient/EngineClient.ts
+++ b/packages/placement/src/lib/EngineClient/EngineClient.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * One model, adapter and version an engine may carry.
+ * A model, optionally with an adapter, in a version that an engine can load.
  *
  * @public
  */
@@ -14,8 +14,7 @@
 }
 
 /**
- * What an engine is told to do. Each order names an end state, so that doing it twice does no more
- * than doing it once.
+ * An instruction to an engine. Each order names the resulting state, so that orders are idempotent.
  *
  * @public
  */
@@ -25,20 +24,20 @@
   | { kind: 'set-role'; role: EngineRole };
 
 /**
- * An order as it is sent.
+ * An order as it is sent to an engine, with the fencing number of its sender.
  *
  * @public
  */
-export interface NumberedOrder {
-  /** From the lease; engines that check refuse one below the highest they have seen. */
+export interface FencedOrder {
+  /** From the lease; engines that check it reject numbers below the highest they have seen. */
   fencingNumber: number;
-  /** Unique over all daemons and time. */
+  /** Unique across all daemons and over time. */
   orderId: string;
   order: EngineOrder;
 }
 
 /**
- * What an engine says of itself. Names are `model[:adapter]@version`.
+ * The state an engine reports. Names are `model[:adapter]@version`.
  *
  * @public
  */
@@ -46,38 +45,40 @@
   loaded: string[];
   loading: string[];
   role: EngineRole;
-  /** 0 while the engine has seen no order, or for good when it ignores fencing numbers. */
+  /** 0 before the engine has seen an order, and always 0 when it ignores fencing numbers. */
   highestFencingNumber: number;
 }
 
 /**
- * An engine's answer to an order.
+ * An engine's response to an order.
  *
  * @public
  */
 export type OrderOutcome =
   | { kind: 'accepted'; state: EngineState }
-  /** The engine has seen a higher fencing number and did nothing. */
+  /** The engine has seen a higher fencing number and did not apply the order. */
   | { kind: 'stale'; highest: number }
-  /** The weight store's rate is used up; nothing was done. Absent: the engine named no time. */
+  /** The weight store's rate is exhausted and the order was not applied. */
   | { kind: 'rate-limited'; retryAfter: Milliseconds | undefined }
-  /** Any other answer; the engine may have done part of it. */
+  /** Any other response; the order may have been partly applied. */
   | { kind: 'refused'; status: number };
 
 /**
- * How placement reaches engines.
+ * Observes engines and sends them orders.
  *
  * @public
  */
 export interface EngineClient {
-  /** @throws EngineUnavailableError when no usable answer came */
+  /** @throws EngineUnavailableError when no valid response arrived */
   observe(replica: Replica): Promise<EngineState>;
-  /** @throws EngineUnavailableError when no answer came: the order may have been carried out */
-  order(replica: Replica, order: NumberedOrder): Promise<OrderOutcome>;
+  /**
+   * @throws EngineUnavailableError when no valid response arrived; the order may have taken effect
+   */
+  order(replica: Replica, order: FencedOrder): Promise<OrderOutcome>;
 }
 
 /**
- * An engine gave no usable answer: it is down, stalled beyond the timeout, or the answer was lost.
+ * No valid response arrived from an engine: it is down, it timed out, or the response was lost.
  *
  * @public
  */
--- a/packages/placement/src/lib/EngineTable/EngineTable.ts
+++ b/packages/placement/src/lib/EngineTable/EngineTable.ts
@@ -2,23 +2,24 @@
 import type { EngineState } from '../EngineClient/EngineClient.js';
 import type { PlacementOptions } from '../placementOptions.js';
 
-/** What a holder knows of one engine in its term. */
+/** What the lease holder knows about one engine. */
 interface EngineEntry {
-  /** Absent when the last look failed, or before the first. */
+  /** Undefined before the first observation and after a failed one. */
   state: EngineState | undefined;
-  looked: boolean;
-  /** Whether the state was as it should be when it was seen. */
+  /** Whether the engine has been observed, successfully or not, since the last reset. */
+  isObserved: boolean;
+  /** Whether the state matched the desired one when it was observed. */
   isConverged: boolean;
-  nextLookAt: Milliseconds;
-  /** Between the last look and the next. */
+  nextObservationAt: Milliseconds;
+  /** Between the last observation and the next. */
   interval: Milliseconds;
-  /** Since when an order's fate isn't known. */
-  unsureSince: Milliseconds | undefined;
-  /** Since when the engine has been loading what it loads now. */
+  /** Since when the outcome of an order has been unknown. */
+  unknownOutcomeSince: Milliseconds | undefined;
+  /** Since when the engine has been loading its current models. */
   loadingSince: Milliseconds | undefined;
-  /** No order before this time, after orders that led to nothing. */
-  restUntil: Milliseconds;
-  rest: Milliseconds;
+  /** No order is sent before this time, after orders without effect. */
+  backOffUntil: Milliseconds;
+  backOffDelay: Milliseconds;
 }
 
 type TableOptions = Pick<
@@ -26,19 +27,20 @@
   'observeChanging' | 'observeConverged' | 'changeTimeout'
 >;
 
-const NEVER = Number.NEGATIVE_INFINITY;
+const NO_BACK_OFF = Number.NEGATIVE_INFINITY;
 
 function getLoadingSince(entry: EngineEntry, state: EngineState, now: Milliseconds) {
   if (state.loading.length === 0) {
     return undefined;
   }
-  const isSame = entry.state?.loading.join() === state.loading.join();
-  return isSame ? entry.loadingSince : now;
+  const isSameLoad = entry.state?.loading.join() === state.loading.join();
+  return isSameLoad ? entry.loadingSince : now;
 }
 
 /**
- * What the holder of a service's lease knows of its engines, and when to look at each again: often
- * while an engine changes, ever more rarely while it is as it should be or can't be reached.
+ * The states of a service's engines as the lease holder observed them, with the schedule of further
+ * observations: frequent while an engine changes, and at doubling intervals while it is converged
+ * or unreachable.
  *
  * @internal
  */
@@ -47,60 +49,62 @@
 
   constructor(private readonly options: TableOptions) {}
 
-  /** Forgets everything: what was known in an earlier term may have been changed by others. */
+  /** Clears all entries: since an earlier lease, other holders may have changed the engines. */
   reset(ids: Iterable<string>, now: Milliseconds): void {
     this.entries.clear();
     this.track(ids, now);
   }
 
-  /** Follows exactly these engines from now on, keeping what is known of them. */
+  /** Tracks exactly these engines from now on, keeping existing entries. */
   track(ids: Iterable<string>, now: Milliseconds): void {
-    const kept = new Set(ids);
-    [...this.entries.keys()].filter((id) => !kept.has(id)).forEach((id) => this.entries.delete(id));
-    [...kept]
+    const trackedIds = new Set(ids);
+    [...this.entries.keys()]
+      .filter((id) => !trackedIds.has(id))
+      .forEach((id) => this.entries.delete(id));
+    [...trackedIds]
       .filter((id) => !this.entries.has(id))
       .forEach((id) => this.entries.set(id, this.createEntry(now)));
   }
 
-  /** Looks at an engine as soon as can be. */
-  lookSoon(id: string, now: Milliseconds): void {
+  /** Makes an observation of the engine due now. */
+  observeSoon(id: string, now: Milliseconds): void {
     const entry = this.entries.get(id);
     if (entry !== undefined) {
       entry.isConverged = false;
-      entry.nextLookAt = now;
+      entry.nextObservationAt = now;
       entry.interval = this.options.observeChanging;
     }
   }
 
-  /** Engines to look at now, the longest overdue first. */
+  /** Engines due for observation, the longest overdue first. */
   getDue(now: Milliseconds): string[] {
     return [...this.entries]
-      .filter(([, { nextLookAt }]) => nextLookAt <= now)
-      .sort(([, left], [, right]) => left.nextLookAt - right.nextLookAt)
+      .filter(([, { nextObservationAt }]) => nextObservationAt <= now)
+      .sort(([, left], [, right]) => left.nextObservationAt - right.nextObservationAt)
       .map(([id]) => id);
   }
 
-  /** When the next engine is due; infinite when none is followed. */
+  /** When the next observation is due; infinite when no engine is tracked. */
   getNextDue(): Milliseconds {
     let next = Number.POSITIVE_INFINITY;
-    this.entries.forEach(({ nextLookAt }) => {
-      next = Math.min(next, nextLookAt);
+    this.entries.forEach(({ nextObservationAt }) => {
+      next = Math.min(next, nextObservationAt);
     });
     return next;
   }
 
-  /** Whether each engine was looked at in this term. */
-  isComplete(): boolean {
-    return [...this.entries.values()].every(({ looked }) => looked);
+  /** Whether every engine has been observed, successfully or not, since the last reset. */
+  isFullyObserved(): boolean {
+    return [...this.entries.values()].every(({ isObserved }) => isObserved);
   }
 
-  /** Whether some engine that can be reached is not as it should be, so that planning has a point. */
+  /** Whether any reachable engine has not converged, so that planning is needed. */
   hasMismatch(): boolean {
     return [...this.entries.values()].some((entry) => entry.state && !entry.isConverged);
   }
 
-  /** An engine reported its state. */
-  takeState(id: string, state: EngineState, isConverged: boolean, now: Milliseconds): void {
+  /** Records a state reported by an engine. */
+  recordState(id: string, state: EngineState, isConverged: boolean, now: Milliseconds): void {
     const entry = this.entries.get(id);
     if (entry === undefined) {
       return;
@@ -108,51 +112,51 @@
     entry.loadingSince = getLoadingSince(entry, state, now);
     entry.state = state;
     entry.isConverged = isConverged;
-    entry.looked = true;
-    entry.unsureSince = undefined;
+    entry.isObserved = true;
+    entry.unknownOutcomeSince = undefined;
     this.schedule(entry, isConverged, now);
   }
 
   /**
-   * A look failed: the engine gets no orders, and is looked at ever more rarely.
+   * Records a failed observation: the engine gets no orders and is observed at doubling intervals.
    *
-   * @returns whether this is news
+   * @returns whether this is the first failure since the last success or reset
    */
-  takeFailure(id: string, now: Milliseconds): boolean {
+  recordFailure(id: string, now: Milliseconds): boolean {
     const entry = this.entries.get(id);
     if (entry === undefined) {
       return false;
     }
-    const isNews = entry.state !== undefined || !entry.looked;
+    const isFirstFailure = entry.state !== undefined || !entry.isObserved;
     entry.state = undefined;
-    entry.looked = true;
+    entry.isObserved = true;
     this.schedule(entry, true, now);
-    return isNews;
+    return isFirstFailure;
   }
 
-  /** An order's fate isn't known: no other order goes to the engine before a look at it. */
-  markUnsure(id: string, now: Milliseconds): void {
+  /** Records an order of unknown outcome: the engine gets no other order until it is observed. */
+  recordUnknownOutcome(id: string, now: Milliseconds): void {
     const entry = this.entries.get(id);
     if (entry !== undefined) {
-      entry.unsureSince = now;
-      this.lookSoon(id, now);
+      entry.unknownOutcomeSince = now;
+      this.observeSoon(id, now);
     }
   }
 
-  /** An order led to nothing: the next one waits longer each time. */
+  /** Delays the next order after one without effect; the delay doubles each time. */
   backOff(id: string, now: Milliseconds): void {
     const entry = this.entries.get(id);
     if (entry !== undefined) {
-      entry.restUntil = now + entry.rest;
-      entry.rest = Math.min(2 * entry.rest, this.options.observeConverged);
+      entry.backOffUntil = now + entry.backOffDelay;
+      entry.backOffDelay = Math.min(2 * entry.backOffDelay, this.options.observeConverged);
     }
   }
 
-  /** An order was carried out. */
-  endBackOff(id: string): void {
+  /** Resets the back-off delay after an order took effect. */
+  resetBackOff(id: string): void {
     const entry = this.entries.get(id);
     if (entry !== undefined) {
-      entry.rest = this.options.observeChanging;
+      entry.backOffDelay = this.options.observeChanging;
     }
   }
 
@@ -160,7 +164,7 @@
     return this.entries.get(id)?.state;
   }
 
-  /** The states of engines that can be reached. */
+  /** The states of reachable engines. */
   getObserved(): Map<string, EngineState> {
     const observed = new Map<string, EngineState>();
     this.entries.forEach(({ state }, id) => {
@@ -171,48 +175,49 @@
     return observed;
   }
 
-  /** Engines with an order of unknown fate, except where it was given too long ago. */
-  getBusy(now: Milliseconds): Set<string> {
+  /** Engines with an order of unknown outcome, unless `changeTimeout` has passed since. */
+  getPending(now: Milliseconds): Set<string> {
     return this.getIds(
-      ({ unsureSince }) => unsureSince !== undefined && !this.isOver(unsureSince, now),
+      ({ unknownOutcomeSince }) =>
+        unknownOutcomeSince !== undefined && !this.isTimedOut(unknownOutcomeSince, now),
     );
   }
 
-  /** Engines that get no order now and hold up no other: resting, or loading for far too long. */
-  getResting(now: Milliseconds): Set<string> {
+  /** Engines that get no order and do not hold up others: in back-off, or loading too long. */
+  getSuspended(now: Milliseconds): Set<string> {
     return this.getIds(
-      ({ restUntil, loadingSince }) =>
-        restUntil > now || (loadingSince !== undefined && this.isOver(loadingSince, now)),
+      ({ backOffUntil, loadingSince }) =>
+        backOffUntil > now || (loadingSince !== undefined && this.isTimedOut(loadingSince, now)),
     );
   }
 
-  private getIds(isMeant: (entry: EngineEntry) => boolean): Set<string> {
-    return new Set([...this.entries].filter(([, entry]) => isMeant(entry)).map(([id]) => id));
+  private getIds(predicate: (entry: EngineEntry) => boolean): Set<string> {
+    return new Set([...this.entries].filter(([, entry]) => predicate(entry)).map(([id]) => id));
   }
 
-  private isOver(since: Milliseconds, now: Milliseconds): boolean {
+  private isTimedOut(since: Milliseconds, now: Milliseconds): boolean {
     return now - since >= this.options.changeTimeout;
   }
 
-  private schedule(entry: EngineEntry, isQuiet: boolean, now: Milliseconds): void {
+  private schedule(entry: EngineEntry, isSettled: boolean, now: Milliseconds): void {
     const { observeChanging, observeConverged } = this.options;
-    const longer = Math.min(2 * entry.interval, observeConverged);
-    const interval = isQuiet ? longer : observeChanging;
-    Object.assign(entry, { interval, nextLookAt: now + interval });
+    const doubledInterval = Math.min(2 * entry.interval, observeConverged);
+    const interval = isSettled ? doubledInterval : observeChanging;
+    Object.assign(entry, { interval, nextObservationAt: now + interval });
   }
 
   private createEntry(now: Milliseconds): EngineEntry {
     const { observeChanging } = this.options;
     return {
       state: undefined,
-      looked: false,
+      isObserved: false,
       isConverged: false,
-      nextLookAt: now,
+      nextObservationAt: now,
       interval: observeChanging,
-      unsureSince: undefined,
+      unknownOutcomeSince: undefined,
       loadingSince: undefined,
-      restUntil: NEVER,
-      rest: observeChanging,
+      backOffUntil: NO_BACK_OFF,
+      backOffDelay: observeChanging,
     };
   }
 }
--- a/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.test.ts
@@ -7,15 +7,15 @@
 import { flushTasks } from '@apricotrill/standins';
 import { createConfiguration } from '../../test/PlacementHarness.js';
 import { EngineUnavailableError } from '../EngineClient/EngineClient.js';
-import { HttpEngineClient } from '../HttpEngineClient/HttpEngineClient.js';
+import { HttpEngineClient } from './HttpEngineClient.js';
 
 const state = { loaded: ['a@1'], loading: [], role: 'mixed', highestFencingNumber: 3 };
 const order = { kind: 'load' as const, model: 'a', version: '1' };
-const numbered = { fencingNumber: 3, orderId: 'chat/3/1', order };
+const fencedOrder = { fencingNumber: 3, orderId: 'chat/3/1', order };
 
-describe('HttpEngineOrders', () => {
+describe('HttpEngineClient', () => {
   let server: Server;
-  let answer: (response: ServerResponse, body: string) => void;
+  let respond: (response: ServerResponse, body: string) => void;
   const clock = new ManualClock();
   const engines = new HttpEngineClient(clock);
   const replica = createConfiguration({ 'chat-1': [] }).register.replicas[0]!;
@@ -26,7 +26,7 @@
       request.on('data', (chunk) => {
         body += chunk;
       });
-      request.on('end', () => answer(response, `${request.method} ${request.url} ${body}`));
+      request.on('end', () => respond(response, `${request.method} ${request.url} ${body}`));
     });
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
@@ -39,26 +39,26 @@
     await once(server, 'close');
   });
 
-  it('reads each documented answer to an order', async () => {
-    const seen: string[] = [];
-    const answers: [number, object, Record<string, string>][] = [
+  it('parses each documented response to an order', async () => {
+    const receivedRequests: string[] = [];
+    const responses: [number, object, Record<string, string>][] = [
       [200, { state }, {}],
       [409, { error: 'stale-fencing-number', highest: 9 }, {}],
       [429, {}, { 'retry-after': '2' }],
       [429, {}, {}],
       [400, {}, {}],
     ];
-    answer = (response, body) => {
-      seen.push(body);
-      const [status, json, headers] = answers[seen.length - 1]!;
+    respond = (response, body) => {
+      receivedRequests.push(body);
+      const [status, json, headers] = responses[receivedRequests.length - 1]!;
       response.writeHead(status, headers).end(JSON.stringify(json));
     };
     const outcomes = [];
-    while (outcomes.length < answers.length) {
+    while (outcomes.length < responses.length) {
       // eslint-disable-next-line no-await-in-loop
-      outcomes.push(await engines.order(replica, numbered));
+      outcomes.push(await engines.order(replica, fencedOrder));
     }
-    expect(seen[0]).toBe(`POST /admin/orders ${JSON.stringify(numbered)}`);
+    expect(receivedRequests[0]).toBe(`POST /admin/orders ${JSON.stringify(fencedOrder)}`);
     expect(outcomes).toEqual([
       { kind: 'accepted', state },
       { kind: 'stale', highest: 9 },
@@ -68,27 +68,26 @@
     ]);
   });
 
-  it('reads the state, and takes an unreadable one for no answer', async () => {
-    answer = (response) => response.end(JSON.stringify(state));
+  it('parses the state, and treats an invalid one as no response', async () => {
+    respond = (response) => response.end(JSON.stringify(state));
     expect(await engines.observe(replica)).toEqual(state);
-    answer = (response) => response.end('{}');
+    respond = (response) => response.end('{}');
     await expect(engines.observe(replica)).rejects.toThrow(EngineUnavailableError);
   });
 
   /*
-   * Symptom: the rounds of a service stand still.
-   * Sequence: an engine accepts the connection, sends half an answer and then nothing.
-   * Cause: the timeout covered the headers and not the body.
+   * Guards against a timeout that covers only the response headers: an engine that stalled in the
+   * middle of the body would block the rounds of its service.
    */
-  it('gives up an answer that stalls half way', async () => {
+  it('times out a response that stalls in its body', async () => {
     const hasHeaders = new Promise((resolve) => {
       subscribe('undici:request:headers', resolve);
     });
-    answer = (response) => response.writeHead(200).write('{"loaded":');
-    const look = engines.observe(replica);
+    respond = (response) => response.writeHead(200).write('{"loaded":');
+    const observation = engines.observe(replica);
     await hasHeaders;
     await flushTasks();
     clock.advance(2_000);
-    await expect(look).rejects.toThrow(EngineUnavailableError);
+    await expect(observation).rejects.toThrow(EngineUnavailableError);
   });
 });
--- a/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.ts
+++ b/packages/placement/src/lib/HttpEngineClient/HttpEngineClient.ts
@@ -8,24 +8,24 @@
 import type {
   EngineClient,
   EngineState,
-  NumberedOrder,
+  FencedOrder,
   OrderOutcome,
 } from '../EngineClient/EngineClient.js';
 
-/** How long each kind of call may take. */
+/** Timeouts of engine requests. */
 interface HttpEngineOptions {
   observeTimeout: Milliseconds;
   orderTimeout: Milliseconds;
 }
 
-interface Call {
+interface EngineRequest {
   method: 'GET' | 'POST';
   path: string;
   body?: string;
   timeout: Milliseconds;
 }
 
-interface Answer {
+interface EngineResponse {
   status: number;
   retryAfter: string | undefined;
   text: string;
@@ -35,7 +35,7 @@
   loaded: z.array(z.string()),
   loading: z.array(z.string()),
   role: z.enum(EngineRole),
-  // An engine that ignores fencing numbers may leave it out.
+  // Engines that ignore fencing numbers may omit it.
   highestFencingNumber: z.number().default(0),
 });
 
@@ -46,46 +46,48 @@
   highest: z.number(),
 });
 
-const SECOND = 1_000;
-const MAXIMUM_IDLE: Milliseconds = 4_000;
+const MILLISECONDS_PER_SECOND = 1_000;
+const KEEP_ALIVE_TIMEOUT: Milliseconds = 4_000;
 const OK = 200;
 const CONFLICT = 409;
 const TOO_MANY_REQUESTS = 429;
 
-function getRetryAfter(header: string | undefined): Milliseconds | undefined {
+function parseRetryAfter(header: string | undefined): Milliseconds | undefined {
   const seconds = Number(header);
-  return header === undefined || !Number.isFinite(seconds) ? undefined : seconds * SECOND;
+  return header === undefined || !Number.isFinite(seconds)
+    ? undefined
+    : seconds * MILLISECONDS_PER_SECOND;
 }
 
-function getOutcome(answer: Answer): OrderOutcome {
-  if (answer.status === OK) {
-    const { state } = acceptedSchema.parse(JSON.parse(answer.text));
+function parseOutcome(response: EngineResponse): OrderOutcome {
+  if (response.status === OK) {
+    const { state } = acceptedSchema.parse(JSON.parse(response.text));
     return { kind: 'accepted', state };
   }
-  if (answer.status === TOO_MANY_REQUESTS) {
-    return { kind: 'rate-limited', retryAfter: getRetryAfter(answer.retryAfter) };
+  if (response.status === TOO_MANY_REQUESTS) {
+    return { kind: 'rate-limited', retryAfter: parseRetryAfter(response.retryAfter) };
   }
-  if (answer.status === CONFLICT) {
-    const { highest } = staleSchema.parse(JSON.parse(answer.text));
+  if (response.status === CONFLICT) {
+    const { highest } = staleSchema.parse(JSON.parse(response.text));
     return { kind: 'stale', highest };
   }
-  return { kind: 'refused', status: answer.status };
+  return { kind: 'refused', status: response.status };
 }
 
 /**
- * Orders to engines over HTTP: `GET /admin/state` and `POST /admin/orders`. Nothing is retried
- * here; whoever gives the orders looks at the engine first.
+ * Observes engines and sends them orders over HTTP: `GET /admin/state` and `POST /admin/orders`.
+ * Requests are not retried here; the sender of an order observes the engine before repeating it.
  *
  * @example
  * ```ts
- * const engines = new HttpEngineOrders(new SystemClock());
+ * const engines = new HttpEngineClient(new SystemClock());
  * const state = await engines.observe(replica);
  * ```
  * @public
  */
 export class HttpEngineClient implements EngineClient {
-  /** Idle connections are dropped soon: one that went silent would cost the next call its timeout. */
-  private readonly agent = new Agent({ keepAliveTimeout: MAXIMUM_IDLE, connections: 2 });
+  /** Idle connections are closed soon: a dead one would make the next request time out. */
+  private readonly agent = new Agent({ keepAliveTimeout: KEEP_ALIVE_TIMEOUT, connections: 2 });
 
   constructor(
     private readonly clock: Clock,
@@ -94,48 +96,52 @@
 
   async observe(replica: Replica): Promise<EngineState> {
     const timeout = this.options.observeTimeout;
-    return this.call(replica, { method: 'GET', path: '/admin/state', timeout }, (answer) => {
-      if (answer.status !== OK) {
-        throw new Error(`status ${answer.status}`);
+    return this.call(replica, { method: 'GET', path: '/admin/state', timeout }, (response) => {
+      if (response.status !== OK) {
+        throw new Error(`status ${response.status}`);
       }
-      return stateSchema.parse(JSON.parse(answer.text));
+      return stateSchema.parse(JSON.parse(response.text));
     });
   }
 
-  async order(replica: Replica, order: NumberedOrder): Promise<OrderOutcome> {
+  async order(replica: Replica, order: FencedOrder): Promise<OrderOutcome> {
     const timeout = this.options.orderTimeout;
     const body = JSON.stringify(order);
-    return this.call(replica, { method: 'POST', path: '/admin/orders', body, timeout }, getOutcome);
+    return this.call(
+      replica,
+      { method: 'POST', path: '/admin/orders', body, timeout },
+      parseOutcome,
+    );
   }
 
-  /** Closes all connections; calls under way fail. */
+  /** Closes all connections; requests in flight fail. */
   async dispose(): Promise<void> {
     await this.agent.destroy();
   }
 
-  /** The timeout covers the whole call: an engine that stalls mid-answer must not hold it open. */
+  /** The timeout covers the whole response: a stalled body must not keep the request open. */
   private async call<Value>(
     replica: Replica,
-    call: Call,
-    read: (answer: Answer) => Value,
+    engineRequest: EngineRequest,
+    parse: (response: EngineResponse) => Value,
   ): Promise<Value> {
     const peer = `${replica.host}:${replica.port}`;
     const abort = new AbortController();
-    const timer = this.clock.setTimer(call.timeout, () => abort.abort());
+    const timer = this.clock.setTimer(engineRequest.timeout, () => abort.abort());
     try {
-      const response = await request(`http://${peer}${call.path}`, {
+      const response = await request(`http://${peer}${engineRequest.path}`, {
         dispatcher: this.agent,
-        method: call.method,
-        body: call.body,
-        headers: call.body === undefined ? {} : { 'content-type': 'application/json' },
+        method: engineRequest.method,
+        body: engineRequest.body,
+        headers: engineRequest.body === undefined ? {} : { 'content-type': 'application/json' },
         signal: abort.signal,
       });
       const text = await response.body.text();
       const retryAfter = response.headers['retry-after']?.toString();
-      return read({ status: response.statusCode, retryAfter, text });
+      return parse({ status: response.statusCode, retryAfter, text });
     } catch (cause) {
-      const step = `${call.method} ${call.path}`;
-      throw new EngineUnavailableError('no usable answer', { step, peer, cause });
+      const step = `${engineRequest.method} ${engineRequest.path}`;
+      throw new EngineUnavailableError('no valid response', { step, peer, cause });
     } finally {
       timer.cancel();
     }
--- a/packages/placement/src/lib/PlacementEvent.ts
+++ b/packages/placement/src/lib/PlacementEvent.ts
@@ -4,21 +4,21 @@
 
 /** Why a planned order was not sent. */
 export enum DropReason {
-  /** The lease ran out, or its number changed, since the plan was made. */
+  /** The lease expired, or its fencing number changed, after the plan was made. */
   LeaseNotHeld = 'lease-not-held',
-  /** Another configuration came into force since the plan was made. */
+  /** Another configuration took effect after the plan was made. */
   ConfigurationChanged = 'configuration-changed',
-  /** A last look didn't find the copy that the unload relies on. */
+  /** A final check did not find the copy that the unload relies on. */
   CopyNotConfirmed = 'copy-not-confirmed',
 }
 
-/** What every decision says. */
-interface DecisionContext {
+/** Fields of every event. */
+interface EventContext {
   at: Milliseconds;
   service: string;
 }
 
-/** What every decision on an order says, but for the time. */
+/** Fields of every event about an order, except its time. */
 export interface OrderContext {
   service: string;
   replica: string;
@@ -26,11 +26,11 @@
   orderId: string;
   fencingNumber: number;
   reason: OrderReason;
-  /** Whether the engine refuses an old fencing number, as the register says. */
+  /** Whether the engine rejects outdated fencing numbers, according to the register. */
   checksFencing: boolean;
 }
 
-/** What became of an order. */
+/** The progress or outcome of an order. */
 export type OrderEvent =
   | { kind: 'order-sent' }
   | { kind: 'order-accepted' }
@@ -38,27 +38,30 @@
   | { kind: 'order-stale'; highest: number }
   | { kind: 'order-rate-limited'; until: Milliseconds }
   | { kind: 'order-refused'; status: number }
-  /** No answer came: the engine is looked at before it gets another order. */
+  /** No response arrived: the engine is observed before it gets another order. */
   | { kind: 'order-lost'; error: Error };
 
 /**
- * One decision of placement, for its log line.
+ * Something that placement did or noticed; written to the log.
  *
  * @public
  */
 export type PlacementEvent =
-  | (DecisionContext & { kind: 'lease-gained'; fencingNumber: number })
-  | (DecisionContext & { kind: 'lease-lost' })
-  /** The first answer of an engine in a term; says whether the engine checks fencing numbers. */
-  | (DecisionContext & { kind: 'engine-met'; replica: string; checksFencing: boolean })
-  | (DecisionContext & { kind: 'engine-unreachable'; replica: string; error: Error })
-  /** The service lists a model with no version, so that no order can be given for it. */
-  | (DecisionContext & { kind: 'model-unversioned'; model: string })
+  | (EventContext & { kind: 'lease-gained'; fencingNumber: number })
+  | (EventContext & { kind: 'lease-lost' })
+  /**
+   * An engine's first response after the lease was acquired or an observation failed; says whether
+   * the engine checks fencing numbers.
+   */
+  | (EventContext & { kind: 'engine-met'; replica: string; checksFencing: boolean })
+  | (EventContext & { kind: 'engine-unreachable'; replica: string; error: Error })
+  /** The service lists a model without a version, so it cannot be loaded. */
+  | (EventContext & { kind: 'model-unversioned'; model: string })
   | ({ at: Milliseconds } & OrderContext & OrderEvent);
 
 /**
- * Told each decision as it is made.
+ * Receives each event as it occurs.
  *
  * @public
  */
-export type PlacementListener = (decision: PlacementEvent) => void;
+export type PlacementListener = (event: PlacementEvent) => void;
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.fuzz.test.ts
@@ -1,52 +1,53 @@
 import fc from 'fast-check';
 import { createRandom } from '@apricotrill/utils';
 import { createDelayGenerator } from '@apricotrill/standins';
-import { PlacementWorld, worldOptions } from '../../test/PlacementHarness.js';
+import { PlacementHarness, harnessOptions } from '../../test/PlacementHarness.js';
 import type { Placements } from '../../test/PlacementHarness.js';
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 60);
 const SEED = Number(process.env.FUZZ_SEED ?? 4);
 const REPLICAS = ['chat-1', 'chat-2', 'chat-3', 'draft-1', 'draft-2'];
 
-/** The oracle's memory: what was accepted last. */
-interface Accepted {
+/** The model state of the test: the placements accepted last. */
+interface AcceptedState {
   placements: Placements;
 }
 
-type WorldCommand = fc.AsyncCommand<Accepted, PlacementWorld>;
+type HarnessCommand = fc.AsyncCommand<AcceptedState, PlacementHarness>;
 
 function createCommand(
   name: string,
-  act: (world: PlacementWorld, accepted: Accepted) => void | Promise<void>,
-): WorldCommand {
-  const run = async (accepted: Accepted, world: PlacementWorld) => act(world, accepted);
+  action: (harness: PlacementHarness, acceptedState: AcceptedState) => void | Promise<void>,
+): HarnessCommand {
+  const run = async (acceptedState: AcceptedState, harness: PlacementHarness) =>
+    action(harness, acceptedState);
   return { check: () => true, run, toString: () => name };
 }
 
 const daemonIndex = fc.nat(2);
 const replicaId = fc.constantFrom(...REPLICAS);
-const names = fc.uniqueArray(fc.constantFrom('a@1', 'a@2', 'b:x@1'), { minLength: 1 });
+const nameSets = fc.uniqueArray(fc.constantFrom('a@1', 'a@2', 'b:x@1'), { minLength: 1 });
 const placementsArbitrary = fc
-  .tuple(...REPLICAS.map(() => names))
+  .tuple(...REPLICAS.map(() => nameSets))
   .map((lists) => Object.fromEntries(REPLICAS.map((id, index) => [id, [...lists[index]!].sort()])));
 
 const advances = fc
   .integer({ min: 1, max: 30_000 })
-  .map((span) => createCommand(`advance ${span}`, (world) => world.advance(span)));
+  .map((duration) => createCommand(`advance ${duration}`, (harness) => harness.advance(duration)));
 
-const commandArbitraries: fc.Arbitrary<WorldCommand>[] = [
-  // Three times as likely as any fault, so that faults meet daemons at work.
+const commandArbitraries: fc.Arbitrary<HarnessCommand>[] = [
+  // Listed three times, so that faults hit daemons that are working.
   advances,
   advances,
   advances,
   daemonIndex.map((index) =>
-    createCommand(`pause ${index}`, (world) => world.daemons[index]!.clock.pause()),
+    createCommand(`pause ${index}`, (harness) => harness.daemons[index]!.clock.pause()),
   ),
   daemonIndex.map((index) =>
-    createCommand(`resume ${index}`, (world) => world.daemons[index]!.clock.resume()),
+    createCommand(`resume ${index}`, (harness) => harness.daemons[index]!.clock.resume()),
   ),
   daemonIndex.map((index) =>
-    createCommand(`restart ${index}`, (world) => world.daemons[index]!.restart()),
+    createCommand(`restart ${index}`, (harness) => harness.daemons[index]!.restart()),
   ),
   fc.boolean().map((isDown) =>
     createCommand(`store ${isDown ? 'down' : 'up'}`, ({ store }) => {
@@ -54,66 +55,71 @@
     }),
   ),
   fc.integer({ min: 1, max: 3 }).map((count) =>
-    createCommand(`lose ${count} store answers`, ({ store }) => {
-      Object.assign(store, { lostAnswers: count });
+    createCommand(`lose ${count} store responses`, ({ store }) => {
+      Object.assign(store, { lostResponses: count });
     }),
   ),
   replicaId.map((id) =>
-    createCommand(`lose an answer of ${id}`, ({ engines }) => {
-      Object.assign(engines.get(id)!, { lostAnswers: 1 });
+    createCommand(`lose a response of ${id}`, ({ engines }) => {
+      Object.assign(engines.get(id)!, { lostResponses: 1 });
     }),
   ),
   replicaId.map((id) => createCommand(`crash ${id}`, ({ engines }) => engines.get(id)!.crash())),
-  fc.integer({ min: 1_000, max: 20_000 }).map((span) =>
-    createCommand(`weight store full for ${span}`, ({ clock, weights }) => {
-      Object.assign(weights, { refusesUntil: clock.now() + span });
+  fc.integer({ min: 1_000, max: 20_000 }).map((duration) =>
+    createCommand(`weight store full for ${duration}`, ({ clock, weights }) => {
+      Object.assign(weights, { rateLimitedUntil: clock.now() + duration });
     }),
   ),
   fc.constant(createCommand('delete the lease objects', ({ store }) => store.objects.clear())),
   placementsArbitrary.map((placements) =>
-    createCommand(`edit ${JSON.stringify(placements)}`, (world, accepted) => {
-      Object.assign(accepted, { placements });
-      world.edit(placements, () => world.random.integer(3_000));
+    createCommand(`edit ${JSON.stringify(placements)}`, (harness, acceptedState) => {
+      Object.assign(acceptedState, { placements });
+      harness.changePlacements(placements, () => harness.random.integer(3_000));
     }),
   ),
 ];
 
-/** Ends every fault and gives the daemons time, as an operator would who waits. */
-async function heal(world: PlacementWorld): Promise<void> {
-  Object.assign(world.store, { isDown: false, lostAnswers: 0 });
-  Object.assign(world.weights, { refusesUntil: 0 });
-  Object.assign(world, { getDelay: () => 5 });
-  world.engines.forEach((engine) => Object.assign(engine, { lostAnswers: 0 }));
-  world.daemons.forEach(({ clock }) => clock.resume());
-  await world.advance(300_000);
+/** Ends all faults and gives the daemons time to converge. */
+async function heal(harness: PlacementHarness): Promise<void> {
+  Object.assign(harness.store, { isDown: false, lostResponses: 0 });
+  Object.assign(harness.weights, { rateLimitedUntil: 0 });
+  Object.assign(harness, { getDelay: () => 5 });
+  harness.engines.forEach((engine) => Object.assign(engine, { lostResponses: 0 }));
+  harness.daemons.forEach(({ clock }) => clock.resume());
+  await harness.advance(300_000);
 }
 
-/** Every number belongs to a grant to its sender, and no engine that checks goes back to an older. */
-function checkFencing(world: PlacementWorld): void {
-  world.engines.forEach(({ arrivals, replica }) => {
-    const taken = arrivals.filter(({ outcome }) => outcome === 'accepted');
-    const places = taken.map(({ fencingNumber, sender, life }) => {
+/**
+ * Checks that every fencing number was granted to its sender, and that no engine that checks
+ * fencing numbers accepts an older one after a newer one.
+ */
+function checkFencing(harness: PlacementHarness): void {
+  harness.engines.forEach(({ receivedOrders, replica }) => {
+    const acceptedOrders = receivedOrders.filter(({ outcome }) => outcome === 'accepted');
+    const ordering = acceptedOrders.map(({ fencingNumber, sender, restartCount }) => {
       const key = `leases/placement-${replica.service}`;
-      const grant = world.store.grants.findIndex(
+      const grant = harness.store.grants.findIndex(
         (other) => other.key === key && other.version === fencingNumber && other.holder === sender,
       );
-      return { life, grant };
+      return { restartCount, grant };
     });
-    expect(places.map(({ grant }) => grant)).not.toContain(-1);
-    const sorted = [...places].sort((a, b) => a.life - b.life || a.grant - b.grant);
-    expect(replica.checksFencing ? places : sorted).toEqual(sorted);
+    expect(ordering.map(({ grant }) => grant)).not.toContain(-1);
+    const sorted = [...ordering].sort(
+      (a, b) => a.restartCount - b.restartCount || a.grant - b.grant,
+    );
+    expect(replica.checksFencing ? ordering : sorted).toEqual(sorted);
   });
 }
 
-/** In any stretch, no more loads are sent than the weight store's rate and one a service. */
-function checkLoadRate(world: PlacementWorld): void {
-  const times = world.decisions
-    .filter((decision) => decision.kind === 'order-sent' && decision.order.kind === 'load')
+/** Checks that loads in any interval stay within the rate, plus one per service. */
+function checkLoadRate(harness: PlacementHarness): void {
+  const times = harness.events
+    .filter((event) => event.kind === 'order-sent' && event.order.kind === 'load')
     .map(({ at }) => at);
   const services = 2;
   times.forEach((start, first) => {
     times.slice(first).forEach((end, count) => {
-      const allowed = ((end - start) / 1_000) * worldOptions.loadsPerSecond + services;
+      const allowed = ((end - start) / 1_000) * harnessOptions.loadsPerSecond + services;
       expect(count + 1).toBeLessThanOrEqual(allowed + 1e-6);
     });
   });
@@ -121,26 +127,29 @@
 
 describe('PlacementManager under faults', () => {
   /*
-   * Symptom: engines left in a state nobody asked for, or taking orders of a holder long replaced.
-   * Sequence: daemons freeze between any two steps and wake, calls are late or lose their answer,
-   * the store goes down, engines crash, the weight store refuses, leases are deleted, edits race.
-   * Cause: each guard of placement against one of these is needed in combination with the others.
+   * Guards against faults that only occur in combination: daemons pause between any two steps,
+   * calls are delayed or lose their response, the store is down, engines crash, the weight store
+   * rate limits loads, leases are deleted and edits race. Engines could be left in a state that was
+   * never accepted, or accept orders of a replaced holder.
    */
-  it('ends in the state last accepted, with orders fenced and loads within the rate', async () => {
+  it('reaches the state accepted last, with orders fenced and loads within the rate', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer(),
         placementsArbitrary,
         fc.commands(commandArbitraries, { maxCommands: 25, size: '+1' }),
         async (seed, placements, commands) => {
-          const accepted: Accepted = { placements };
-          const world = new PlacementWorld(placements, createDelayGenerator(createRandom(seed)));
-          await fc.asyncModelRun(() => ({ model: accepted, real: world }), commands);
-          await heal(world);
-          expect(world.getLoaded()).toEqual(accepted.placements);
-          checkFencing(world);
-          checkLoadRate(world);
-          world.daemons.forEach(({ manager }) => manager.dispose());
+          const acceptedState: AcceptedState = { placements };
+          const harness = new PlacementHarness(
+            placements,
+            createDelayGenerator(createRandom(seed)),
+          );
+          await fc.asyncModelRun(() => ({ model: acceptedState, real: harness }), commands);
+          await heal(harness);
+          expect(harness.getLoaded()).toEqual(acceptedState.placements);
+          checkFencing(harness);
+          checkLoadRate(harness);
+          harness.daemons.forEach(({ manager }) => manager.dispose());
         },
       ),
       { numRuns: RUNS, seed: SEED },
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
@@ -1,255 +1,259 @@
-import { PlacementWorld, worldOptions } from '../../test/PlacementHarness.js';
+import { PlacementHarness, harnessOptions } from '../../test/PlacementHarness.js';
 import { DropReason } from '../PlacementEvent.js';
-import type { Arrival } from '../../test/FakeEngine.js';
+import type { ReceivedOrder } from '../../test/FakeEngine.js';
 import type { Placements } from '../../test/PlacementHarness.js';
 
-/** One engine carries a model too many, which a look at the other one allows to unload. */
-const WANTED: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1'] };
+/** In `SURPLUS`, chat-2 has a surplus model to unload once chat-1 has been observed. */
+const DESIRED: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1'] };
 const SURPLUS: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1', 'a@2'] };
 
-function getArrivals(world: PlacementWorld, id: string): Arrival[] {
-  return world.engines.get(id)!.arrivals;
+function getReceivedOrders(harness: PlacementHarness, id: string): ReceivedOrder[] {
+  return harness.engines.get(id)!.receivedOrders;
 }
 
-function getKinds(world: PlacementWorld): string[] {
-  return world.decisions.map(({ kind }) => kind);
+function getEventKinds(harness: PlacementHarness): string[] {
+  return harness.events.map(({ kind }) => kind);
 }
 
-function getDrops(world: PlacementWorld): DropReason[] {
-  return world.decisions
-    .filter((decision) => decision.kind === 'order-dropped')
+function getDropReasons(harness: PlacementHarness): DropReason[] {
+  return harness.events
+    .filter((event) => event.kind === 'order-dropped')
     .map(({ because }) => because);
 }
 
-async function untilLoaded(world: PlacementWorld, wanted: Placements): Promise<void> {
-  await world.until(() => JSON.stringify(world.getLoaded()) === JSON.stringify(wanted));
+async function advanceUntilLoaded(harness: PlacementHarness, desired: Placements): Promise<void> {
+  await harness.advanceUntil(() => JSON.stringify(harness.getLoaded()) === JSON.stringify(desired));
 }
 
-/** Stops at the moment when the holder's last look before its first unload is on its way back. */
-async function untilLastLook(world: PlacementWorld): Promise<void> {
-  await world.until(() => world.engines.get('chat-1')!.looks === 2);
+/** Stops while the response to the final observation before the first unload is in flight. */
+async function advanceUntilFinalObservation(harness: PlacementHarness): Promise<void> {
+  await harness.advanceUntil(() => harness.engines.get('chat-1')!.observationCount === 2);
 }
 
 describe('PlacementManager', () => {
   /*
-   * Symptom: an engine that ignores fencing numbers carries out an order of a replaced holder.
-   * Sequence: the holder freezes during its last look before an order; another takes over; it wakes.
-   * Cause: the lease was looked at before the wait and not again after it.
+   * Guards against checking the lease only before the final observation: if the holder pauses
+   * during it and another daemon takes over, an engine that ignores fencing numbers would accept
+   * its order.
    */
-  it('sends nothing when it wakes from a freeze during which its lease ran out', async () => {
-    const world = new PlacementWorld(WANTED, undefined, SURPLUS);
-    await untilLastLook(world);
-    const frozen = world.getHolder('chat')!;
-    frozen.clock.pause();
-    await untilLoaded(world, WANTED);
-    frozen.clock.resume();
-    await world.advance(1_000);
-    expect(getArrivals(world, 'chat-2').map(({ sender }) => sender)).not.toContain(frozen.id);
-    expect(getDrops(world)).toContain(DropReason.LeaseNotHeld);
+  it('sends no order after a pause during which its lease expired', async () => {
+    const harness = new PlacementHarness(DESIRED, undefined, SURPLUS);
+    await advanceUntilFinalObservation(harness);
+    const pausedDaemon = harness.getHolder('chat')!;
+    pausedDaemon.clock.pause();
+    await advanceUntilLoaded(harness, DESIRED);
+    pausedDaemon.clock.resume();
+    await harness.advance(1_000);
+    expect(getReceivedOrders(harness, 'chat-2').map(({ sender }) => sender)).not.toContain(
+      pausedDaemon.id,
+    );
+    expect(getDropReasons(harness)).toContain(DropReason.LeaseNotHeld);
   });
 
   /*
-   * Symptom: an engine carries a model that the configuration took away long ago.
-   * Sequence: the holder freezes between its check and the send; another holder takes over and an
-   * edit comes into force; the order arrives two minutes late.
-   * Cause: no check at the sender can close this gap. An engine that checks refuses the number; at
-   * one that doesn't, the holder has to keep looking and undo it.
+   * A holder pauses between its lease check and the send; another daemon takes over, an edit takes
+   * effect, and the order arrives two minutes late. No check by the sender can prevent this.
+   * Engines that check fencing numbers reject the order; on others the new holder must detect and
+   * revert it.
    */
-  it.each(['chat-1', 'chat-2'])('ends as last accepted after a late order at %s', async (id) => {
-    const edited: Placements = { [id]: ['b@1'] };
-    const world = new PlacementWorld({ [id]: ['a@1'] });
-    let isFrozen = false;
-    world.getDelay = () => {
-      const isFirstOrder = !isFrozen && getKinds(world).includes('order-sent');
-      isFrozen ||= isFirstOrder;
-      return isFirstOrder ? 120_000 : 5;
-    };
-    await world.until(() => isFrozen);
-    const frozen = world.getHolder('chat')!;
-    frozen.clock.pause();
-    await untilLoaded(world, { [id]: ['a@1'] });
-    world.edit(edited);
-    await untilLoaded(world, edited);
-    await world.until(() => getArrivals(world, id).some(({ sender }) => sender === frozen.id));
-    expect(getArrivals(world, id).at(-1)!.outcome).toBe(id === 'chat-1' ? 'stale' : 'accepted');
-    await world.advance(30_000);
-    expect(world.getLoaded()).toEqual(edited);
-  });
+  it.each(['chat-1', 'chat-2'])(
+    'reaches the last accepted placement after a late order to %s',
+    async (id) => {
+      const edited: Placements = { [id]: ['b@1'] };
+      const harness = new PlacementHarness({ [id]: ['a@1'] });
+      let isPaused = false;
+      harness.getDelay = () => {
+        const isFirstOrder = !isPaused && getEventKinds(harness).includes('order-sent');
+        isPaused ||= isFirstOrder;
+        return isFirstOrder ? 120_000 : 5;
+      };
+      await harness.advanceUntil(() => isPaused);
+      const pausedDaemon = harness.getHolder('chat')!;
+      pausedDaemon.clock.pause();
+      await advanceUntilLoaded(harness, { [id]: ['a@1'] });
+      harness.changePlacements(edited);
+      await advanceUntilLoaded(harness, edited);
+      await harness.advanceUntil(() =>
+        getReceivedOrders(harness, id).some(({ sender }) => sender === pausedDaemon.id),
+      );
+      expect(getReceivedOrders(harness, id).at(-1)!.outcome).toBe(
+        id === 'chat-1' ? 'stale' : 'accepted',
+      );
+      await harness.advance(30_000);
+      expect(harness.getLoaded()).toEqual(edited);
+    },
+  );
 
   /*
-   * Symptom: a model is loaded twice, or the weight store is asked twice for one load.
-   * Sequence: the engine takes an order up, and the answer is lost.
-   * Cause: the order was repeated without looking whether it had taken effect.
+   * Guards against repeating an order without checking whether it took effect: when the response to
+   * an accepted load is lost, the model would be loaded twice.
    */
-  it('looks before it repeats an order whose answer was lost', async () => {
-    const world = new PlacementWorld({ 'chat-2': ['a@1'] });
-    world.engines.get('chat-2')!.lostAnswers = 1;
-    await untilLoaded(world, { 'chat-2': ['a@1'] });
-    await world.advance(30_000);
-    expect(getKinds(world)).toContain('order-lost');
-    expect(getArrivals(world, 'chat-2')).toHaveLength(1);
+  it('observes the engine before repeating an order whose response was lost', async () => {
+    const harness = new PlacementHarness({ 'chat-2': ['a@1'] });
+    harness.engines.get('chat-2')!.lostResponses = 1;
+    await advanceUntilLoaded(harness, { 'chat-2': ['a@1'] });
+    await harness.advance(30_000);
+    expect(getEventKinds(harness)).toContain('order-lost');
+    expect(getReceivedOrders(harness, 'chat-2')).toHaveLength(1);
   });
 
   /*
-   * Symptom: two daemons give orders after an outage of the store, or engines are emptied in one.
-   * Sequence: the store is down for longer than the lease's span; an edit is in force by then.
-   * Cause: the holder went on although it could not have renewed.
+   * Guards against a holder that continues without renewing its lease: after a store outage longer
+   * than the lease, two daemons could send orders, or engines could be unloaded during the outage.
    */
-  it('gives no orders once the lease runs out in an outage, and goes on after it', async () => {
+  it('sends no orders after its lease expires in a store outage, and resumes afterwards', async () => {
     const edited: Placements = { 'chat-1': ['b@1'], 'chat-2': ['a@1'] };
-    const world = new PlacementWorld(WANTED, undefined, WANTED);
-    await world.until(() => world.getHolder('chat') !== undefined);
-    world.store.isDown = true;
-    await world.until(() => getKinds(world).includes('lease-lost'));
-    world.edit(edited);
-    await world.advance(300_000);
-    expect(world.getLoaded()).toEqual(WANTED);
-    expect(getKinds(world)).not.toContain('order-sent');
-    world.store.isDown = false;
-    await untilLoaded(world, edited);
-    const kinds = getKinds(world);
-    const after = kinds.slice(kinds.lastIndexOf('lease-gained'), kinds.indexOf('order-sent'));
-    expect(after).toEqual(['lease-gained', 'engine-met', 'engine-met']);
+    const harness = new PlacementHarness(DESIRED, undefined, DESIRED);
+    await harness.advanceUntil(() => harness.getHolder('chat') !== undefined);
+    harness.store.isDown = true;
+    await harness.advanceUntil(() => getEventKinds(harness).includes('lease-lost'));
+    harness.changePlacements(edited);
+    await harness.advance(300_000);
+    expect(harness.getLoaded()).toEqual(DESIRED);
+    expect(getEventKinds(harness)).not.toContain('order-sent');
+    harness.store.isDown = false;
+    await advanceUntilLoaded(harness, edited);
+    const kinds = getEventKinds(harness);
+    const eventsBeforeOrder = kinds.slice(
+      kinds.lastIndexOf('lease-gained'),
+      kinds.indexOf('order-sent'),
+    );
+    expect(eventsBeforeOrder).toEqual(['lease-gained', 'engine-met', 'engine-met']);
   });
 
   /*
-   * Symptom: the weight store refuses loads after hand-overs.
-   * Sequence: a holder uses the rate up and gives the lease away; the next one sends at once.
-   * Cause: the next holder's bucket had filled while the other was sending.
+   * Guards against a token bucket that filled while another daemon held the lease and used the
+   * whole rate: after the handover the weight store would rate limit the loads of the new holder.
    */
-  it('starts a term with nothing to spend at the weight store', async () => {
-    const world = new PlacementWorld(WANTED);
-    await world.advance(60_000);
-    const released = world.getHolder('chat')!.manager.release();
-    world.engines.forEach((engine) => engine.crash());
-    await world.until(() => getKinds(world).filter((kind) => kind === 'lease-gained').length === 2);
+  it('starts with an empty load budget when it acquires the lease', async () => {
+    const harness = new PlacementHarness(DESIRED);
+    await harness.advance(60_000);
+    const released = harness.getHolder('chat')!.manager.release();
+    harness.engines.forEach((engine) => engine.crash());
+    await harness.advanceUntil(
+      () => getEventKinds(harness).filter((kind) => kind === 'lease-gained').length === 2,
+    );
     await released;
-    const gained = getKinds(world).lastIndexOf('lease-gained');
-    await untilLoaded(world, WANTED);
-    const sent = world.decisions.slice(gained).find(({ kind }) => kind === 'order-sent');
-    const gap = 1_000 / worldOptions.loadsPerSecond;
-    expect(sent!.at - world.decisions[gained]!.at).toBeGreaterThanOrEqual(gap);
+    const gainedIndex = getEventKinds(harness).lastIndexOf('lease-gained');
+    await advanceUntilLoaded(harness, DESIRED);
+    const sentOrder = harness.events.slice(gainedIndex).find(({ kind }) => kind === 'order-sent');
+    const minDelay = 1_000 / harnessOptions.loadsPerSecond;
+    expect(sentOrder!.at - harness.events[gainedIndex]!.at).toBeGreaterThanOrEqual(minDelay);
   });
 
   /*
-   * Symptom: an accepted edit takes a minute to begin to take effect.
-   * Sequence: all engines are as they should be and looked at rarely; an edit comes into force.
-   * Cause: the edit was found at the next look that was due.
+   * Guards against applying an edit only at the next due observation, which can be a minute away
+   * while all engines are converged.
    */
-  it('follows an edit at once', async () => {
+  it('applies an edit at once', async () => {
     const options = { observeConverged: 60_000 };
-    const world = new PlacementWorld(WANTED, undefined, WANTED, options);
-    await world.advance(300_000);
-    world.edit(SURPLUS);
-    await world.advance(50);
-    expect(getKinds(world)).toContain('order-sent');
+    const harness = new PlacementHarness(DESIRED, undefined, DESIRED, options);
+    await harness.advance(300_000);
+    harness.changePlacements(SURPLUS);
+    await harness.advance(50);
+    expect(getEventKinds(harness)).toContain('order-sent');
   });
 
   /*
-   * Symptom: an engine loses a model that the accepted configuration wants.
-   * Sequence: an unload is planned; an edit that wants the model comes into force before the send.
-   * Cause: the plan was made on the configuration before, and nobody looked again.
+   * Guards against sending an order planned for an outdated configuration: an edit that needs a
+   * model could take effect between the planning and the sending of its unload.
    */
-  it('drops a planned order when another configuration comes into force', async () => {
-    const world = new PlacementWorld(WANTED, undefined, SURPLUS);
-    await untilLastLook(world);
-    world.edit(SURPLUS);
-    await world.advance(60_000);
-    expect(getDrops(world)).toEqual([DropReason.ConfigurationChanged]);
-    expect(getArrivals(world, 'chat-2')).toEqual([]);
+  it('drops a planned order when another configuration takes effect', async () => {
+    const harness = new PlacementHarness(DESIRED, undefined, SURPLUS);
+    await advanceUntilFinalObservation(harness);
+    harness.changePlacements(SURPLUS);
+    await harness.advance(60_000);
+    expect(getDropReasons(harness)).toEqual([DropReason.ConfigurationChanged]);
+    expect(getReceivedOrders(harness, 'chat-2')).toEqual([]);
   });
 
   /*
-   * Symptom: callers of a model find no copy of it.
-   * Sequence: a copy moved to another engine, which crashes just before the old copy is unloaded.
-   * Cause: the plan relied on a look that was out of date.
+   * Guards against relying on an outdated observation: the engine with the new copy of a model may
+   * crash just before the old copy is unloaded, which would leave no copy.
    */
-  it('keeps a copy whose successor crashed since it was seen', async () => {
-    const moved: Placements = { 'chat-1': ['a@1'], 'chat-2': ['b@1'] };
-    const before: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1', 'b@1'] };
-    const world = new PlacementWorld(moved, undefined, before);
-    await world.until(() => world.engines.get('chat-1')!.looks === 1);
-    world.engines.get('chat-1')!.crash();
-    await world.until(() => !world.getLoaded()['chat-2']!.includes('a@1'));
-    expect(world.getLoaded()['chat-1']).toEqual(['a@1']);
-    expect(getDrops(world)).toContain(DropReason.CopyNotConfirmed);
+  it('keeps a copy when the engine with the new copy crashed after its observation', async () => {
+    const desired: Placements = { 'chat-1': ['a@1'], 'chat-2': ['b@1'] };
+    const loaded: Placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1', 'b@1'] };
+    const harness = new PlacementHarness(desired, undefined, loaded);
+    await harness.advanceUntil(() => harness.engines.get('chat-1')!.observationCount === 1);
+    harness.engines.get('chat-1')!.crash();
+    await harness.advanceUntil(() => !harness.getLoaded()['chat-2']!.includes('a@1'));
+    expect(harness.getLoaded()['chat-1']).toEqual(['a@1']);
+    expect(getDropReasons(harness)).toContain(DropReason.CopyNotConfirmed);
   });
 
   /*
-   * Symptom: the weight store is asked again and again while it refuses.
-   * Sequence: it answers 429 with a Retry-After of 20 s.
-   * Cause: the time it named was not kept.
+   * Guards against ignoring Retry-After: loads would be repeated while the weight store responds
+   * with 429 and a Retry-After of 20 s.
    */
-  it('leaves the weight store alone for as long as it asks', async () => {
-    const world = new PlacementWorld({ 'chat-1': ['a@1'], 'chat-2': ['a@1'] });
-    await world.until(() => world.getHolder('chat') !== undefined);
-    world.weights.refusesUntil = world.clock.now() + 20_000;
-    await untilLoaded(world, WANTED);
-    const outcomes = [...world.engines.values()].flatMap(({ arrivals }) =>
-      arrivals.map(({ outcome }) => outcome),
+  it('sends no loads until the Retry-After time of the weight store has passed', async () => {
+    const harness = new PlacementHarness({ 'chat-1': ['a@1'], 'chat-2': ['a@1'] });
+    await harness.advanceUntil(() => harness.getHolder('chat') !== undefined);
+    harness.weights.rateLimitedUntil = harness.clock.now() + 20_000;
+    await advanceUntilLoaded(harness, DESIRED);
+    const outcomes = [...harness.engines.values()].flatMap(({ receivedOrders }) =>
+      receivedOrders.map(({ outcome }) => outcome),
     );
     expect(outcomes.sort()).toEqual(['accepted', 'accepted', 'rate-limited']);
   });
 
   /*
-   * Symptom: the weight store and the log fill with orders that lead to nothing.
-   * Sequence: an engine refuses a load each time, for instance of a version that doesn't exist.
-   * Cause: the order was repeated after each look.
+   * Guards against repeating a refused order after each observation: an engine may refuse a load
+   * every time, for instance of a version that does not exist, which would flood weight store and
+   * log.
    */
-  it('repeats an order that an engine refuses ever more rarely', async () => {
-    const world = new PlacementWorld({ 'chat-1': ['a@1'], 'chat-2': ['a@1'] });
-    world.engines.get('chat-1')!.refuses = true;
-    await world.until(() => world.getLoaded()['chat-2']!.includes('a@1'));
-    await world.advance(60_000);
-    expect(getArrivals(world, 'chat-1').length).toBeGreaterThan(1);
-    expect(getArrivals(world, 'chat-1').length).toBeLessThan(12);
+  it('repeats a refused order at increasing intervals', async () => {
+    const harness = new PlacementHarness({ 'chat-1': ['a@1'], 'chat-2': ['a@1'] });
+    harness.engines.get('chat-1')!.refusesOrders = true;
+    await harness.advanceUntil(() => harness.getLoaded()['chat-2']!.includes('a@1'));
+    await harness.advance(60_000);
+    expect(getReceivedOrders(harness, 'chat-1').length).toBeGreaterThan(1);
+    expect(getReceivedOrders(harness, 'chat-1').length).toBeLessThan(12);
   });
 
   /*
-   * Symptom: more engines of a service load at once than may, right after a take-over.
-   * Sequence: a holder with a small budget of looks takes over and has seen only idle engines yet.
-   * Cause: it gave orders before it had seen the engine that its predecessor had set to work.
+   * Guards against exceeding the maximum number of changing engines right after a takeover: a new
+   * holder with a small observation budget may not yet have observed an engine that is loading.
    */
-  it('gives no order before it has looked at every engine', async () => {
+  it('sends no order before it has observed every engine', async () => {
     const placements = { 'chat-1': ['a@1'], 'chat-2': ['a@1'] };
     const options = { observationBurst: 1, observationsPerSecond: 0.2 };
-    const world = new PlacementWorld(placements, undefined, {}, options);
-    await world.until(() => getKinds(world).includes('engine-met'));
-    await world.advance(4_000);
-    expect(getKinds(world)).not.toContain('order-sent');
-    await world.until(() => getKinds(world).includes('order-sent'));
-    expect(getKinds(world).filter((kind) => kind === 'engine-met')).toHaveLength(2);
+    const harness = new PlacementHarness(placements, undefined, {}, options);
+    await harness.advanceUntil(() => getEventKinds(harness).includes('engine-met'));
+    await harness.advance(4_000);
+    expect(getEventKinds(harness)).not.toContain('order-sent');
+    await harness.advanceUntil(() => getEventKinds(harness).includes('order-sent'));
+    expect(getEventKinds(harness).filter((kind) => kind === 'engine-met')).toHaveLength(2);
   });
 
   /*
-   * Symptom: an engine that checks refuses every order of the rightful holder.
-   * Sequence: the replica moves to another service, whose lease was granted earlier than the last.
-   * Cause: the number of the lease stayed below what the engine has seen.
+   * Guards against a lease whose fencing number stays below the highest that an engine has seen.
+   * This happens when a replica moves to a service whose lease was granted earlier: the engine
+   * would reject every order of the rightful holder.
    */
-  it('asks for a higher number when an engine has seen one', async () => {
-    const world = new PlacementWorld({ 'chat-1': ['a@1'] });
-    await world.until(() => world.getHolder('chat') !== undefined);
-    const { manager } = world.getHolder('chat')!;
+  it('acquires a higher fencing number when an engine has seen one', async () => {
+    const harness = new PlacementHarness({ 'chat-1': ['a@1'] });
+    await harness.advanceUntil(() => harness.getHolder('chat') !== undefined);
+    const { manager } = harness.getHolder('chat')!;
     const highest = manager.getFencingNumber('chat')! + 1;
     const order = { kind: 'load' as const, model: 'b', version: '1' };
-    world.engines.get('chat-1')!.order({ fencingNumber: highest, orderId: 'x', order }, 'x');
-    await untilLoaded(world, { 'chat-1': ['a@1'] });
+    harness.engines.get('chat-1')!.order({ fencingNumber: highest, orderId: 'x', order }, 'x');
+    await advanceUntilLoaded(harness, { 'chat-1': ['a@1'] });
     expect(manager.getFencingNumber('chat')).toBeGreaterThanOrEqual(highest);
   });
 
   /*
-   * Symptom: nobody gives orders for a lease's span after each planned restart.
-   * Sequence: the holder shuts down in good order.
-   * Cause: it left the lease to run out.
+   * Guards against a graceful shutdown that leaves the lease to expire: after each planned restart
+   * no daemon would send orders for the duration of a lease.
    */
-  it('hands its leases over on shutdown', async () => {
-    const world = new PlacementWorld(WANTED, undefined, WANTED);
-    await world.until(() => world.getHolder('chat') !== undefined);
-    const holder = world.getHolder('chat')!;
+  it('releases its leases on shutdown', async () => {
+    const harness = new PlacementHarness(DESIRED, undefined, DESIRED);
+    await harness.advanceUntil(() => harness.getHolder('chat') !== undefined);
+    const holder = harness.getHolder('chat')!;
     const released = holder.manager.release();
-    await world.advance(worldOptions.lease.span - 1_000);
+    await harness.advance(harnessOptions.lease.span - 1_000);
     await released;
-    expect(world.getHolder('chat')).toBeDefined();
-    expect(world.getHolder('chat')).not.toBe(holder);
+    expect(harness.getHolder('chat')).toBeDefined();
+    expect(harness.getHolder('chat')).not.toBe(holder);
   });
 });
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.ts
@@ -11,7 +11,7 @@
 import type { PlacementOptions } from '../placementOptions.js';
 
 /**
- * What placement needs around it.
+ * Constructor arguments of {@link PlacementManager}.
  *
  * @public
  */
@@ -22,101 +22,104 @@
   random: Random;
   store: PlatformStore;
   engines: EngineClient;
-  /** The configuration in force at this daemon; the same object until another is in force. */
+  /** The configuration in force at this daemon; the same object until it changes. */
   getConfiguration: () => Configuration | undefined;
-  /** The ids of the live daemons, over which duties spread; this daemon alone when absent. */
+  /** The ids of the live daemons, over which leases are distributed; only this daemon if absent. */
   getMembers?: () => readonly string[];
   options?: PlacementOptions;
-  /** Told each decision, for its log line. */
+  /** Receives each event, for the log. */
   onEvent: PlacementListener;
 }
 
-interface Duty {
+interface ManagedService {
   placement: ServicePlacement;
-  loads: TokenBucket;
+  loadBudget: TokenBucket;
 }
 
-const INCARNATIONS = 2 ** 32;
+const INCARNATION_RANGE = 2 ** 32;
 
 /**
- * Brings the engines of every model service to the state the configuration in force wants. Each
- * service is a duty of its own with its own lease `leases/placement-<service>`; the three daemons
- * that rendezvous hashing prefers for it stand by.
+ * Brings the engines of every model service to the state that the configuration requires. Each
+ * service is managed under its own lease `leases/placement-<service>`. The three daemons that
+ * rendezvous hashing prefers for the service are candidates for its lease.
  *
  * @example
  * ```ts
  * const placement = new PlacementManager({
- *   self, clock, random, store, engines, getConfiguration, getMembers, onDecision,
+ *   self, clock, random, store, engines, getConfiguration, getMembers, onEvent,
  * });
- * // on shutdown, so that the next holder need not wait for the leases to run out
+ * // on shutdown, so that the next holder need not wait for the leases to expire
  * await placement.release();
  * ```
  * @public
  */
 export class PlacementManager {
-  private readonly duties = new Map<string, Duty>();
+  private readonly services = new Map<string, ManagedService>();
 
   private readonly options: PlacementOptions;
 
   private readonly incarnation: string;
 
-  private readonly looks: TokenBucket;
+  private readonly observationBudget: TokenBucket;
 
   private configuration: Configuration | undefined;
 
   private checkTimer: Timer | undefined;
 
-  private leases = 0;
+  private leaseCount = 0;
 
   private disposed = false;
 
   constructor(private readonly settings: PlacementSettings) {
     const { clock, random } = settings;
     this.options = settings.options ?? defaultPlacementOptions;
-    this.incarnation = `${clock.now()}-${random.integer(INCARNATIONS)}`;
+    this.incarnation = `${clock.now()}-${random.integer(INCARNATION_RANGE)}`;
     const { observationBurst, observationsPerSecond } = this.options;
-    const limits = { perSecond: observationsPerSecond, capacity: observationBurst };
-    this.looks = new TokenBucket({ ...limits, initial: observationBurst }, clock.now());
-    this.check();
+    const rateLimits = { tokensPerSecond: observationsPerSecond, capacity: observationBurst };
+    this.observationBudget = new TokenBucket(
+      { ...rateLimits, initialTokens: observationBurst },
+      clock.now(),
+    );
+    this.checkConfiguration();
   }
 
-  /** Looks at the configuration at once; without this call it is noticed within a second or so. */
+  /** Applies a changed configuration at once; otherwise it is noticed within about a second. */
   handleConfigurationChange(): void {
     const configuration = this.settings.getConfiguration();
     if (this.disposed || configuration === undefined || configuration === this.configuration) {
       return;
     }
     this.configuration = configuration;
-    this.syncDuties(configuration);
-    this.duties.forEach(({ placement }) => placement.handleConfigurationChange());
+    this.syncServices(configuration);
+    this.services.forEach(({ placement }) => placement.handleConfigurationChange());
   }
 
   /**
-   * Has an engine looked at soon, for instance when it answered that it lacks a model. Harmless at
-   * a daemon that doesn't hold the service's lease.
+   * Observes an engine soon, for instance after it reported that a model is missing. Has no effect
+   * on a daemon that does not hold the service's lease.
    */
-  lookSoon(service: string, replica: string): void {
-    this.duties.get(service)?.placement.lookSoon(replica);
+  observeSoon(service: string, replica: string): void {
+    this.services.get(service)?.placement.observeSoon(replica);
   }
 
-  /** Whether this daemon holds the duty for a service, and under which number. */
+  /** The fencing number under which this daemon holds a service's lease, if it does. */
   getFencingNumber(service: string): number | undefined {
-    return this.duties.get(service)?.placement.getFencingNumber();
+    return this.services.get(service)?.placement.getFencingNumber();
   }
 
-  /** Ends all duties in good order: orders under way are waited for, then the leases are released. */
+  /** Stops managing all services: waits for orders in flight, then releases the leases. */
   async release(): Promise<void> {
     this.stop();
-    const releases = [...this.duties.values()].map(({ placement }) => placement.release());
+    const releases = [...this.services.values()].map(({ placement }) => placement.release());
     await Promise.all(releases);
     this.dispose();
   }
 
-  /** Ends all duties at once; the leases run out by themselves. */
+  /** Stops at once without releasing the leases, which then expire. */
   dispose(): void {
     this.stop();
-    this.duties.forEach(({ placement }) => placement.dispose());
-    this.duties.clear();
+    this.services.forEach(({ placement }) => placement.dispose());
+    this.services.clear();
   }
 
   private stop(): void {
@@ -124,31 +127,36 @@
     this.checkTimer?.cancel();
   }
 
-  private check(): void {
+  private checkConfiguration(): void {
     this.handleConfigurationChange();
     const { observeChanging } = this.options;
-    this.checkTimer = this.settings.clock.setTimer(observeChanging, () => this.check());
+    this.checkTimer = this.settings.clock.setTimer(observeChanging, () =>
+      this.checkConfiguration(),
+    );
   }
 
-  private syncDuties(configuration: Configuration): void {
+  private syncServices(configuration: Configuration): void {
     const rates = getLoadRates(configuration, this.options.loadsPerSecond);
-    this.duties.forEach(({ placement }, name) => {
+    this.services.forEach(({ placement }, name) => {
       if (!rates.has(name)) {
-        this.duties.delete(name);
+        this.services.delete(name);
         placement.release().finally(() => placement.dispose());
       }
     });
     const now = this.settings.clock.now();
     rates.forEach((rate, name) => {
-      const duty = this.duties.get(name) ?? this.createDuty(name);
-      duty.loads.setRate(rate, now);
-      this.duties.set(name, duty);
+      const service = this.services.get(name) ?? this.createService(name);
+      service.loadBudget.setRate(rate, now);
+      this.services.set(name, service);
     });
   }
 
-  private createDuty(service: string): Duty {
-    const { clock, engines, getConfiguration, onEvent: onDecision } = this.settings;
-    const loads = new TokenBucket({ perSecond: 1, capacity: 1, initial: 0 }, clock.now());
+  private createService(service: string): ManagedService {
+    const { clock, engines, getConfiguration, onEvent } = this.settings;
+    const loadBudget = new TokenBucket(
+      { tokensPerSecond: 1, capacity: 1, initialTokens: 0 },
+      clock.now(),
+    );
     const placement = new ServicePlacement({
       service,
       clock,
@@ -156,19 +164,19 @@
       engines,
       getConfiguration,
       options: this.options,
-      looks: this.looks,
-      loads,
-      onDecision,
+      observationBudget: this.observationBudget,
+      loadBudget,
+      onEvent,
     });
-    return { placement, loads };
+    return { placement, loadBudget };
   }
 
   private createLease(name: string): LeaseManager {
     const { self, clock, store, getMembers } = this.settings;
     const options = this.options.lease;
-    // A service that is removed and comes back contends with its own lease that is being released.
-    this.leases += 1;
-    const incarnation = `${this.incarnation}-${this.leases}`;
+    // A service that is removed and added again contends with its old lease while that is released.
+    this.leaseCount += 1;
+    const incarnation = `${this.incarnation}-${this.leaseCount}`;
     const getRank = () => getLeaseRank(name, self, getMembers?.() ?? [], options.candidates);
     return new LeaseManager({ self, clock, store, name, options, incarnation, getRank });
   }
--- a/packages/placement/src/lib/PlacementManager/getLoadRates.test.ts
+++ b/packages/placement/src/lib/PlacementManager/getLoadRates.test.ts
@@ -2,7 +2,7 @@
 import { getLoadRates } from './getLoadRates.js';
 
 describe('getLoadRates', () => {
-  it('deals the whole rate out, and something to the smallest service', () => {
+  it('divides the whole rate, with a share even for the smallest service', () => {
     const configuration = createConfiguration({ 'a-1': [], 'a-2': [], 'a-3': [], 'b-1': [] });
     const rates = getLoadRates(configuration, 2);
     expect([...rates]).toEqual([
--- a/packages/placement/src/lib/PlacementManager/getLoadRates.ts
+++ b/packages/placement/src/lib/PlacementManager/getLoadRates.ts
@@ -1,23 +1,23 @@
 import { ServiceKind } from '@apricotrill/model';
 import type { Configuration } from '@apricotrill/model';
 
-/** The part of the rate that is dealt out evenly, so that a small service isn't left with nothing. */
-const EVEN_PART = 0.5;
+/** The part of the rate that is divided equally, so that a small service always gets some. */
+const EVEN_RATIO = 0.5;
 
-/** The model services of one region. */
-interface RegionCount {
+/** Totals over the model services of one region. */
+interface RegionTotals {
   services: number;
   replicas: number;
 }
 
 /**
- * Each model service's share of its region's weight store. The holders of different services don't
- * talk; as all work with the same configuration, their shares add up to the whole rate. Half of it
- * is dealt out evenly, half by the number of replicas.
+ * Determines each model service's share of its region's load rate. The lease holders of different
+ * services do not communicate; as they use the same configuration, their shares add up to the whole
+ * rate. Half of it is divided equally, half in proportion to the number of replicas.
  *
- * @param configuration - as it is in force
- * @param loadsPerSecond - what each region's weight store bears
- * @returns loads a second by service name
+ * @param configuration - the configuration in force
+ * @param loadsPerSecond - the maximum rate of each region's weight store
+ * @returns loads per second by service name
  * @example
  * ```ts
  * bucket.setRate(getLoadRates(configuration, 2).get('chat') ?? 0, clock.now());
@@ -36,18 +36,18 @@
       sizes.set(service, size + 1);
     }
   });
-  const regions = new Map<string, RegionCount>();
+  const regions = new Map<string, RegionTotals>();
   services.forEach(({ name, region }) => {
-    const count = regions.get(region) ?? { services: 0, replicas: 0 };
-    count.services += 1;
-    count.replicas += sizes.get(name)!;
-    regions.set(region, count);
+    const totals = regions.get(region) ?? { services: 0, replicas: 0 };
+    totals.services += 1;
+    totals.replicas += sizes.get(name)!;
+    regions.set(region, totals);
   });
   const rates = services.map(({ name, region }): [string, number] => {
-    const count = regions.get(region)!;
-    const even = 1 / count.services;
-    const bySize = count.replicas === 0 ? even : sizes.get(name)! / count.replicas;
-    return [name, loadsPerSecond * (EVEN_PART * even + (1 - EVEN_PART) * bySize)];
+    const totals = regions.get(region)!;
+    const equalShare = 1 / totals.services;
+    const sizeShare = totals.replicas === 0 ? equalShare : sizes.get(name)! / totals.replicas;
+    return [name, loadsPerSecond * (EVEN_RATIO * equalShare + (1 - EVEN_RATIO) * sizeShare)];
   });
   return new Map(rates);
 }
--- a/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
+++ b/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.test.ts
@@ -9,16 +9,16 @@
 import type { PlacementOptions } from '../placementOptions.js';
 
 const IDS = ['chat-1', 'chat-2', 'chat-3', 'chat-4'];
-const CHANGING_AT_MOST = 2;
-const names = fc.uniqueArray(fc.constantFrom('a@1', 'a@2', 'b@1', 'c:x@1'), { maxLength: 3 });
-const lists = fc.tuple(...IDS.map(() => names));
+const MAX_CHANGING = 2;
+const nameSets = fc.uniqueArray(fc.constantFrom('a@1', 'a@2', 'b@1', 'c:x@1'), { maxLength: 3 });
+const modelLists = fc.tuple(...IDS.map(() => nameSets));
 
 function createState(loaded: string[]): EngineState {
   return { loaded, loading: [], role: EngineRole.Mixed, highestFencingNumber: 0 };
 }
 
-/** Spreads over four replicas in two zones. */
-function getSpread(models: string[], options: Partial<PlacementOptions> = {}, ids = IDS) {
+/** Spreads models over replicas that alternate between two availability zones. */
+function getSpreadPlacement(models: string[], options: Partial<PlacementOptions> = {}, ids = IDS) {
   const configuration = createConfiguration(Object.fromEntries(ids.map((id) => [id, []])));
   configuration.register.services[0]!.models = models;
   configuration.register.replicas.forEach((replica, index) => {
@@ -29,57 +29,61 @@
 
 describe('PlacementPlanner', () => {
   /*
-   * Symptom: callers of a model find no copy of it during a roll-out, too many engines load at once,
-   * or the plan never ends.
-   * Sequence: any placement changes into any other; loads end in any order.
-   * Cause: orders were planned engine by engine, without counting what the others have.
+   * Guards against orders that are planned per engine without counting copies on the others: during
+   * a change from any placement to any other, a model could lose its last copy, too many engines
+   * could load at once, or planning might never converge.
    */
-  it('reaches what is wanted without losing the last copy of a model on the way', () => {
+  it('reaches the desired placement without losing the last copy of a model meanwhile', () => {
     fc.assert(
-      fc.property(lists, lists, fc.infiniteStream(fc.nat()), (before, after, picks) => {
-        const wanted = Object.fromEntries(IDS.map((id, index) => [id, [...after[index]!].sort()]));
-        const configuration = createConfiguration(wanted);
+      fc.property(modelLists, modelLists, fc.infiniteStream(fc.nat()), (before, after, choices) => {
+        const desiredNames = Object.fromEntries(
+          IDS.map((id, index) => [id, [...after[index]!].sort()]),
+        );
+        const configuration = createConfiguration(desiredNames);
         const desired = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
         const states = new Map(IDS.map((id, index) => [id, createState([...before[index]!])]));
         const getBases = () =>
           [...states.values()].flatMap(({ loaded }) => loaded.map(getBaseName));
-        const count = (bases: string[], base: string) => bases.filter((b) => b === base).length;
+        const count = (bases: string[], base: string) =>
+          bases.filter((other) => other === base).length;
         const targets = [...desired.engines.values()].flatMap((engine) =>
-          engine.names.map(getBaseName),
+          engine.modelNames.map(getBaseName),
         );
-        const floors = [...new Set(targets)].map((base) => ({
+        const minimumCounts = [...new Set(targets)].map((base) => ({
           base,
-          floor: Math.min(count(getBases(), base), count(targets, base)),
+          minimum: Math.min(count(getBases(), base), count(targets, base)),
         }));
-        const none = new Set<string>();
+        const noEngines = new Set<string>();
         const plan = () =>
           new PlacementPlanner({
             desired,
             observed: states,
-            busy: none,
-            resting: none,
-            changingAtMost: CHANGING_AT_MOST,
+            pending: noEngines,
+            suspended: noEngines,
+            maxChanging: MAX_CHANGING,
           }).getOrders();
-        const isLoading = () => [...states.values()].filter(({ loading }) => loading.length > 0);
-        for (let orders = plan(); orders.length + isLoading().length > 0; orders = plan()) {
+        const getLoadingStates = () =>
+          [...states.values()].filter(({ loading }) => loading.length > 0);
+        for (let orders = plan(); orders.length + getLoadingStates().length > 0; orders = plan()) {
           orders.forEach(({ replica, order }) => {
             const state = states.get(replica)!;
             if (order.kind === 'load') {
               state.loading.push(getLoadableName(order));
             } else if (order.kind === 'unload') {
-              expect(state.loaded).toEqual(expect.arrayContaining(wanted[replica]!));
+              expect(state.loaded).toEqual(expect.arrayContaining(desiredNames[replica]!));
               state.loaded = state.loaded.filter((name) => name !== getLoadableName(order));
             }
           });
-          expect(isLoading().length).toBeLessThanOrEqual(CHANGING_AT_MOST);
-          floors.forEach(({ base, floor }) => {
-            expect(count(getBases(), base)).toBeGreaterThanOrEqual(floor);
+          expect(getLoadingStates().length).toBeLessThanOrEqual(MAX_CHANGING);
+          minimumCounts.forEach(({ base, minimum }) => {
+            expect(count(getBases(), base)).toBeGreaterThanOrEqual(minimum);
           });
-          const ready = isLoading()[picks.next().value % Math.max(1, isLoading().length)];
-          ready?.loaded.push(...ready.loading.splice(0));
+          const completed =
+            getLoadingStates()[choices.next().value % Math.max(1, getLoadingStates().length)];
+          completed?.loaded.push(...completed.loading.splice(0));
         }
         desired.engines.forEach((engine, id) => {
-          expect([...states.get(id)!.loaded].sort()).toEqual(engine.names);
+          expect([...states.get(id)!.loaded].sort()).toEqual(engine.modelNames);
         });
       }),
       { numRuns: 300, seed: 4 },
@@ -87,54 +91,55 @@
   });
 
   /*
-   * Symptom: a model has no copy left although one engine had it.
-   * Sequence: the only engine that should carry it can't be reached; another one still has it.
-   * Cause: copies that nobody has seen were counted on.
+   * Guards against relying on copies that were not observed: when the only engine that should have
+   * a model is unreachable, the surplus copy on another engine may be the last one.
    */
-  it('keeps a surplus copy while no wanted one has been seen', () => {
+  it('keeps a surplus copy while no desired copy has been observed', () => {
     const configuration = createConfiguration({ 'chat-1': ['a@1'], 'chat-2': ['b@1'] });
     const desired = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
     const observed = new Map([['chat-2', createState(['a@1', 'b@1'])]]);
-    const none = new Set<string>();
-    const input = { desired, observed, busy: none, resting: none, changingAtMost: 9 };
+    const noEngines = new Set<string>();
+    const input = { desired, observed, pending: noEngines, suspended: noEngines, maxChanging: 9 };
     expect(new PlacementPlanner(input).getOrders()).toEqual([]);
   });
 
-  it('spreads each model over the zones, and moves little when a replica comes', () => {
+  it('spreads each model over the zones, and moves few models when replicas are added', () => {
     const ids = Array.from({ length: 20 }, (_, index) => `chat-${index}`);
     const options = { copies: 4 };
     const models = ['a@1', 'b@1', 'c@1', 'd@1', 'e@1'];
-    const { engines } = getSpread(models, options, ids);
+    const { engines } = getSpreadPlacement(models, options, ids);
     models.forEach((model) => {
       const zones = [...engines.values()]
-        .filter((engine) => engine.names.includes(model))
+        .filter((engine) => engine.modelNames.includes(model))
         .map(({ replica }) => replica.availabilityZone);
       expect(zones.sort()).toEqual(['espoo', 'espoo', 'vantaa', 'vantaa']);
     });
-    const more = getSpread(models, options, [...ids, 'chat-20', 'chat-21']).engines;
-    const moved = ids.filter((id) => engines.get(id)!.names.join() !== more.get(id)?.names.join());
-    expect(moved.length).toBeLessThanOrEqual(6);
+    const enlarged = getSpreadPlacement(models, options, [...ids, 'chat-20', 'chat-21']).engines;
+    const changedIds = ids.filter(
+      (id) => engines.get(id)!.modelNames.join() !== enlarged.get(id)?.modelNames.join(),
+    );
+    expect(changedIds.length).toBeLessThanOrEqual(6);
   });
 
-  it('leaves engines alone where nothing is wanted, and models without a version', () => {
-    expect(getSpread([]).engines.size).toBe(0);
-    expect(getSpread(['a']).unversioned).toEqual(['a']);
-    const desired = getSpread(['a', 'b@1']);
+  it('ignores engines without desired models, and models without a version', () => {
+    expect(getSpreadPlacement([]).engines.size).toBe(0);
+    expect(getSpreadPlacement(['a']).unversioned).toEqual(['a']);
+    const desired = getSpreadPlacement(['a', 'b@1']);
     const observed = new Map(IDS.map((id) => [id, createState(['a@7', 'b@1', 'c@1'])]));
-    const none = new Set<string>();
-    const input = { desired, observed, busy: none, resting: none, changingAtMost: 9 };
+    const noEngines = new Set<string>();
+    const input = { desired, observed, pending: noEngines, suspended: noEngines, maxChanging: 9 };
     const orders = new PlacementPlanner(input).getOrders().map(({ order }) => order);
     const unload = { kind: 'unload', model: 'c', version: '1' };
     expect(orders).toEqual([unload, unload, unload, unload]);
   });
 
-  it('gives an engine the role the register names, and leaves the others theirs', () => {
+  it('sets the role that the register specifies, and leaves other roles unchanged', () => {
     const configuration = createConfiguration({ 'chat-1': ['a@1'], 'chat-2': ['a@1'] });
     configuration.register.replicas[0]!.role = EngineRole.Prefill;
     const desired = getDesiredPlacement(configuration, 'chat', defaultPlacementOptions);
     const observed = new Map(['chat-1', 'chat-2'].map((id) => [id, createState(['a@1'])]));
-    const none = new Set<string>();
-    const input = { desired, observed, busy: none, resting: none, changingAtMost: 9 };
+    const noEngines = new Set<string>();
+    const input = { desired, observed, pending: noEngines, suspended: noEngines, maxChanging: 9 };
     const orders = new PlacementPlanner(input).getOrders();
     expect(orders.map(({ replica, order }) => [replica, order])).toEqual([
       ['chat-1', { kind: 'set-role', role: 'prefill' }],
--- a/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.ts
+++ b/packages/placement/src/lib/PlacementPlanner/PlacementPlanner.ts
@@ -3,28 +3,28 @@
 import type { DesiredEngine, DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
 import type { EngineOrder, EngineState } from '../EngineClient/EngineClient.js';
 
-/** Why an order is given. */
+/** Why an order is planned. */
 export enum OrderReason {
-  /** The engine lacks a model it should have. */
+  /** A desired model is not loaded. */
   Missing = 'missing',
-  /** The engine has another role than it should have. */
+  /** The engine does not have its desired role. */
   WrongRole = 'wrong-role',
-  /** The engine has a model it should not have, and others carry enough copies. */
+  /** A model is loaded that is not desired on this engine, and enough copies remain elsewhere. */
   Surplus = 'surplus',
 }
 
 /**
- * A copy of a model that stays loaded. An unload is sent only after looking at it once more.
+ * A copy of a model that stays loaded. It is observed again before the unload that relies on it.
  *
  * @public
  */
-export interface Witness {
+export interface RemainingCopy {
   replica: string;
   name: string;
 }
 
 /**
- * An order to give, and what it relies on.
+ * An order to send, and the copy it relies on.
  *
  * @public
  */
@@ -32,51 +32,51 @@
   replica: string;
   order: EngineOrder;
   reason: OrderReason;
-  /** Absent when nothing depends on another copy. */
-  witness?: Witness;
+  /** Absent when the order does not depend on another copy. */
+  remainingCopy?: RemainingCopy;
 }
 
 /**
- * What is known when planning.
+ * The input of the planner.
  *
  * @public
  */
 export interface PlanInput {
   desired: DesiredPlacement;
-  /** What engines reported; one that can't be reached is absent and gets no order. */
+  /** Reported engine states. Unreachable engines are absent and get no order. */
   observed: ReadonlyMap<string, EngineState>;
-  /** Engines with an order whose fate isn't known: no further order, and they count as changing. */
-  busy: ReadonlySet<string>;
-  /** Engines that get no order for now and don't count as changing. */
-  resting: ReadonlySet<string>;
-  /** How many replicas may change at once. */
-  changingAtMost: number;
+  /** Engines with an order of unknown outcome. They get no other order and count as changing. */
+  pending: ReadonlySet<string>;
+  /** Engines that get no order for now and do not count as changing. */
+  suspended: ReadonlySet<string>;
+  /** Maximum number of replicas that may change at once. */
+  maxChanging: number;
 }
 
-interface Mismatch {
+interface Candidate {
   id: string;
-  wanted: DesiredEngine;
+  engine: DesiredEngine;
   state: EngineState;
 }
 
-/** What an engine lacks, if anything. */
-function getRaisingOrder({ id, wanted, state }: Mismatch): PlannedOrder | undefined {
-  const missing = wanted.names.find((name) => !state.loaded.includes(name));
+/** The order that gives an engine a missing model or its desired role, if needed. */
+function getLoadOrRoleOrder({ id, engine, state }: Candidate): PlannedOrder | undefined {
+  const missing = engine.modelNames.find((name) => !state.loaded.includes(name));
   const model = missing === undefined ? undefined : getLoadableModel(missing);
   if (model !== undefined) {
     return { replica: id, order: { kind: 'load', ...model }, reason: OrderReason.Missing };
   }
-  if (wanted.role !== undefined && wanted.role !== state.role) {
-    const order: EngineOrder = { kind: 'set-role', role: wanted.role };
+  if (engine.role !== undefined && engine.role !== state.role) {
+    const order: EngineOrder = { kind: 'set-role', role: engine.role };
     return { replica: id, order, reason: OrderReason.WrongRole };
   }
   return undefined;
 }
 
 /**
- * Compares what is wanted with what is there, and names the next orders: one a replica, loads
- * before unloads, and at most so many replicas of the service changing at once. Pure: the same
- * input gives the same orders, and a state as wanted gives none.
+ * Compares the desired placement with the observed states and plans the next orders: at most one
+ * per replica, loads before unloads, within the maximum number of changing replicas. Planning is
+ * deterministic, and a converged service gets no orders.
  *
  * @example
  * ```ts
@@ -85,124 +85,129 @@
  * @public
  */
 export class PlacementPlanner {
-  /** Copies loaded on reachable engines, by base name. */
-  private readonly copies = new Map<string, number>();
+  /** Number of copies loaded on reachable engines, by base name. */
+  private readonly copyCounts = new Map<string, number>();
 
-  /** Copies wanted on reachable engines, by base name; 0 when wanted only on others. */
-  private readonly targets = new Map<string, number>();
+  /** Number of copies desired on reachable engines, by base name; 0 if desired only on others. */
+  private readonly targetCounts = new Map<string, number>();
 
-  /** A loaded copy that stays, by base name. */
-  private readonly witnesses = new Map<string, Witness>();
+  /** A loaded copy that is to stay, by base name. */
+  private readonly remainingCopies = new Map<string, RemainingCopy>();
 
-  private changing = 0;
+  private changingCount = 0;
 
   constructor(private readonly input: PlanInput) {
     input.observed.forEach((state, id) => this.countState(id, state));
-    input.desired.engines.forEach((wanted, id) => this.countWanted(id, wanted));
-    const away = [...input.busy].filter((id) => !input.observed.has(id));
-    this.changing += away.length;
+    input.desired.engines.forEach((engine, id) => this.countDesired(id, engine));
+    const unobserved = [...input.pending].filter((id) => !input.observed.has(id));
+    this.changingCount += unobserved.length;
   }
 
-  /** The orders that may be given now; an order waits for the plans that follow if it can't yet. */
+  /** The orders that can be sent now. Orders that must wait are left to later plans. */
   getOrders(): PlannedOrder[] {
-    const mismatches = this.getMismatches();
-    const raising = mismatches.map((mismatch) => getRaisingOrder(mismatch));
-    const lowering = mismatches.map((mismatch) => this.getLoweringOrder(mismatch));
-    const scarceFirst = raising
+    const candidates = this.getCandidates();
+    const loadAndRoleOrders = candidates.map((candidate) => getLoadOrRoleOrder(candidate));
+    const unloadOrders = candidates.map((candidate) => this.getUnloadOrder(candidate));
+    const sortedOrders = loadAndRoleOrders
       .filter((order) => order !== undefined)
-      .sort((left, right) => this.getCopiesFor(left) - this.getCopiesFor(right));
-    return [...scarceFirst, ...lowering.filter((order) => order !== undefined)].filter(() =>
-      this.mayStart(),
+      .sort((left, right) => this.getCopyCount(left) - this.getCopyCount(right));
+    return [...sortedOrders, ...unloadOrders.filter((order) => order !== undefined)].filter(() =>
+      this.tryStartChange(),
     );
   }
 
   private countState(id: string, state: EngineState): void {
     state.loaded.forEach((name) => {
       const base = getBaseName(name);
-      this.copies.set(base, (this.copies.get(base) ?? 0) + 1);
+      this.copyCounts.set(base, (this.copyCounts.get(base) ?? 0) + 1);
     });
-    const isChanging = state.loading.length > 0 || this.input.busy.has(id);
-    if (isChanging && !this.input.resting.has(id)) {
-      this.changing += 1;
+    const isChanging = state.loading.length > 0 || this.input.pending.has(id);
+    if (isChanging && !this.input.suspended.has(id)) {
+      this.changingCount += 1;
     }
   }
 
-  private countWanted(id: string, wanted: DesiredEngine): void {
+  private countDesired(id: string, engine: DesiredEngine): void {
     const state = this.input.observed.get(id);
-    wanted.names.forEach((name) => {
+    engine.modelNames.forEach((name) => {
       const base = getBaseName(name);
-      this.targets.set(base, (this.targets.get(base) ?? 0) + (state === undefined ? 0 : 1));
-      if (state?.loaded.includes(name) && !this.witnesses.has(base)) {
-        this.witnesses.set(base, { replica: id, name });
+      this.targetCounts.set(
+        base,
+        (this.targetCounts.get(base) ?? 0) + (state === undefined ? 0 : 1),
+      );
+      if (state?.loaded.includes(name) && !this.remainingCopies.has(base)) {
+        this.remainingCopies.set(base, { replica: id, name });
       }
     });
   }
 
-  /** Engines that may get an order, in the order of their ids. */
-  private getMismatches(): Mismatch[] {
-    const { desired, observed, busy, resting } = this.input;
-    const found: Mismatch[] = [];
-    desired.engines.forEach((wanted, id) => {
+  /** Engines that may get an order, sorted by id. */
+  private getCandidates(): Candidate[] {
+    const { desired, observed, pending, suspended } = this.input;
+    const candidates: Candidate[] = [];
+    desired.engines.forEach((engine, id) => {
       const state = observed.get(id);
-      const isFree = !busy.has(id) && !resting.has(id);
-      if (state !== undefined && isFree && state.loading.length === 0) {
-        found.push({ id, wanted, state });
+      const canTakeOrder = !pending.has(id) && !suspended.has(id);
+      if (state !== undefined && canTakeOrder && state.loading.length === 0) {
+        candidates.push({ id, engine, state });
       }
     });
-    return found.sort((left, right) => (left.id < right.id ? -1 : 1));
+    return candidates.sort((left, right) => (left.id < right.id ? -1 : 1));
   }
 
-  /** An unload comes only once the engine has all it should have, and its role. */
-  private getLoweringOrder(mismatch: Mismatch): PlannedOrder | undefined {
-    if (getRaisingOrder(mismatch) !== undefined) {
+  /** An engine unloads models only after it has all its desired models and its role. */
+  private getUnloadOrder(candidate: Candidate): PlannedOrder | undefined {
+    if (getLoadOrRoleOrder(candidate) !== undefined) {
       return undefined;
     }
-    const { id, wanted, state } = mismatch;
+    const { id, engine, state } = candidate;
     const surplus = state.loaded
-      .filter((name) => !wanted.names.includes(name) && this.mayUnload(name))
+      .filter((name) => !engine.modelNames.includes(name) && this.canUnload(name))
       .sort()[0];
     const model = surplus === undefined ? undefined : getLoadableModel(surplus);
     if (model === undefined) {
       return undefined;
     }
     const base = getBaseName(surplus!);
-    this.copies.set(base, this.copies.get(base)! - 1);
+    this.copyCounts.set(base, this.copyCounts.get(base)! - 1);
     const order: EngineOrder = { kind: 'unload', ...model };
     return {
       replica: id,
       order,
       reason: OrderReason.Surplus,
-      witness: this.witnesses.get(base),
+      remainingCopy: this.remainingCopies.get(base),
     };
   }
 
   /**
-   * A surplus copy of a model that is still wanted goes only while enough others are loaded, one of
-   * them where it is wanted to stay. Otherwise callers of the model would find no copy at all
+   * A surplus copy of a model that is still desired is unloaded only while enough other copies are
+   * loaded, at least one of them on an engine that keeps it. Otherwise the model could have no copy
    * between its unload here and its load elsewhere.
    */
-  private mayUnload(name: string): boolean {
+  private canUnload(name: string): boolean {
     const base = getBaseName(name);
     if (!isUnloadable(this.input.desired, name)) {
       return false;
     }
-    const target = this.targets.get(base);
+    const target = this.targetCounts.get(base);
     if (target === undefined) {
       return true;
     }
-    const remaining = this.copies.get(base)! - 1;
-    return this.witnesses.has(base) && remaining >= target;
+    const remaining = this.copyCounts.get(base)! - 1;
+    return this.remainingCopies.has(base) && remaining >= target;
   }
 
-  private getCopiesFor({ order }: PlannedOrder): number {
-    return order.kind === 'load' ? (this.copies.get(getBaseName(getLoadableName(order))) ?? 0) : 0;
+  private getCopyCount({ order }: PlannedOrder): number {
+    return order.kind === 'load'
+      ? (this.copyCounts.get(getBaseName(getLoadableName(order))) ?? 0)
+      : 0;
   }
 
-  private mayStart(): boolean {
-    if (this.changing >= this.input.changingAtMost) {
+  private tryStartChange(): boolean {
+    if (this.changingCount >= this.input.maxChanging) {
       return false;
     }
-    this.changing += 1;
+    this.changingCount += 1;
     return true;
   }
 }
--- a/packages/placement/src/lib/ServicePlacement/ServicePlacement.ts
+++ b/packages/placement/src/lib/ServicePlacement/ServicePlacement.ts
@@ -9,14 +9,15 @@
 import { OrderSender } from './OrderSender.js';
 import type { DesiredPlacement } from '../DesiredPlacement/getDesiredPlacement.js';
 import type { PlannedOrder } from '../PlacementPlanner/PlacementPlanner.js';
-import type { ServiceSettings } from './ServicePlacementSettings.js';
+import type { ServicePlacementSettings } from './ServicePlacementSettings.js';
 
-const NOTHING: DesiredPlacement = { engines: new Map(), unversioned: [] };
+const EMPTY_PLACEMENT: DesiredPlacement = { engines: new Map(), unversioned: [] };
 
 /**
- * The duty for one service's engines: while this daemon holds the lease it looks at the engines,
- * plans, and gives orders, round after round. The rounds never end by themselves: they are what
- * undoes an order of a paused holder that woke, at an engine that doesn't check.
+ * Manages the engines of one service. While this daemon holds the lease it observes the engines,
+ * plans and sends orders in repeated rounds. The rounds continue after convergence: an engine that
+ * does not check fencing numbers may accept a late order from a previous holder that was paused,
+ * and only a later round reverts its effect.
  *
  * @internal
  */
@@ -27,59 +28,59 @@
 
   private readonly wakeup: Wakeup;
 
-  private readonly lookQueue: PQueue;
+  private readonly observationQueue: PQueue;
 
   private readonly orderQueue: PQueue;
 
-  private readonly stopListening: () => void;
+  private readonly unsubscribe: () => void;
 
   private readonly running: Promise<void>;
 
   private configuration: Configuration | undefined;
 
-  private desired: DesiredPlacement = NOTHING;
+  private desired: DesiredPlacement = EMPTY_PLACEMENT;
 
-  /** The number under which the table was filled; undefined while the lease isn't held. */
+  /** The fencing number the table was filled under; undefined while the lease is not held. */
   private fencingNumber: number | undefined;
 
   private disposed = false;
 
-  constructor(private readonly settings: ServiceSettings) {
+  constructor(private readonly settings: ServicePlacementSettings) {
     const { clock, options } = settings;
     this.table = new EngineTable(options);
     this.sender = new OrderSender(settings, this.table);
     this.wakeup = new Wakeup(clock);
-    this.lookQueue = new PQueue({ concurrency: options.observeConcurrency });
+    this.observationQueue = new PQueue({ concurrency: options.observeConcurrency });
     this.orderQueue = new PQueue({ concurrency: options.orderConcurrency });
-    this.stopListening = settings.lease.onChange(() => this.wakeup.wake());
+    this.unsubscribe = settings.lease.onChange(() => this.wakeup.wake());
     this.running = this.run();
   }
 
-  /** Looks at the configuration again now. */
+  /** Starts a round to apply the changed configuration. */
   handleConfigurationChange(): void {
     this.wakeup.wake();
   }
 
-  /** Looks at an engine soon: someone found it without a model it should have. */
-  lookSoon(replica: string): void {
-    this.table.lookSoon(replica, this.settings.clock.now());
+  /** Observes an engine soon, for instance after it reported that a model is missing. */
+  observeSoon(replica: string): void {
+    this.table.observeSoon(replica, this.settings.clock.now());
     this.wakeup.wake();
   }
 
-  /** The number this daemon gives orders under; undefined when it doesn't hold the lease. */
+  /** The fencing number of this daemon's orders; undefined when it does not hold the lease. */
   getFencingNumber(): number | undefined {
     return this.settings.lease.getFencingNumber();
   }
 
-  /** Ends the rounds, waits for the orders under way and gives the lease up. */
+  /** Stops the rounds, waits for orders in flight and releases the lease. */
   async release(): Promise<void> {
     this.stop();
     await this.running;
     await this.settings.lease.release();
-    this.followLease();
+    this.syncLease();
   }
 
-  /** Ends the rounds; the lease runs out by itself. */
+  /** Stops the rounds without releasing the lease, which then expires. */
   dispose(): void {
     this.stop();
     this.settings.lease.dispose();
@@ -87,16 +88,17 @@
 
   private stop(): void {
     this.disposed = true;
-    this.stopListening();
+    this.unsubscribe();
     this.wakeup.wake();
   }
 
   private async run(): Promise<void> {
     while (!this.disposed) {
-      this.followLease();
-      // Rounds are in sequence: each plans on what the one before it found.
-      // eslint-disable-next-line no-await-in-loop
-      const next = this.fencingNumber === undefined ? Number.POSITIVE_INFINITY : await this.round();
+      this.syncLease();
+      // Rounds are sequential: each plans from the results of the previous one.
+      const next =
+        // eslint-disable-next-line no-await-in-loop
+        this.fencingNumber === undefined ? Number.POSITIVE_INFINITY : await this.reconcile();
       if (!this.disposed) {
         // eslint-disable-next-line no-await-in-loop
         await this.wakeup.wait(next);
@@ -104,9 +106,9 @@
     }
   }
 
-  /** Starts from nothing when the lease was gained: what was known before may be out of date. */
-  private followLease(): void {
-    const { clock, lease, loads, service, onDecision } = this.settings;
+  /** Resets the engine table when the lease is acquired: earlier observations may be outdated. */
+  private syncLease(): void {
+    const { clock, lease, loadBudget, service, onEvent } = this.settings;
     const fencingNumber = lease.getFencingNumber();
     const at = clock.now();
     if (fencingNumber === this.fencingNumber) {
@@ -114,52 +116,52 @@
     }
     this.fencingNumber = fencingNumber;
     if (fencingNumber === undefined) {
-      onDecision({ kind: 'lease-lost', at, service });
+      onEvent({ kind: 'lease-lost', at, service });
       return;
     }
-    // The holder before this one may have used up the weight store's rate until now.
-    loads.drain(at);
+    // The previous holder may have used the whole load rate until now.
+    loadBudget.drain(at);
     this.table.reset(this.desired.engines.keys(), at);
-    onDecision({ kind: 'lease-gained', at, service, fencingNumber });
+    onEvent({ kind: 'lease-gained', at, service, fencingNumber });
   }
 
   /** @returns when the next round is due */
-  private async round(): Promise<Milliseconds> {
+  private async reconcile(): Promise<Milliseconds> {
     const { clock, lease } = this.settings;
-    this.followConfiguration();
-    await this.lookAtDue();
+    this.syncConfiguration();
+    await this.observeDue();
     const isCurrent = lease.getFencingNumber() === this.fencingNumber;
-    if (!isCurrent || this.disposed || !this.table.isComplete()) {
-      return this.getNextLook();
+    if (!isCurrent || this.disposed || !this.table.isFullyObserved()) {
+      return this.getNextRoundTime();
     }
     const orders = this.plan();
-    const sent = await this.sendAll(orders);
+    const sent = await this.sendOrders(orders);
     if (sent.includes(true)) {
       return clock.now();
     }
-    const isLoadWaiting = orders.some(({ order }) => order.kind === 'load');
-    const loadAt = this.settings.loads.getNextAt(clock.now());
-    return isLoadWaiting ? Math.min(this.getNextLook(), loadAt) : this.getNextLook();
+    const isLoadDeferred = orders.some(({ order }) => order.kind === 'load');
+    const nextLoadAt = this.settings.loadBudget.getNextAvailableAt(clock.now());
+    return isLoadDeferred ? Math.min(this.getNextRoundTime(), nextLoadAt) : this.getNextRoundTime();
   }
 
-  private followConfiguration(): void {
-    const { clock, getConfiguration, onDecision, options, service } = this.settings;
+  private syncConfiguration(): void {
+    const { clock, getConfiguration, onEvent, options, service } = this.settings;
     const configuration = getConfiguration();
     if (configuration === this.configuration || configuration === undefined) {
       return;
     }
     const at = clock.now();
-    const earlier = this.desired;
+    const previous = this.desired;
     this.configuration = configuration;
     this.desired = getDesiredPlacement(configuration, service, options);
     this.table.track(this.desired.engines.keys(), at);
-    this.desired.engines.forEach((wanted, id) => {
-      if (JSON.stringify(wanted) !== JSON.stringify(earlier.engines.get(id))) {
-        this.table.lookSoon(id, at);
+    this.desired.engines.forEach((engine, id) => {
+      if (JSON.stringify(engine) !== JSON.stringify(previous.engines.get(id))) {
+        this.table.observeSoon(id, at);
       }
     });
     this.desired.unversioned.forEach((model) => {
-      onDecision({ kind: 'model-unversioned', at, service, model });
+      onEvent({ kind: 'model-unversioned', at, service, model });
     });
   }
 
@@ -169,18 +171,18 @@
     }
     const { clock, options } = this.settings;
     const now = clock.now();
-    const share = Math.floor(this.desired.engines.size * options.changingShare);
+    const maxChanging = Math.floor(this.desired.engines.size * options.maxChangingRatio);
     return new PlacementPlanner({
       desired: this.desired,
       observed: this.table.getObserved(),
-      busy: this.table.getBusy(now),
-      resting: this.table.getResting(now),
-      changingAtMost: Math.max(1, share),
+      pending: this.table.getPending(now),
+      suspended: this.table.getSuspended(now),
+      maxChanging: Math.max(1, maxChanging),
     }).getOrders();
   }
 
   /** @returns for each order, whether it was sent */
-  private async sendAll(orders: PlannedOrder[]): Promise<boolean[]> {
+  private async sendOrders(orders: PlannedOrder[]): Promise<boolean[]> {
     const basis = {
       configuration: this.configuration!,
       fencingNumber: this.fencingNumber!,
@@ -192,20 +194,20 @@
     return Promise.all(sends);
   }
 
-  /** Looks at engines as far as the daemon's budget goes; the rest stay due. */
-  private async lookAtDue(): Promise<void> {
-    const { clock, looks } = this.settings;
-    const due = this.table.getDue(clock.now()).filter(() => looks.take(clock.now()));
+  /** Observes the engines that are due, within the daemon's observation budget; others stay due. */
+  private async observeDue(): Promise<void> {
+    const { clock, observationBudget } = this.settings;
+    const due = this.table.getDue(clock.now()).filter(() => observationBudget.tryTake(clock.now()));
     await Promise.all(
       due
         .map((id) => this.desired.engines.get(id)?.replica)
         .filter((replica) => replica !== undefined)
-        .map((replica) => this.lookQueue.add(() => this.look(replica))),
+        .map((replica) => this.observationQueue.add(() => this.observe(replica))),
     );
   }
 
-  private async look(replica: Replica): Promise<void> {
-    const { clock, engines, lease, onDecision, service } = this.settings;
+  private async observe(replica: Replica): Promise<void> {
+    const { clock, engines, lease, onEvent, service } = this.settings;
     if (this.disposed) {
       return;
     }
@@ -214,24 +216,24 @@
     try {
       const state = await engines.observe(replica);
       const at = clock.now();
-      this.table.takeState(id, state, isConverged(this.desired, id, state), at);
+      this.table.recordState(id, state, isConverged(this.desired, id, state), at);
       if (before === undefined) {
-        onDecision({ kind: 'engine-met', at, service, replica: id, checksFencing });
+        onEvent({ kind: 'engine-met', at, service, replica: id, checksFencing });
       }
       lease.reportFenced(state.highestFencingNumber);
     } catch (error) {
       const at = clock.now();
-      if (this.table.takeFailure(id, at)) {
-        onDecision({ kind: 'engine-unreachable', at, service, replica: id, error: error as Error });
+      if (this.table.recordFailure(id, at)) {
+        onEvent({ kind: 'engine-unreachable', at, service, replica: id, error: error as Error });
       }
     }
   }
 
   /**
-   * Looks come in batches, a second apart: with engines due one by one, each round would go through
-   * the whole table for a single look.
+   * Waits at least `observeChanging`, so that observations are batched. Otherwise each round
+   * could scan the whole table for a single observation.
    */
-  private getNextLook(): Milliseconds {
+  private getNextRoundTime(): Milliseconds {
     const { clock, options } = this.settings;
     return Math.max(this.table.getNextDue(), clock.now() + options.observeChanging);
   }
--- a/packages/placement/src/lib/ServicePlacement/ServicePlacementSettings.ts
+++ b/packages/placement/src/lib/ServicePlacement/ServicePlacementSettings.ts
@@ -6,17 +6,17 @@
 import type { PlacementOptions } from '../placementOptions.js';
 import type { TokenBucket } from '../TokenBucket/TokenBucket.js';
 
-/** What one service's duty needs around it. */
-export interface ServiceSettings {
+/** Constructor arguments of `ServicePlacement`. */
+export interface ServicePlacementSettings {
   service: string;
   clock: Clock;
   lease: LeaseManager;
   engines: EngineClient;
   getConfiguration: () => Configuration | undefined;
   options: PlacementOptions;
-  /** Looks at engines, shared by all duties of the daemon. */
-  looks: TokenBucket;
-  /** Loads, this service's share of the weight store's rate. */
-  loads: TokenBucket;
-  onDecision: PlacementListener;
+  /** Limits engine observations; shared by all services of the daemon. */
+  observationBudget: TokenBucket;
+  /** Limits loads to this service's share of the weight store's rate. */
+  loadBudget: TokenBucket;
+  onEvent: PlacementListener;
 }
--- a/packages/placement/src/lib/ServicePlacement/isConverged.ts
+++ b/packages/placement/src/lib/ServicePlacement/isConverged.ts
@@ -5,29 +5,29 @@
 import type { EngineOrder, EngineState } from '../EngineClient/EngineClient.js';
 
 /**
- * Whether an engine is as it should be, so that it need not be looked at soon.
+ * Whether an engine matches its desired state, so that it can be observed less often.
  *
  * @internal
  */
 export function isConverged(desired: DesiredPlacement, id: string, state: EngineState): boolean {
-  const wanted = desired.engines.get(id);
-  if (wanted === undefined) {
+  const engine = desired.engines.get(id);
+  if (engine === undefined) {
     return true;
   }
-  const managed = state.loaded.filter(
-    (name) => wanted.names.includes(name) || isUnloadable(desired, name),
+  const managedNames = state.loaded.filter(
+    (name) => engine.modelNames.includes(name) || isUnloadable(desired, name),
   );
-  const isLoaded = managed.sort().join() === wanted.names.join();
-  const hasRole = wanted.role === undefined || wanted.role === state.role;
-  return isLoaded && hasRole && state.loading.length === 0;
+  const hasModels = managedNames.sort().join() === engine.modelNames.join();
+  const hasRole = engine.role === undefined || engine.role === state.role;
+  return hasModels && hasRole && state.loading.length === 0;
 }
 
 /**
- * Whether a state shows that an order was taken up.
+ * Whether an engine's state shows that it has carried out an order or started to.
  *
  * @internal
  */
-export function isReflected(order: EngineOrder, state: EngineState): boolean {
+export function isOrderReflected(order: EngineOrder, state: EngineState): boolean {
   switch (order.kind) {
     case 'load':
       return [...state.loaded, ...state.loading].includes(getLoadableName(order));
--- a/packages/placement/src/lib/TokenBucket/TokenBucket.ts
+++ b/packages/placement/src/lib/TokenBucket/TokenBucket.ts
@@ -1,85 +1,89 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * What a bucket allows.
+ * The limits of a token bucket.
  *
  * @internal
  */
-export interface BucketLimits {
-  /** Tokens that grow each second. */
-  perSecond: number;
-  /** The most that gather. */
+export interface TokenBucketOptions {
+  /** Refill rate. */
+  tokensPerSecond: number;
+  /** Maximum number of tokens. */
   capacity: number;
-  /** What there is at the start. */
-  initial: number;
+  /** Tokens available at the start. */
+  initialTokens: number;
 }
 
 /**
- * Limits a rate, as a state machine without I/O.
+ * A token bucket rate limiter without timers or I/O; the caller passes the current time.
  *
  * @example
  * ```ts
- * const bucket = new TokenBucket({ perSecond: 2, capacity: 1, initial: 0 }, clock.now());
- * if (bucket.take(clock.now())) send();
+ * const bucket = new TokenBucket(
+ *   { tokensPerSecond: 2, capacity: 1, initialTokens: 0 },
+ *   clock.now(),
+ * );
+ * if (bucket.tryTake(clock.now())) send();
  * ```
  * @internal
  */
 export class TokenBucket {
   private tokens: number;
 
-  private perSecond: number;
+  private tokensPerSecond: number;
 
   private pausedUntil: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly limits: BucketLimits,
-    private filledAt: Milliseconds,
+    private readonly options: TokenBucketOptions,
+    private refilledAt: Milliseconds,
   ) {
-    this.tokens = limits.initial;
-    this.perSecond = limits.perSecond;
+    this.tokens = options.initialTokens;
+    this.tokensPerSecond = options.tokensPerSecond;
   }
 
-  /** Takes one token if there is one. */
-  take(now: Milliseconds): boolean {
-    if (now < this.getNextAt(now)) {
+  /** Takes one token if one is available. */
+  tryTake(now: Milliseconds): boolean {
+    if (now < this.getNextAvailableAt(now)) {
       return false;
     }
     this.tokens -= 1;
     return true;
   }
 
-  /** When the next token can be taken; `now` when one is there. */
-  getNextAt(now: Milliseconds): Milliseconds {
-    this.fill(now);
-    const wait = this.tokens >= 1 ? 0 : ((1 - this.tokens) / this.perSecond) * SECOND;
+  /** When the next token can be taken; `now` if one is available. */
+  getNextAvailableAt(now: Milliseconds): Milliseconds {
+    this.refill(now);
+    const wait =
+      this.tokens >= 1 ? 0 : ((1 - this.tokens) / this.tokensPerSecond) * MILLISECONDS_PER_SECOND;
     return Math.max(now + wait, this.pausedUntil);
   }
 
-  /** Gives out nothing until then, and starts from empty: whoever asked for the pause is full. */
+  /** Pauses until the given time and then starts empty, as the service has no spare capacity. */
   pauseUntil(at: Milliseconds): void {
     this.pausedUntil = Math.max(this.pausedUntil, at);
     this.tokens = 0;
-    this.filledAt = Math.max(this.filledAt, at);
+    this.refilledAt = Math.max(this.refilledAt, at);
   }
 
-  /** Starts from empty, as another process may just have used the rate up. */
+  /** Empties the bucket, as another process may just have used the whole rate. */
   drain(now: Milliseconds): void {
-    this.fill(now);
+    this.refill(now);
     this.tokens = 0;
   }
 
-  /** Changes the rate from now on. */
-  setRate(perSecond: number, now: Milliseconds): void {
-    this.fill(now);
-    this.perSecond = perSecond;
+  /** Changes the refill rate from now on. */
+  setRate(tokensPerSecond: number, now: Milliseconds): void {
+    this.refill(now);
+    this.tokensPerSecond = tokensPerSecond;
   }
 
-  private fill(now: Milliseconds): void {
-    const span = Math.max(0, now - this.filledAt);
-    const grown = this.tokens + (span * this.perSecond) / SECOND;
-    this.tokens = Math.min(this.limits.capacity, grown);
-    this.filledAt = Math.max(this.filledAt, now);
+  private refill(now: Milliseconds): void {
+    const elapsed = Math.max(0, now - this.refilledAt);
+    const refilled = this.tokens + (elapsed * this.tokensPerSecond) / MILLISECONDS_PER_SECOND;
+    this.tokens = Math.min(this.options.capacity, refilled);
+    this.refilledAt = Math.max(this.refilledAt, now);
   }
 }
--- a/packages/placement/src/lib/Wakeup.ts
+++ b/packages/placement/src/lib/Wakeup.ts
@@ -1,37 +1,37 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
- * Lets a task wait for a time or for a call, whichever comes first. A call made while the task is
- * at work is kept, so that it isn't missed.
+ * Lets a task wait until a time or until `wake` is called, whichever comes first. A call made while
+ * the task is not waiting ends its next wait at once, so that no wakeup is lost.
  *
  * @internal
  */
 export class Wakeup {
-  private isDue = false;
+  private isWoken = false;
 
-  private end: (() => void) | undefined;
+  private endWait: (() => void) | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Ends the wait under way, or the next one at once. */
+  /** Ends the current wait, or the next one if none is in progress. */
   wake(): void {
-    this.isDue = true;
-    this.end?.();
+    this.isWoken = true;
+    this.endWait?.();
   }
 
-  /** Waits until then at the longest. */
+  /** Waits until the given time or a wakeup; an infinite time waits for a wakeup alone. */
   async wait(until: Milliseconds): Promise<void> {
     let timer: Timer | undefined;
-    if (!this.isDue) {
+    if (!this.isWoken) {
       await new Promise<void>((resolve) => {
-        this.end = resolve;
+        this.endWait = resolve;
         if (Number.isFinite(until)) {
           timer = this.clock.setTimer(until - this.clock.now(), resolve);
         }
       });
     }
     timer?.cancel();
-    this.end = undefined;
-    this.isDue = false;
+    this.endWait = undefined;
+    this.isWoken = false;
   }
 }
--- a/packages/placement/src/lib/modelName.ts
+++ b/packages/placement/src/lib/modelName.ts
@@ -1,8 +1,8 @@
 import type { LoadableModel } from './EngineClient/EngineClient.js';
 
-const NAME_FORM = /^([^\s:@]+)(?::([^\s:@]+))?(?:@([^\s:@]+))?$/;
+const MODEL_NAME_PATTERN = /^([^\s:@]+)(?::([^\s:@]+))?(?:@([^\s:@]+))?$/;
 
-/** A name split up; the version is absent where the register names a model alone. */
+/** A parsed model name; the version is absent when the register names a model without one. */
 export interface ModelName {
   model: string;
   adapter?: string;
@@ -10,9 +10,9 @@
 }
 
 /**
- * Splits `model[:adapter][@version]`.
+ * Parses `model[:adapter][@version]`.
  *
- * @returns undefined when the text has another form
+ * @returns undefined when the text does not have this format
  * @example
  * ```ts
  * parseModelName('kielimalli:tarjous@3'); // { model: 'kielimalli', adapter: 'tarjous', version: '3' }
@@ -20,7 +20,7 @@
  * @internal
  */
 export function parseModelName(name: string): ModelName | undefined {
-  const match = NAME_FORM.exec(name);
+  const match = MODEL_NAME_PATTERN.exec(name);
   if (match === null) {
     return undefined;
   }
@@ -29,9 +29,9 @@
 }
 
 /**
- * Splits a name that an engine can load.
+ * Parses a model name that includes the version to load.
  *
- * @returns undefined when it names no version: nothing says which one to load
+ * @returns undefined when the name has no version or is invalid
  * @internal
  */
 export function getLoadableModel(name: string): LoadableModel | undefined {
@@ -40,7 +40,7 @@
 }
 
 /**
- * The name without its version: copies of one base answer the same callers.
+ * The name without its version. Versions of the same base name serve the same requests.
  *
  * @internal
  */
@@ -49,7 +49,7 @@
 }
 
 /**
- * The name of what can be loaded, as engines report it.
+ * The name of a loadable model, as engines report it.
  *
  * @internal
  */
--- a/packages/placement/src/lib/placementOptions.ts
+++ b/packages/placement/src/lib/placementOptions.ts
@@ -3,44 +3,44 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * Every tunable of placement.
+ * The limits, intervals and timeouts of placement.
  *
  * @public
  */
 export interface PlacementOptions {
   lease: LeaseOptions;
-  /** Between two looks at an engine that has orders to carry out. Default 1,000 ms. */
+  /** Interval between observations of an engine that has not converged. Default 1,000 ms. */
   observeChanging: Milliseconds;
-  /** The longest time between two looks at an engine that is as it should be. Default 60,000 ms. */
+  /** Maximum interval between observations of any engine. Default 60,000 ms. */
   observeConverged: Milliseconds;
-  /** Looks a daemon takes at engines, on average over all its duties. Default 8 a second. */
+  /** Average rate of engine observations by a daemon, over all services. Default 8 per second. */
   observationsPerSecond: number;
-  /** Looks it may take at once after a time without any: a take-over, an edit. Default 256. */
+  /** Maximum burst of observations, as after a lease takeover or an edit. Default 256. */
   observationBurst: number;
-  /** Looks under way at once, per service. Default 8. */
+  /** Maximum concurrent observations per service. Default 8. */
   observeConcurrency: number;
-  /** Orders under way at once, per service. Default 4. */
+  /** Maximum concurrent orders per service. Default 4. */
   orderConcurrency: number;
-  /** A look at an engine with no answer by then has failed. Default 2,000 ms. */
+  /** Timeout of an observation. Default 2,000 ms. */
   observeTimeout: Milliseconds;
-  /** An order with no answer by then counts as lost. Default 5,000 ms. */
+  /** Timeout of an order, after which its outcome is unknown. Default 5,000 ms. */
   orderTimeout: Milliseconds;
-  /** The share of a service's replicas that may change at once; at least one may. Default 0.25. */
-  changingShare: number;
-  /** A load that takes longer no longer counts against `changingShare`. Default 600,000 ms. */
+  /** Maximum ratio of a service's replicas changing at once; at least one may. Default 0.25. */
+  maxChangingRatio: number;
+  /** A change that takes longer no longer counts towards `maxChangingRatio`. Default 600,000 ms. */
   changeTimeout: Milliseconds;
-  /** The fewest copies of each model where the register places none by hand. Default 2. */
+  /** Minimum copies of each model, if enough replicas have no own `placement` list. Default 2. */
   copies: number;
-  /** Models a replica carries where the register places none by hand. Default 1. */
+  /** Target number of models on a replica without its own `placement` list. Default 1. */
   modelsPerReplica: number;
-  /** Loads a second that a region's weight store bears, over all services. Default 2. */
+  /** Maximum loads per second from a region's weight store, over all services. Default 2. */
   loadsPerSecond: number;
-  /** How long the weight store is left alone after a 429 with no Retry-After. Default 5,000 ms. */
-  weightStoreRest: Milliseconds;
+  /** Pause before the next load after a 429 response without Retry-After. Default 5,000 ms. */
+  weightStoreCooldown: Milliseconds;
 }
 
 /**
- * The defaults; the README gives the figures behind them.
+ * The default options; the README gives the measurements behind them.
  *
  * @public
  */
@@ -54,10 +54,10 @@
   orderConcurrency: 4,
   observeTimeout: 2_000,
   orderTimeout: 5_000,
-  changingShare: 0.25,
+  maxChangingRatio: 0.25,
   changeTimeout: 600_000,
   copies: 2,
   modelsPerReplica: 1,
   loadsPerSecond: 2,
-  weightStoreRest: 5_000,
+  weightStoreCooldown: 5_000,
 };
--- a/packages/placement/src/test/Daemon.ts
+++ b/packages/placement/src/test/Daemon.ts
@@ -8,19 +8,19 @@
 import type { FakeEngine } from './FakeEngine.js';
 import type { FakeStore } from './FakeStore.js';
 
-/** What a daemon shares with the others. */
-export interface DaemonSurroundings {
+/** What the simulated daemons share. */
+export interface DaemonEnvironment {
   clock: ManualClock;
   store: FakeStore;
   engines: Map<string, FakeEngine>;
-  decisions: (PlacementEvent & { daemon: string })[];
+  events: (PlacementEvent & { daemon: string })[];
   random: Random;
   options: PlacementOptions;
   getDelay: () => Milliseconds;
   configuration: Configuration;
 }
 
-/** One daemon with its own view of the configuration. */
+/** A daemon with its own clock and its own view of the configuration. */
 export class Daemon {
   readonly clock: PausableClock;
 
@@ -32,11 +32,11 @@
 
   constructor(
     readonly id: string,
-    private readonly world: DaemonSurroundings,
+    private readonly environment: DaemonEnvironment,
   ) {
-    this.clock = new PausableClock(world.clock);
-    this.link = new SimulatedLink(world.clock, this.clock, () => world.getDelay());
-    this.configuration = world.configuration;
+    this.clock = new PausableClock(environment.clock);
+    this.link = new SimulatedLink(environment.clock, this.clock, () => environment.getDelay());
+    this.configuration = environment.configuration;
     this.manager = this.start();
   }
 
@@ -46,28 +46,28 @@
     this.manager = this.start();
   }
 
-  learn(configuration: Configuration): void {
+  setConfiguration(configuration: Configuration): void {
     this.configuration = configuration;
     this.manager.handleConfigurationChange();
   }
 
   private start(): PlacementManager {
-    const { world } = this;
+    const { environment } = this;
     return new PlacementManager({
       self: this.id,
       clock: this.clock,
-      random: world.random,
-      store: world.store.connect(this.link),
+      random: environment.random,
+      store: environment.store.connect(this.link),
       engines: this.createEngines(),
       getConfiguration: () => this.configuration,
       getMembers: () => ['daemon-1', 'daemon-2', 'daemon-3'],
-      options: world.options,
-      onEvent: (decision) => world.decisions.push({ ...decision, daemon: this.id }),
+      options: environment.options,
+      onEvent: (event) => environment.events.push({ ...event, daemon: this.id }),
     });
   }
 
   private createEngines(): EngineClient {
-    const { engines, options } = this.world;
+    const { engines, options } = this.environment;
     const { observeTimeout, orderTimeout } = options;
     return {
       observe: ({ id }) => this.link.call(observeTimeout, () => engines.get(id)!.observe()),
--- a/packages/placement/src/test/FakeEngine.ts
+++ b/packages/placement/src/test/FakeEngine.ts
@@ -6,39 +6,39 @@
 import type {
   EngineOrder,
   EngineState,
-  NumberedOrder,
+  FencedOrder,
   OrderOutcome,
 } from '../lib/EngineClient/EngineClient.js';
 
-const LOAD_TIME: Milliseconds = 3_000;
+const LOAD_DURATION: Milliseconds = 3_000;
 
-/** The weight store, which refuses loads at times. */
+/** The state of the simulated weight store, which can rate limit loads. */
 export interface FakeWeightStore {
-  refusesUntil: Milliseconds;
+  rateLimitedUntil: Milliseconds;
 }
 
-/** An order as it arrived at an engine. */
-export interface Arrival extends NumberedOrder {
+/** An order as an engine received it. */
+export interface ReceivedOrder extends FencedOrder {
   sender: string;
   outcome: OrderOutcome['kind'];
-  /** How often the engine had crashed: a new life remembers no fencing number. */
-  life: number;
+  /** How often the engine had restarted; a restart clears its highest fencing number. */
+  restartCount: number;
 }
 
-/** A model engine in memory; a crash makes it start again with nothing loaded. */
+/** An in-memory model engine; after a crash it restarts with no models loaded. */
 export class FakeEngine {
-  readonly arrivals: Arrival[] = [];
+  readonly receivedOrders: ReceivedOrder[] = [];
 
-  /** So many orders from now on are carried out and not confirmed. */
-  lostAnswers = 0;
+  /** The number of accepted orders, from now on, whose response is lost. */
+  lostResponses = 0;
 
-  /** Refuses every order with status 400. */
-  refuses = false;
+  /** Whether it refuses every order with status 400. */
+  refusesOrders = false;
 
-  /** How often someone looked at it. */
-  looks = 0;
+  /** How often it was observed. */
+  observationCount = 0;
 
-  private lives = 0;
+  private restartCount = 0;
 
   private state: EngineState;
 
@@ -62,35 +62,40 @@
   }
 
   observe(): EngineState {
-    this.looks += 1;
+    this.observationCount += 1;
     return this.getState();
   }
 
   crash(): void {
-    this.lives += 1;
+    this.restartCount += 1;
     this.state = { ...this.state, loaded: [], loading: [], highestFencingNumber: 0 };
   }
 
-  order(numbered: NumberedOrder, sender: string): OrderOutcome {
-    const outcome = this.getOutcome(numbered);
-    this.arrivals.push({ ...numbered, sender, outcome: outcome.kind, life: this.lives });
-    if (outcome.kind === 'accepted' && this.lostAnswers > 0) {
-      this.lostAnswers -= 1;
-      throw new Error('the answer was lost');
+  order(fencedOrder: FencedOrder, sender: string): OrderOutcome {
+    const outcome = this.getOutcome(fencedOrder);
+    this.receivedOrders.push({
+      ...fencedOrder,
+      sender,
+      outcome: outcome.kind,
+      restartCount: this.restartCount,
+    });
+    if (outcome.kind === 'accepted' && this.lostResponses > 0) {
+      this.lostResponses -= 1;
+      throw new Error('response lost');
     }
     return outcome;
   }
 
-  private getOutcome({ fencingNumber, order }: NumberedOrder): OrderOutcome {
+  private getOutcome({ fencingNumber, order }: FencedOrder): OrderOutcome {
     const highest = this.state.highestFencingNumber;
     if (this.replica.checksFencing && fencingNumber < highest) {
       return { kind: 'stale', highest };
     }
-    if (this.refuses) {
+    if (this.refusesOrders) {
       return { kind: 'refused', status: 400 };
     }
-    if (order.kind === 'load' && this.clock.now() < this.weights.refusesUntil) {
-      return { kind: 'rate-limited', retryAfter: this.weights.refusesUntil - this.clock.now() };
+    if (order.kind === 'load' && this.clock.now() < this.weights.rateLimitedUntil) {
+      return { kind: 'rate-limited', retryAfter: this.weights.rateLimitedUntil - this.clock.now() };
     }
     this.state.highestFencingNumber = this.replica.checksFencing ? fencingNumber : 0;
     this.apply(order);
@@ -114,13 +119,13 @@
   }
 
   private load(name: string): void {
-    const { lives } = this;
+    const { restartCount } = this;
     if ([...this.state.loaded, ...this.state.loading].includes(name)) {
       return;
     }
     this.state.loading.push(name);
-    this.clock.setTimer(LOAD_TIME, () => {
-      if (lives === this.lives) {
+    this.clock.setTimer(LOAD_DURATION, () => {
+      if (restartCount === this.restartCount) {
         this.state.loading = this.state.loading.filter((other) => other !== name);
         this.state.loaded.push(name);
       }
--- a/packages/placement/src/test/FakeStore.ts
+++ b/packages/placement/src/test/FakeStore.ts
@@ -3,32 +3,32 @@
 import type { PlatformStore, PutResult, StoredObject } from '@apricotrill/store';
 import type { SimulatedLink } from '@apricotrill/standins';
 
-/** A lease granted, as the store saw it. */
-export interface Grant {
+/** A lease grant, as the store recorded it. */
+export interface LeaseGrant {
   key: string;
   version: number;
   holder: string;
 }
 
 function createError(): StoreUnavailableError {
-  return new StoreUnavailableError('no answer', { step: 'call', peer: 'store' });
+  return new StoreUnavailableError('no response', { step: 'call', peer: 'store' });
 }
 
-/** The platform's store in memory, with outages and answers that get lost. */
+/** An in-memory platform store with simulated outages and lost responses. */
 export class FakeStore {
   readonly objects = new Map<string, StoredObject>();
 
-  readonly grants: Grant[] = [];
+  readonly grants: LeaseGrant[] = [];
 
   isDown = false;
 
-  /** So many writes from now on take effect and are not confirmed. */
-  lostAnswers = 0;
+  /** The number of writes, from now on, that take effect but whose response is lost. */
+  lostResponses = 0;
 
   private version = 100;
 
   connect(link: SimulatedLink): PlatformStore {
-    // Longer than the lease waits: giving up a silent call is the lease's own task.
+    // Longer than the lease's own timeout, which is the one under test.
     const timeout = 60_000;
     return {
       get: (key) => link.call(timeout, () => this.get(key)),
@@ -47,12 +47,12 @@
   }
 
   private put(key: string, value: string, expectedVersion: number): PutResult {
-    const outcome = this.write(key, value, expectedVersion);
-    if (outcome.kind === 'accepted' && this.lostAnswers > 0) {
-      this.lostAnswers -= 1;
+    const result = this.write(key, value, expectedVersion);
+    if (result.kind === 'accepted' && this.lostResponses > 0) {
+      this.lostResponses -= 1;
       throw createError();
     }
-    return outcome;
+    return result;
   }
 
   private write(key: string, value: string | undefined, expectedVersion: number): PutResult {
@@ -67,11 +67,11 @@
     } else {
       this.objects.set(key, object);
     }
-    this.noteGrant(object);
+    this.recordGrant(object);
     return { kind: 'accepted', version: this.version };
   }
 
-  private noteGrant(object: StoredObject): void {
+  private recordGrant(object: StoredObject): void {
     const record = parseLeaseRecord(object);
     if (record?.fencingNumber === 0 && record.holder !== '') {
       this.grants.push({ key: object.key, version: object.version, holder: record.holder });
--- a/packages/placement/src/test/PlacementHarness.ts
+++ b/packages/placement/src/test/PlacementHarness.ts
@@ -10,12 +10,12 @@
 import type { PlacementEvent } from '../lib/PlacementEvent.js';
 import type { PlacementOptions } from '../lib/placementOptions.js';
 
-export const worldOptions = { ...defaultPlacementOptions, observeConverged: 10_000 };
+export const harnessOptions = { ...defaultPlacementOptions, observeConverged: 10_000 };
 
-/** What the replicas of a service should carry, by replica id. */
+/** The model names to keep loaded on each replica, by replica id. */
 export type Placements = Record<string, string[]>;
 
-/** A service is what the replica's id starts with; replicas with an odd number check fencing. */
+/** The replica id starts with the service's name; odd replicas check fencing numbers. */
 function createReplica([id, placement]: [string, string[]]): Replica {
   const [service, number] = id.split('-');
   const checksFencing = Number(number) % 2 === 1;
@@ -35,15 +35,15 @@
   };
 }
 
-/** Three daemons, a store, some engines and a clock that all of them share. */
-export class PlacementWorld {
+/** Three daemons with a shared store, shared engines and a shared clock. */
+export class PlacementHarness {
   readonly clock = new ManualClock(1_000_000);
 
   readonly store = new FakeStore();
 
-  readonly weights = { refusesUntil: 0 };
+  readonly weights = { rateLimitedUntil: 0 };
 
-  readonly decisions: (PlacementEvent & { daemon: string })[] = [];
+  readonly events: (PlacementEvent & { daemon: string })[] = [];
 
   readonly engines = new Map<string, FakeEngine>();
 
@@ -61,7 +61,7 @@
     loaded: Placements = {},
     options: Partial<PlacementOptions> = {},
   ) {
-    this.options = { ...worldOptions, ...options };
+    this.options = { ...harnessOptions, ...options };
     this.random = createRandom(7);
     this.configuration = createConfiguration(placements);
     this.configuration.register.replicas.forEach((replica) => {
@@ -71,13 +71,15 @@
     this.daemons = ['daemon-1', 'daemon-2', 'daemon-3'].map((id) => new Daemon(id, this));
   }
 
-  /** Accepts an edit; each daemon learns of it some time later, never after a newer one. */
-  edit(placements: Placements, getLag: () => Milliseconds = () => 0): void {
+  /** Changes the configuration; each daemon receives it after a delay, unless it is outdated. */
+  changePlacements(placements: Placements, getLag: () => Milliseconds = () => 0): void {
     const configuration = createConfiguration(placements);
     this.configuration = configuration;
     this.daemons.forEach((daemon) => {
       this.clock.setTimer(getLag(), () =>
-        daemon.clock.run(() => this.configuration === configuration && daemon.learn(configuration)),
+        daemon.clock.run(
+          () => this.configuration === configuration && daemon.setConfiguration(configuration),
+        ),
       );
     });
   }
@@ -86,13 +88,13 @@
     await advanceClock(this.clock, span, () => this.checkHolders());
   }
 
-  /** Moves time on until something is the case; fails after ten minutes of that time. */
-  async until(isDone: () => boolean): Promise<void> {
-    const limit = this.clock.now() + 600_000;
+  /** Advances the clock until a condition holds; fails after ten simulated minutes. */
+  async advanceUntil(isReached: () => boolean): Promise<void> {
+    const deadline = this.clock.now() + 600_000;
     await flushTasks();
-    while (!isDone()) {
-      if (!this.clock.runNext(limit)) {
-        throw new Error('it never came');
+    while (!isReached()) {
+      if (!this.clock.runNext(deadline)) {
+        throw new Error('condition not reached within ten simulated minutes');
       }
       // eslint-disable-next-line no-await-in-loop
       await flushTasks();
@@ -105,10 +107,12 @@
   }
 
   getLoaded(): Placements {
-    return Object.fromEntries([...this.engines].map(([id, e]) => [id, e.getState().loaded]));
+    return Object.fromEntries(
+      [...this.engines].map(([id, engine]) => [id, engine.getState().loaded]),
+    );
   }
 
-  /** At no moment two daemons believe to hold one lease. */
+  /** Checks that no two daemons hold the same lease at the same time. */
   private checkHolders(): void {
     this.configuration.register.services.forEach(({ name }) => {
       const holders = this.daemons.filter(
