--- a/packages/callers/src/index.ts
+++ b/packages/callers/src/index.ts
@@ -8,4 +8,4 @@
 export { MalformedKind, refuseConnection } from './lib/refuseConnection.js';
 export type { RefusalBody } from './lib/refuseConnection.js';
 export { waitForSocketEvents } from './lib/waitForSocketEvents.js';
-export { waitForAccepted } from './lib/waitForAccepted.js';
+export { waitForPendingConnections } from './lib/waitForPendingConnections.js';
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.test.ts
@@ -30,8 +30,8 @@
     const connections = new CallerConnections({
       clock,
       headersTimeout: HEADERS_TIMEOUT,
-      firstRequest: FIRST_REQUEST,
-      callerStall: CALLER_STALL,
+      firstRequestTimeout: FIRST_REQUEST,
+      callerStallTimeout: CALLER_STALL,
     });
     const open = () => {
       const socket = new FakeStream();
--- a/packages/callers/src/lib/CallerConnections/CallerConnections.ts
+++ b/packages/callers/src/lib/CallerConnections/CallerConnections.ts
@@ -12,9 +12,9 @@
   /** While draining, how long a request that has begun to arrive may take to complete. */
   headersTimeout: Milliseconds;
   /** While draining, how long after it was opened a connection may wait for its first request. */
-  firstRequest: Milliseconds;
+  firstRequestTimeout: Milliseconds;
   /** How long a caller may read nothing of its response before it is considered gone. */
-  callerStall: Milliseconds;
+  callerStallTimeout: Milliseconds;
 }
 
 /** The state of one caller's connection. */
@@ -185,7 +185,7 @@
    * opened in advance must not block the shutdown.
    */
   private getRemainingFirstRequestWait({ openedAt, requestCount }: Connection): Milliseconds {
-    return requestCount > 0 ? 0 : openedAt + this.options.firstRequest - this.clock.now();
+    return requestCount > 0 ? 0 : openedAt + this.options.firstRequestTimeout - this.clock.now();
   }
 
   private setTimer(connection: Connection, duration: Milliseconds, callback: () => void): void {
@@ -198,7 +198,7 @@
    */
   private limitFinalWrite(response: ServerResponse): void {
     response.once('prefinish', () => {
-      const timer = this.clock.setTimer(this.options.callerStall, () => response.destroy());
+      const timer = this.clock.setTimer(this.options.callerStallTimeout, () => response.destroy());
       response.once('close', () => timer.cancel());
     });
   }
--- a/packages/callers/src/lib/waitForAccepted.ts
+++ b/packages/callers/src/lib/waitForPendingConnections.ts
@@ -11,7 +11,7 @@
  * ```
  * @public
  */
-export function waitForAccepted(): Promise<void> {
+export function waitForPendingConnections(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -5,7 +5,7 @@
   DutyStatus,
 } from './lib/DutyManager/DutyManager.js';
 export type { DutyEvent, DutyLog } from './lib/DutyEvent.js';
-export { dutyOptions } from './lib/dutyOptions.js';
+export { defaultDutyOptions } from './lib/dutyOptions.js';
 export { CallResult } from './lib/DutyPlatform.js';
 export type { LeaseHolder, DutyPlatform, ReplicaOrder, UsageReport } from './lib/DutyPlatform.js';
 export { FleetClock } from './lib/FleetClock/FleetClock.js';
--- a/packages/duties/src/lib/DutyManager/DutyManager.ts
+++ b/packages/duties/src/lib/DutyManager/DutyManager.ts
@@ -18,7 +18,7 @@
   /** Time after the end of a window by which its report is due. */
   usageDelay: Milliseconds;
   /** Two lease holders must not act in the order A, B, A within this time. */
-  holderRest: Milliseconds;
+  holderCooldown: Milliseconds;
 }
 
 export interface DutyManagerSettings {
@@ -90,7 +90,7 @@
 
   constructor(private readonly settings: DutyManagerSettings) {
     const { settings: timing } = settings;
-    this.options = getDutyOptions(timing.holderRest);
+    this.options = getDutyOptions(timing.holderCooldown);
     this.lease = new LeaseManager({
       ...settings,
       name: LEASE_NAME,
--- a/packages/duties/src/lib/dutyOptions.ts
+++ b/packages/duties/src/lib/dutyOptions.ts
@@ -20,10 +20,10 @@
 }
 
 /** @public */
-export const dutyOptions: DutyOptions = {
+export const defaultDutyOptions: DutyOptions = {
   lease: {
     ...defaultLeaseOptions,
-    span: 5_000,
+    duration: 5_000,
     safetyMargin: 1_500,
     renewalInterval: 1_500,
     retryDelay: 400,
@@ -48,7 +48,7 @@
  * @public
  */
 export function getDutyOptions(holderCooldown: Milliseconds): DutyOptions {
-  const { lease } = dutyOptions;
-  const span = Math.max(lease.span, holderCooldown + lease.safetyMargin);
-  return { ...dutyOptions, lease: { ...lease, span, releaseCooldown: holderCooldown } };
+  const { lease } = defaultDutyOptions;
+  const duration = Math.max(lease.duration, holderCooldown + lease.safetyMargin);
+  return { ...defaultDutyOptions, lease: { ...lease, duration, releaseCooldown: holderCooldown } };
 }
--- a/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.test.ts
+++ b/packages/duties/src/lib/scaling/ReplicaPlanner/ReplicaPlanner.test.ts
@@ -5,8 +5,8 @@
 const ZONES = ['a', 'b', 'c', 'd'];
 
 const limits: ScalingLimits = {
-  leastPerZone: 1,
-  mostPerZone: 7,
+  minPerZone: 1,
+  maxPerZone: 7,
   bootTime: 4_000,
   preemptiblePrice: 0.18,
   zonePrices: { a: 1, b: 0.8, c: 1.25, d: 0.9 },
--- a/packages/duties/src/lib/scaling/getTargets.ts
+++ b/packages/duties/src/lib/scaling/getTargets.ts
@@ -50,7 +50,7 @@
   supply: ZoneMap<ZoneSupply>,
   zones: readonly string[],
   change: number,
-  { mostPerZone }: ScalingLimits,
+  { maxPerZone }: ScalingLimits,
 ): Map<string, number> {
   const counts = new Map(zones.map((zone) => [zone, supply.get(zone)?.onDemand ?? 0]));
   let remaining = Math.abs(change);
@@ -59,7 +59,7 @@
       change < 0
         ? zones.findLast((candidate) => counts.get(candidate)! > 0)
         : [...zones]
-            .filter((candidate) => counts.get(candidate)! < mostPerZone)
+            .filter((candidate) => counts.get(candidate)! < maxPerZone)
             .sort((candidate, other) => counts.get(candidate)! - counts.get(other)!)[0];
     if (zone === undefined) {
       break;
@@ -72,12 +72,12 @@
 
 /** Spreads on-demand replicas over all zones, for services without preemptible replicas. */
 function getOnDemandTargets(wanted: number, limits: ScalingLimits): Map<string, ZoneTarget> {
-  const { leastPerZone, mostPerZone } = limits;
+  const { minPerZone, maxPerZone } = limits;
   const shares = splitEvenly(wanted, getZonesByPrice(limits));
   return new Map(
     [...shares].map(([zone, count]) => [
       zone,
-      { onDemand: clamp(count, leastPerZone, mostPerZone), preemptible: 0 },
+      { onDemand: clamp(count, minPerZone, maxPerZone), preemptible: 0 },
     ]),
   );
 }
@@ -97,9 +97,9 @@
   supply: ZoneMap<ZoneSupply>,
   limits: ScalingLimits,
 ): Map<string, ZoneTarget> {
-  const { leastPerZone, mostPerZone, preemptiblePrice } = limits;
+  const { minPerZone, maxPerZone, preemptiblePrice } = limits;
   const zones = getZonesByPrice(limits);
-  const total = clamp(wanted, leastPerZone * zones.length, mostPerZone * zones.length);
+  const total = clamp(wanted, minPerZone * zones.length, maxPerZone * zones.length);
   if (preemptiblePrice === undefined || preemptiblePrice >= 1 || zones.length < 2) {
     return getOnDemandTargets(total, limits);
   }
@@ -113,17 +113,15 @@
     limits,
   );
   const shares = splitEvenly(total, zones);
-  const areAllZonesFull = [...supply.values()].every(
-    (zone) => getReplicaCount(zone) >= mostPerZone,
-  );
+  const areAllZonesFull = [...supply.values()].every((zone) => getReplicaCount(zone) >= maxPerZone);
   const mustFreeRoom = areAllZonesFull && onDemandTarget >= onDemand;
-  const freedPerZone = Math.ceil(mostPerZone * REPLACED_FRACTION);
+  const freedPerZone = Math.ceil(maxPerZone * REPLACED_FRACTION);
   return new Map(
     zones.map((zone) => {
       const listed = supply.get(zone)?.onDemand ?? 0;
-      const maxOnDemand = mustFreeRoom ? Math.max(0, listed - freedPerZone) : mostPerZone;
+      const maxOnDemand = mustFreeRoom ? Math.max(0, listed - freedPerZone) : maxPerZone;
       const target = Math.min(onDemandByZone.get(zone)!, maxOnDemand);
-      const room = Math.max(0, mostPerZone - Math.max(target, listed));
+      const room = Math.max(0, maxPerZone - Math.max(target, listed));
       return [zone, { onDemand: target, preemptible: Math.min(room, shares.get(zone)!) }];
     }),
   );
--- a/packages/duties/src/lib/scaling/scalingTypes.ts
+++ b/packages/duties/src/lib/scaling/scalingTypes.ts
@@ -7,9 +7,9 @@
  */
 export interface ScalingLimits {
   /** Minimum in each availability zone, on-demand and preemptible replicas together. */
-  leastPerZone: number;
+  minPerZone: number;
   /** Maximum in each availability zone, on-demand and preemptible replicas together. */
-  mostPerZone: number;
+  maxPerZone: number;
   bootTime: Milliseconds;
   /**
    * Price of a preemptible replica as a fraction of the on-demand price; absent if there are none.
--- a/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
+++ b/packages/duties/src/lib/usage/UsageCounter/UsageCounter.ts
@@ -50,7 +50,7 @@
     return [...this.windows].map(([window, counts]) => this.createSourceUsage(window, [...counts]));
   }
 
-  forgetBefore(window: number): void {
+  evictBefore(window: number): void {
     [...this.windows.keys()]
       .filter((other) => other < window)
       .forEach((expired) => {
--- a/packages/duties/src/test/DutyFleet.ts
+++ b/packages/duties/src/test/DutyFleet.ts
@@ -145,7 +145,7 @@
       getTimeOfDay: () => clock.now(),
       store: this.createStore(daemon),
       platform: this.createPlatform(daemon),
-      settings: { windowSpan: WINDOW, usageDelay: REPORT_DEADLINE, holderRest: 3_000 },
+      settings: { windowSpan: WINDOW, usageDelay: REPORT_DEADLINE, holderCooldown: 3_000 },
       getRank: () => index,
       getServices: () => this.services,
       log: () => undefined,
--- a/packages/experiment/src/lib/capacity/probes/LeaseProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/LeaseProbe.ts
@@ -31,7 +31,7 @@
 /** Request and answer of one look at an engine, headers included, of the stand-in engine. */
 const LOOK_BYTES = 700;
 
-const { candidates } = defaultPlacementOptions.lease;
+const { maxCandidates: candidates } = defaultPlacementOptions.lease;
 
 interface LeaseReading {
   leases: number;
--- a/packages/lease/src/lib/Lease/Lease.test.ts
+++ b/packages/lease/src/lib/Lease/Lease.test.ts
@@ -44,8 +44,8 @@
     const result = { kind: 'accepted' as const, version: 8 };
     lease.handle({ kind: 'write-completed', attempt, result }, 9_000);
     expect(lease.getFencingNumber(9_000)).toBe(8);
-    expect(lease.isHeld(options.span - options.safetyMargin - 1)).toBe(true);
-    expect(lease.isHeld(options.span - options.safetyMargin)).toBe(false);
+    expect(lease.isHeld(options.duration - options.safetyMargin - 1)).toBe(true);
+    expect(lease.isHeld(options.duration - options.safetyMargin)).toBe(false);
   });
 
   // Guards against a holder that does not recognise its own write after the response was lost:
@@ -58,7 +58,7 @@
     const object = { ...free, value, version: 8 };
     lease.handle({ kind: 'read-completed', attempt: attempt + 1, object }, 3_010);
     expect(lease.getFencingNumber(3_010)).toBe(8);
-    expect(lease.isHeld(options.span - options.safetyMargin)).toBe(false);
+    expect(lease.isHeld(options.duration - options.safetyMargin)).toBe(false);
   });
 
   // Guards against a late response that is attributed to the wrong call. A first write times out
@@ -95,12 +95,12 @@
   it('writes a vacant record if there is no object, and waits for it to expire', () => {
     const lease = createLease();
     const vacancy = getWrite(readObject(lease, undefined, 0));
-    expect(JSON.parse(vacancy.value)).toMatchObject({ holder: '', grantedFor: options.span });
+    expect(JSON.parse(vacancy.value)).toMatchObject({ holder: '', grantedFor: options.duration });
     const result = { kind: 'accepted' as const, version: 8 };
     lease.handle({ kind: 'write-completed', attempt: vacancy.attempt, result }, 10);
     expect(lease.isHeld(10)).toBe(false);
     const object = { key: '', value: vacancy.value, version: 8 };
-    const grant = getWrite(readObject(lease, object, 10 + options.span));
+    const grant = getWrite(readObject(lease, object, 10 + options.duration));
     expect(JSON.parse(grant.value)).toMatchObject({ holder: 'daemon-1' });
   });
 
@@ -119,6 +119,6 @@
     const now = 10 + options.yieldAfter;
     lease.handle({ kind: 'write-completed', attempt: release.attempt, result: accepted }, now);
     const [effect] = lease.handle({ kind: 'tick', rank: 1 }, now + options.candidateDelay);
-    expect(effect).toEqual({ kind: 'wake', at: now + options.span });
+    expect(effect).toEqual({ kind: 'wake', at: now + options.duration });
   });
 });
--- a/packages/lease/src/lib/Lease/Lease.ts
+++ b/packages/lease/src/lib/Lease/Lease.ts
@@ -249,7 +249,7 @@
     }
     this.isReleasePending = false;
     this.term = undefined;
-    this.standDownUntil = now + this.candidate.options.span;
+    this.standDownUntil = now + this.candidate.options.duration;
     return { kind: 'wake', at: this.standDownUntil };
   }
 
@@ -270,7 +270,7 @@
 
   private getStandbyEffect(now: Milliseconds): LeaseEffect {
     const { options } = this.candidate;
-    if (this.rank >= options.candidates || now < this.standDownUntil) {
+    if (this.rank >= options.maxCandidates || now < this.standDownUntil) {
       return { kind: 'wake', at: Math.max(this.standDownUntil, now + options.renewalInterval) };
     }
     const readAt = Math.max(this.lastReadAt + options.renewalInterval, this.calls.nextReadAt);
@@ -292,7 +292,7 @@
     if (this.isOwn(observed.record)) {
       return observed.unchangedSince;
     }
-    const duration = observed.record?.grantedFor ?? options.span;
+    const duration = observed.record?.grantedFor ?? options.duration;
     return observed.unchangedSince + duration + this.rank * options.candidateDelay;
   }
 
@@ -303,13 +303,13 @@
    * which must then stay unchanged for a whole lease duration.
    */
   private createVacantWrite(): LeaseWrite {
-    return this.createWrite({ ...VACANT, grantedFor: this.candidate.options.span });
+    return this.createWrite({ ...VACANT, grantedFor: this.candidate.options.duration });
   }
 
   private createGrantWrite(fencingNumber: number): LeaseWrite {
     const { self, incarnation, options } = this.candidate;
     const holder = { holder: self, holderIncarnation: incarnation };
-    return this.createWrite({ ...holder, grantedFor: options.span, fencingNumber });
+    return this.createWrite({ ...holder, grantedFor: options.duration, fencingNumber });
   }
 
   private createWrite(record: LeaseWrite['record']): LeaseWrite {
--- a/packages/lease/src/lib/Lease/LeaseCalls.ts
+++ b/packages/lease/src/lib/Lease/LeaseCalls.ts
@@ -91,7 +91,7 @@
   /** Records a write, and evicts those so old that the term they would prove has expired. */
   private recordSent(attempt: number, now: Milliseconds): void {
     this.sentTimes.forEach((sentAt, earlier) => {
-      if (now >= sentAt + this.options.span) {
+      if (now >= sentAt + this.options.duration) {
         this.sentTimes.delete(earlier);
       }
     });
--- a/packages/lease/src/lib/LeaseManager/LeaseManager.fuzz.test.ts
+++ b/packages/lease/src/lib/LeaseManager/LeaseManager.fuzz.test.ts
@@ -13,7 +13,7 @@
 
 const options = {
   ...defaultLeaseOptions,
-  span: 5_000,
+  duration: 5_000,
   safetyMargin: 1_500,
   renewalInterval: 1_500,
   retryDelay: 400,
@@ -64,7 +64,7 @@
   { kind, daemon, duration }: Fault,
 ): Promise<void> {
   const contender =
-    simulation.contenders[daemon % Math.min(simulation.contenders.length, options.candidates)]!;
+    simulation.contenders[daemon % Math.min(simulation.contenders.length, options.maxCandidates)]!;
   switch (kind) {
     case 'pause':
     case 'suspend':
--- a/packages/lease/src/lib/leaseOptions.ts
+++ b/packages/lease/src/lib/leaseOptions.ts
@@ -8,7 +8,7 @@
  */
 export interface LeaseOptions {
   /** How long other candidates wait without a renewal before they take over. Default 15,000 ms. */
-  span: Milliseconds;
+  duration: Milliseconds;
   /**
    * The holder stops acting this long before the lease expires, to allow for clocks that run at
    * different speeds and for orders that are still in transit. Default 3,000 ms.
@@ -24,7 +24,7 @@
   /** Timeout of a call to the store. Default 3,000 ms. */
   callTimeout: Milliseconds;
   /** Maximum number of daemons, in rendezvous order, that contend for one lease. Default 3. */
-  candidates: number;
+  maxCandidates: number;
   /** Additional takeover delay per rank, so that candidates do not race. Default 2,000 ms. */
   candidateDelay: Milliseconds;
   /**
@@ -45,12 +45,12 @@
  * @public
  */
 export const defaultLeaseOptions: LeaseOptions = {
-  span: 15_000,
+  duration: 15_000,
   safetyMargin: 3_000,
   renewalInterval: 5_000,
   retryDelay: 1_000,
   callTimeout: 3_000,
-  candidates: 3,
+  maxCandidates: 3,
   candidateDelay: 2_000,
   yieldAfter: 300_000,
   releaseCooldown: 0,
--- a/packages/placement/src/bench/placementCost.ts
+++ b/packages/placement/src/bench/placementCost.ts
@@ -53,7 +53,7 @@
 
 function printRanks(): void {
   const members = Array.from({ length: MEMBERS }, (_, index) => `daemon-${index}`);
-  const { candidates } = defaultPlacementOptions.lease;
+  const { maxCandidates: candidates } = defaultPlacementOptions.lease;
   const start = performance.now();
   members.slice(0, 100).forEach((self) => {
     for (let lease = 0; lease < LEASES; lease += 1) {
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.test.ts
@@ -251,7 +251,7 @@
     await harness.advanceUntil(() => harness.getHolder('chat') !== undefined);
     const holder = harness.getHolder('chat')!;
     const released = holder.manager.release();
-    await harness.advance(harnessOptions.lease.span - 1_000);
+    await harness.advance(harnessOptions.lease.duration - 1_000);
     await released;
     expect(harness.getHolder('chat')).toBeDefined();
     expect(harness.getHolder('chat')).not.toBe(holder);
--- a/packages/placement/src/lib/PlacementManager/PlacementManager.ts
+++ b/packages/placement/src/lib/PlacementManager/PlacementManager.ts
@@ -177,7 +177,7 @@
     // A service that is removed and added again contends with its old lease while that is released.
     this.leaseCount += 1;
     const incarnation = `${this.incarnation}-${this.leaseCount}`;
-    const getRank = () => getLeaseRank(name, self, getMembers?.() ?? [], options.candidates);
+    const getRank = () => getLeaseRank(name, self, getMembers?.() ?? [], options.maxCandidates);
     return new LeaseManager({ self, clock, store, name, options, incarnation, getRank });
   }
 }
--- a/packages/relay/src/lib/callers/CallerServer/CallerServer.ts
+++ b/packages/relay/src/lib/callers/CallerServer/CallerServer.ts
@@ -1,4 +1,8 @@
-import { CallerConnections, refuseConnection, waitForAccepted } from '@apricotrill/callers';
+import {
+  CallerConnections,
+  refuseConnection,
+  waitForPendingConnections,
+} from '@apricotrill/callers';
 import type { ConnectionCounts } from '@apricotrill/callers';
 import type { Clock } from '@apricotrill/utils';
 import { createServer } from 'node:http';
@@ -39,8 +43,8 @@
     this.connections = new CallerConnections({
       clock: parts.clock,
       headersTimeout: callerOptions.headerTimeout,
-      firstRequest: callerOptions.firstRequestTimeout,
-      callerStall: callerOptions.stallTimeout,
+      firstRequestTimeout: callerOptions.firstRequestTimeout,
+      callerStallTimeout: callerOptions.stallTimeout,
     });
     this.server.on('connection', (socket) => this.connections.add(socket));
     this.server.on('clientError', (error, socket) =>
@@ -88,7 +92,7 @@
    * @returns the connections that were open
    */
   async stopListening(): Promise<ConnectionCounts> {
-    await waitForAccepted();
+    await waitForPendingConnections();
     this.server.close();
     return this.connections.drain();
   }
--- a/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
+++ b/packages/relay/src/lib/duties/FleetDuties/FleetDuties.ts
@@ -1,4 +1,10 @@
-import { DutyManager, FleetClock, UsageCounter, dutyOptions, getWindow } from '@apricotrill/duties';
+import {
+  DutyManager,
+  FleetClock,
+  UsageCounter,
+  defaultDutyOptions,
+  getWindow,
+} from '@apricotrill/duties';
 import type {
   DutyPlatform,
   DutySettings,
@@ -106,7 +112,7 @@
   /** Sets the live daemons, including this one. */
   setFleet(daemons: readonly PeerEntry[]): void {
     this.fleet = daemons;
-    const { candidates } = dutyOptions.lease;
+    const { maxCandidates: candidates } = defaultDutyOptions.lease;
     this.candidates = getLeaseCandidates('duties', daemons, candidates);
   }
 
@@ -185,7 +191,7 @@
     const { countRetention, sendsPerFullSend } = fleetDutyOptions;
     this.sendCount += 1;
     const firstWindow = getWindow(this.fleetTime - countRetention, dutySettings.windowSpan);
-    this.counter.forgetBefore(firstWindow);
+    this.counter.evictBefore(firstWindow);
     const changed = this.counter.takeChanged();
     const all = this.counter.getAll();
     this.announceCounts(this.sendCount % sendsPerFullSend === 0 ? all : changed);
--- a/packages/router/src/lib/pipeline/CallerServer.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.ts
@@ -1,4 +1,8 @@
-import { CallerConnections, refuseConnection, waitForAccepted } from '@apricotrill/callers';
+import {
+  CallerConnections,
+  refuseConnection,
+  waitForPendingConnections,
+} from '@apricotrill/callers';
 import type { KeyMaterial, KeySource } from '@apricotrill/keys';
 import { ExecutionOutcome } from '@apricotrill/policy';
 import { randomUUID } from 'node:crypto';
@@ -78,8 +82,8 @@
     this.connections = new CallerConnections({
       clock: context.clock,
       headersTimeout: address.headersTimeout,
-      firstRequest: routerOptions.firstRequest,
-      callerStall: routerOptions.callerStall,
+      firstRequestTimeout: routerOptions.firstRequest,
+      callerStallTimeout: routerOptions.callerStall,
     });
     this.server = this.createServer();
     const { server } = this;
@@ -120,7 +124,7 @@
    */
   async close(): Promise<void> {
     this.closing = true;
-    await waitForAccepted();
+    await waitForPendingConnections();
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
       this.context.log('daemon', { event: 'port-closed', ...this.connections.drain() });
