--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
@@ -3,7 +3,7 @@
 import { ObjectStore, StoreUnavailableError } from '@apricotrill/store';
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import * as fc from 'fast-check';
-import { ChainOracle } from '../../test/ChainOracle.js';
+import { ChainOracle } from '../../test/ManifestChainChecker.js';
 import { createConfiguration, setWeight } from '../../test/createConfiguration.js';
 import { ScheduledStore } from '../../test/ScheduledStore.js';
 import type { CallFate } from '../../test/ScheduledStore.js';
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
@@ -16,7 +16,7 @@
 import { GarbageCollector } from './GarbageCollector.js';
 import type { GarbageCollectionResult } from './GarbageCollector.js';
 import { getConflict } from './getConflict.js';
-import { getFate } from './getFate.js';
+import { getFate } from './getChangeStatus.js';
 import { PartWriter } from './PartWriter.js';
 
 /**
--- a/packages/mesh/src/lib/Mesh/Mesh.test.ts
+++ b/packages/mesh/src/lib/Mesh/Mesh.test.ts
@@ -4,7 +4,7 @@
 import { MeshError, MeshFailure } from '../MeshError.js';
 import { callMethod } from '../meshService.js';
 import type { MeshOptions } from '../meshOptions.js';
-import { FreezingRelay } from '../../test/FreezingRelay.js';
+import { FreezingRelay } from '../../test/FreezableProxy.js';
 import { Mesh } from './Mesh.js';
 
 const disposables: { dispose(): void }[] = [];
