--- a/packages/configuration/src/lib/ActiveConfiguration/ActiveConfiguration.ts
+++ b/packages/configuration/src/lib/ActiveConfiguration/ActiveConfiguration.ts
@@ -1,10 +1,10 @@
 import type { Configuration } from '@apricotrill/model';
 import type { Manifest } from '../Manifest.js';
 import { assembleConfiguration, getMissingHashes } from '../parts/assembleConfiguration.js';
-import type { ReadParts } from '../parts/assembleConfiguration.js';
+import type { ParsedParts } from '../parts/assembleConfiguration.js';
 
 /**
- * A generation with everything needed to use it and to hand it on to a peer.
+ * A generation with everything needed to use it and to forward it to a peer.
  *
  * @public
  */
@@ -16,80 +16,81 @@
 }
 
 /**
- * What became of a generation that was offered.
+ * The result of trying to activate a generation.
  *
  * @public
  */
 export type ActivationResult =
   | { kind: 'in-force' }
-  /** It is not above the one in force: a late message, or one already known. */
+  /** Not higher than the active generation: a late message, or one already received. */
   | { kind: 'not-newer'; generation: number }
-  /** The same generation with another content: somebody wrote past the store's conditions. */
+  /** The same generation with different content: it was written without the store's conditions. */
   | { kind: 'divergent'; generation: number }
-  /** These parts have to come along. */
+  /** The texts of these parts are needed as well. */
   | { kind: 'missing-parts'; hashes: string[] }
   | { kind: 'broken-part'; name: string; reason: string };
 
-/** Told of each generation right after it came in force. */
-type Listener = (inForce: ConfigurationSnapshot) => void;
+/** Called with each generation right after it became active. */
+type Listener = (snapshot: ConfigurationSnapshot) => void;
 
-function getRefusal(current: Manifest, offered: Manifest): ActivationResult {
+function getRejection(current: Manifest, offered: Manifest): ActivationResult {
   const { generation } = current;
-  const isOther = offered.generation === generation && offered.contentHash !== current.contentHash;
-  return { kind: isOther ? 'divergent' : 'not-newer', generation };
+  const isDivergent =
+    offered.generation === generation && offered.contentHash !== current.contentHash;
+  return { kind: isDivergent ? 'divergent' : 'not-newer', generation };
 }
 
 /**
- * The configuration in force at one daemon. It takes a generation from anybody, and only ever a
- * higher one: late messages, restarted peers and old answers of the store cannot bring it back.
+ * The active configuration of one daemon. It accepts a generation from any source, but only a
+ * higher one: late messages, restarted peers and stale responses of the store cannot revert it.
  *
  * @example
  * ```ts
- * const inForce = new InForceConfiguration();
- * inForce.subscribe(({ configuration }) => useRules(configuration.rules));
- * inForce.offer(manifest, texts);
+ * const activeConfiguration = new ActiveConfiguration();
+ * activeConfiguration.subscribe(({ configuration }) => setRules(configuration.rules));
+ * activeConfiguration.activate(manifest, texts);
  * ```
  * @public
  */
 export class ActiveConfiguration {
   private current: ConfigurationSnapshot | undefined;
 
-  private known: ReadParts = new Map();
+  private parsedParts: ParsedParts = new Map();
 
   private readonly listeners = new Set<Listener>();
 
-  /** What is in force, or undefined before the first generation came. */
+  /** The active generation, or undefined before the first one. */
   get(): ConfigurationSnapshot | undefined {
     return this.current;
   }
 
-  /** The generation in force; 0 before the first one came. */
+  /** The number of the active generation; 0 before the first one. */
   getGeneration(): number {
     return this.current?.manifest.generation ?? 0;
   }
 
-  /** The parts that would have to come along for this manifest; parts in force are kept. */
+  /** Hashes of the parts that this manifest needs and that the active generation does not have. */
   getMissingHashes(manifest: Manifest): string[] {
     return getMissingHashes(manifest, this.current?.parts ?? new Map());
   }
 
   /**
-   * Puts a generation in force if it is above the one that is.
+   * Activates a generation if it is higher than the active one.
    *
-   * @param texts - part texts by hash; those already in force need not be there
+   * @param texts - part texts by hash; those of the active generation may be left out
    */
   activate(manifest: Manifest, texts: ReadonlyMap<string, string>): ActivationResult {
     const { current } = this;
     if (current !== undefined && manifest.generation <= current.manifest.generation) {
-      return getRefusal(current.manifest, manifest);
+      return getRejection(current.manifest, manifest);
     }
     const parts = this.getPartTexts(manifest, texts);
-    const assembled = assembleConfiguration(manifest, parts, this.known);
+    const assembled = assembleConfiguration(manifest, parts, this.parsedParts);
     if (!assembled.ok) {
       return assembled.error;
     }
     this.current = { manifest, parts, configuration: assembled.value };
-    this.known = new Map([...this.known].filter(([hash]) => parts.has(hash)));
+    this.parsedParts = new Map([...this.parsedParts].filter(([hash]) => parts.has(hash)));
     this.notify(this.current);
     return { kind: 'in-force' };
   }
@@ -97,7 +98,7 @@
   /**
    * Calls the listener after each new generation.
    *
-   * @returns a function that ends it
+   * @returns a function that removes the listener
    */
   subscribe(listener: Listener): () => void {
     this.listeners.add(listener);
@@ -108,7 +109,7 @@
     this.listeners.clear();
   }
 
-  /** The texts that the manifest names and nothing else, so that old parts are let go. */
+  /** Only the texts that the manifest references, so that unused parts are released. */
   private getPartTexts(
     manifest: Manifest,
     texts: ReadonlyMap<string, string>,
@@ -124,16 +125,16 @@
   }
 
   /**
-   * A listener that throws must not keep the others on the old generation; and once a listener has
-   * brought a higher generation, the others have been told of that one and must not be told of this
-   * one after it.
+   * A listener that throws must not keep the others on the old generation. If a listener activates
+   * a higher generation, the others have been notified of that one already and must not be notified
+   * of this one afterwards.
    */
-  private notify(inForce: ConfigurationSnapshot): void {
+  private notify(snapshot: ConfigurationSnapshot): void {
     const errors: unknown[] = [];
     this.listeners.forEach((listener) => {
       try {
-        if (this.current === inForce) {
-          listener(inForce);
+        if (this.current === snapshot) {
+          listener(snapshot);
         }
       } catch (error) {
         errors.push(error);
@@ -142,7 +143,7 @@
     if (errors.length > 0) {
       throw new AggregateError(
         errors,
-        `generation ${inForce.manifest.generation}: listener failed`,
+        `generation ${snapshot.manifest.generation}: listener failed`,
       );
     }
   }
--- a/packages/configuration/src/lib/ConfigurationError.ts
+++ b/packages/configuration/src/lib/ConfigurationError.ts
@@ -1,8 +1,8 @@
 import { StepError } from '@apricotrill/utils';
 
 /**
- * What lies in the store, or came from a peer, is not a configuration; or a change was asked for in
- * a way that cannot be right. Asking again is useless until somebody mends it.
+ * The store or a peer supplied something that is not a valid configuration, or a requested change
+ * is invalid. Retrying does not help until the cause is fixed.
  *
  * @public
  */
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
@@ -7,7 +7,7 @@
 import type { ConfigurationOptions } from '../options.js';
 import { assembleConfiguration, getMissingHashes } from '../parts/assembleConfiguration.js';
 
-/** A manifest with the text and the store's version it was read at. */
+/** A manifest with its text and the version of the store object it was read from. */
 export interface StoredManifest {
   manifest: Manifest;
   text: string;
@@ -32,10 +32,10 @@
   }
 
   async readParts(hashes: readonly string[]): Promise<Map<string, string>> {
-    if (hashes.length > this.options.mostSingleReads) {
+    if (hashes.length > this.options.maxSingleReads) {
       return this.listParts(new Set(hashes));
     }
-    const queue = new PQueue({ concurrency: this.options.concurrentCalls });
+    const queue = new PQueue({ concurrency: this.options.maxConcurrentCalls });
     const objects = await queue.addAll(
       hashes.map((hash) => () => this.store.get(PART_PREFIX + hash)),
     );
@@ -44,31 +44,31 @@
   }
 
   /**
-   * The accepted configuration. While parts are read, changes may be accepted and the old parts
-   * deleted; then the read starts over from the newer manifest.
+   * Reads the accepted configuration. While parts are read, a change may be accepted and the old
+   * parts deleted; the read then starts over from the newer manifest.
    */
   async read(
-    known: ReadonlyMap<string, string> = new Map(),
+    knownTexts: ReadonlyMap<string, string> = new Map(),
   ): Promise<ConfigurationSnapshot | undefined> {
-    let fault = '';
+    let reason = '';
     for (let attempt = 0; attempt < this.options.readAttempts; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- each attempt starts from a newer manifest
       const stored = await this.readManifest();
       // eslint-disable-next-line no-await-in-loop
-      const whole = stored === undefined ? undefined : await this.assemble(stored, known);
-      if (typeof whole !== 'string') {
-        return whole;
+      const result = stored === undefined ? undefined : await this.assemble(stored, knownTexts);
+      if (typeof result !== 'string') {
+        return result;
       }
-      fault = whole;
+      reason = result;
     }
-    throw new ConfigurationError(fault, { step: 'read configuration', peer: PEER });
+    throw new ConfigurationError(reason, { step: 'read configuration', peer: PEER });
   }
 
-  /** An earlier configuration, or undefined when it or one of its parts is no longer kept. */
+  /** An earlier configuration, or undefined if it or one of its parts is no longer retained. */
   async readArchived(generation: number): Promise<ConfigurationSnapshot | undefined> {
     const stored = await this.readArchivedManifest(generation);
-    const whole = stored === undefined ? undefined : await this.assemble(stored, new Map());
-    return typeof whole === 'string' ? undefined : whole;
+    const result = stored === undefined ? undefined : await this.assemble(stored, new Map());
+    return typeof result === 'string' ? undefined : result;
   }
 
   private async readManifestAt(key: string): Promise<StoredManifest | undefined> {
@@ -78,28 +78,28 @@
     }
     const manifest = parseManifest(object.value);
     if (!manifest.ok) {
-      const reason = `${key} does not hold a manifest: ${manifest.error}`;
+      const reason = `${key} does not contain a valid manifest: ${manifest.error}`;
       throw new ConfigurationError(reason, { step: 'read manifest', peer: PEER });
     }
     return { manifest: manifest.value, text: object.value, version: object.version };
   }
 
-  private async listParts(wanted: ReadonlySet<string>): Promise<Map<string, string>> {
+  private async listParts(hashes: ReadonlySet<string>): Promise<Map<string, string>> {
     const objects = await this.store.list(PART_PREFIX);
     return new Map(
       objects
         .map(({ key, value }) => [key.slice(PART_PREFIX.length), value] as const)
-        .filter(([hash]) => wanted.has(hash)),
+        .filter(([hash]) => hashes.has(hash)),
     );
   }
 
-  /** The whole configuration, or why it cannot be put together. */
+  /** The complete configuration, or the reason why it cannot be assembled. */
   private async assemble(
     { manifest }: StoredManifest,
-    known: ReadonlyMap<string, string>,
+    knownTexts: ReadonlyMap<string, string>,
   ): Promise<ConfigurationSnapshot | string> {
-    const read = await this.readParts(getMissingHashes(manifest, known));
-    const texts = new Map([...known, ...read]);
+    const readTexts = await this.readParts(getMissingHashes(manifest, knownTexts));
+    const texts = new Map([...knownTexts, ...readTexts]);
     const assembled = assembleConfiguration(manifest, texts);
     if (assembled.ok) {
       const parts = new Map(manifest.parts.map(({ hash }) => [hash, texts.get(hash)!]));
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
@@ -1,12 +1,12 @@
-/* eslint-disable no-await-in-loop -- each actor does one thing after the other */
+/* eslint-disable no-await-in-loop -- each actor performs its steps in sequence */
 import type { Configuration } from '@apricotrill/model';
 import { ObjectStore, StoreUnavailableError } from '@apricotrill/store';
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import * as fc from 'fast-check';
-import { ChainOracle } from '../../test/ManifestChainChecker.js';
+import { ManifestChainChecker } from '../../test/ManifestChainChecker.js';
 import { createConfiguration, setWeight } from '../../test/createConfiguration.js';
 import { ScheduledStore } from '../../test/ScheduledStore.js';
-import type { CallFate } from '../../test/ScheduledStore.js';
+import type { CallOutcome } from '../../test/ScheduledStore.js';
 import {
   ConfigurationStore,
   ActiveConfiguration,
@@ -17,58 +17,58 @@
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 150);
 const SEED = Number(process.env.FUZZ_SEED ?? 1);
-/** Few workspaces and weights, so that edits bring back parts that were left behind. */
+/** Few workspaces and weights, so that edits reuse parts left over from earlier generations. */
 const WORKSPACES = 2;
 const WEIGHTS = 2;
-const FAULTS: CallFate[] = ['not-delivered', 'answer-lost', 'late', 'duplicated'];
+const FAULTS: CallOutcome[] = ['not-delivered', 'answer-lost', 'late', 'duplicated'];
 
 interface Edit {
   workspace: string;
   weight: number;
-  /** How often the operator asks again after no answer, before giving up. */
-  patience: number;
+  /** Retries after no response. */
+  maxRetries: number;
 }
 
-/** A change as its operator saw it end. */
-interface Attempt {
+/** A change and the result that its operator received. */
+interface RecordedApply {
   change: ConfigurationChange;
   edit: Edit;
-  outcome: ApplyResult;
+  result: ApplyResult;
 }
 
 interface Scenario {
   operators: Edit[][];
-  collections: number;
-  pulls: number;
-  /** One call in so many meets a fault. */
-  faultEvery: number;
-  /** From this call to that one nothing is delivered. */
+  garbageCollections: number;
+  reads: number;
+  /** On average one in this many calls meets a fault. */
+  callsPerFault: number;
+  /** Range of calls of which none is delivered. */
   outage: { from: number; calls: number };
   seed: number;
 }
 
-const edit: fc.Arbitrary<Edit> = fc.record({
+const editArbitrary: fc.Arbitrary<Edit> = fc.record({
   workspace: fc.nat(WORKSPACES - 1).map((index) => `workspace-${index}`),
   weight: fc.integer({ min: 1, max: WEIGHTS }),
-  patience: fc.nat(3),
+  maxRetries: fc.nat(3),
 });
-const scenario: fc.Arbitrary<Scenario> = fc.record({
-  operators: fc.array(fc.array(edit, { minLength: 1, maxLength: 4 }), {
+const scenarioArbitrary: fc.Arbitrary<Scenario> = fc.record({
+  operators: fc.array(fc.array(editArbitrary, { minLength: 1, maxLength: 4 }), {
     minLength: 2,
     maxLength: 3,
   }),
-  collections: fc.nat(4),
-  pulls: fc.nat(5),
-  faultEvery: fc.integer({ min: 3, max: 40 }),
+  garbageCollections: fc.nat(4),
+  reads: fc.nat(5),
+  callsPerFault: fc.integer({ min: 3, max: 40 }),
   outage: fc.record({ from: fc.nat(80), calls: fc.nat(20) }),
   seed: fc.nat(),
 });
 
-/** Asks until the store answers; faults come to an end with the outage. */
-async function ask<Answer>(question: () => Promise<Answer>): Promise<Answer> {
+/** Retries until the store responds. */
+async function retryUntilAvailable<Value>(operation: () => Promise<Value>): Promise<Value> {
   for (;;) {
     try {
-      return await question();
+      return await operation();
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) {
         throw error;
@@ -77,16 +77,16 @@
   }
 }
 
-/** Everything that runs in one scenario, over one store. */
-class World {
+/** Runs the actors of one scenario on one store. */
+class Simulation {
   readonly objects = new ObjectStore(new ManualClock());
 
-  readonly oracle = new ChainOracle(this.objects);
+  readonly chainChecker = new ManifestChainChecker(this.objects);
 
-  readonly attempts: Attempt[] = [];
+  readonly attempts: RecordedApply[] = [];
 
-  /** For each daemon's life, what came in force in turn. */
-  readonly lives: { generation: number; contentHash: string }[][] = [];
+  /** For each run of a daemon, the generations that it activated, in order. */
+  readonly activations: { generation: number; contentHash: string }[][] = [];
 
   readonly store: ConfigurationStore;
 
@@ -94,20 +94,22 @@
 
   constructor(
     private readonly scheduler: fc.Scheduler,
-    private readonly plan: Scenario,
+    private readonly scenario: Scenario,
   ) {
-    const random = createRandom(plan.seed);
-    const takeFate = (): CallFate => {
+    const random = createRandom(scenario.seed);
+    const getNextOutcome = (): CallOutcome => {
       this.calls += 1;
-      const { from, calls } = plan.outage;
+      const { from, calls } = scenario.outage;
       if (this.calls > from && this.calls <= from + calls) {
         return 'not-delivered';
       }
-      const isFaulty = random.integer(plan.faultEvery) === 0;
+      const isFaulty = random.integer(scenario.callsPerFault) === 0;
       return isFaulty ? FAULTS[random.integer(FAULTS.length)]! : 'answered';
     };
     this.store = new ConfigurationStore({
-      store: new ScheduledStore(this.objects, scheduler, takeFate, () => this.oracle.observe()),
+      store: new ScheduledStore(this.objects, scheduler, getNextOutcome, () =>
+        this.chainChecker.observe(),
+      ),
       clock: new ManualClock(),
       options: { archivedGenerations: 1, applyAttempts: 3 },
     });
@@ -115,8 +117,8 @@
 
   async run(): Promise<void> {
     const actors = [
-      ...this.plan.operators.map((edits, index) => this.operate(edits, index)),
-      this.collect(),
+      ...this.scenario.operators.map((edits, index) => this.runOperator(edits, index)),
+      this.runGarbageCollector(),
       this.runDaemon(),
       this.runDaemon(),
     ];
@@ -124,9 +126,9 @@
     await this.scheduler.waitIdle();
   }
 
-  private async operate(edits: Edit[], operator: number): Promise<void> {
+  private async runOperator(edits: Edit[], operator: number): Promise<void> {
     for (const [step, current] of edits.entries()) {
-      const accepted = await ask(() => this.store.read());
+      const accepted = await retryUntilAvailable(() => this.store.read());
       const base = accepted?.configuration ?? createConfiguration(1, WORKSPACES);
       const change = {
         configuration: setWeight(base, current.workspace, current.weight),
@@ -134,99 +136,101 @@
         author: `operator-${operator}`,
         baseGeneration: accepted?.manifest.generation ?? 0,
       };
-      this.attempts.push({ change, edit: current, outcome: await this.apply(change, current) });
+      this.attempts.push({ change, edit: current, result: await this.apply(change, current) });
     }
   }
 
-  /** Asks again with the same identity while there is no answer. */
-  private async apply(change: ConfigurationChange, { patience }: Edit): Promise<ApplyResult> {
-    let outcome = await this.store.apply(change);
+  /** Retries with the same change id while there is no response. */
+  private async apply(change: ConfigurationChange, { maxRetries }: Edit): Promise<ApplyResult> {
+    let result = await this.store.apply(change);
     let mayBeAccepted = false;
-    for (let again = 0; again < patience && outcome.kind === 'unavailable'; again += 1) {
-      mayBeAccepted ||= outcome.mayBeAccepted;
-      outcome = await this.store.apply(change);
+    for (let retry = 0; retry < maxRetries && result.kind === 'unavailable'; retry += 1) {
+      mayBeAccepted ||= result.mayBeAccepted;
+      result = await this.store.apply(change);
     }
-    return outcome.kind === 'unavailable'
-      ? { ...outcome, mayBeAccepted: outcome.mayBeAccepted || mayBeAccepted }
-      : outcome;
+    return result.kind === 'unavailable'
+      ? { ...result, mayBeAccepted: result.mayBeAccepted || mayBeAccepted }
+      : result;
   }
 
-  private async collect(): Promise<void> {
-    for (let round = 0; round < this.plan.collections; round += 1) {
-      await ask(() => this.store.collectGarbage());
+  private async runGarbageCollector(): Promise<void> {
+    for (let round = 0; round < this.scenario.garbageCollections; round += 1) {
+      await retryUntilAvailable(() => this.store.collectGarbage());
     }
   }
 
-  /** A daemon that restarts once and takes generations from the store, its peers and late messages. */
+  /** A daemon that restarts once; what it reads from the store reaches it in late messages. */
   private async runDaemon(): Promise<void> {
     for (const start of [0, 1]) {
-      const inForce = new ActiveConfiguration();
-      const life: { generation: number; contentHash: string }[] = [];
-      this.lives.push(life);
-      inForce.subscribe(({ manifest }) => life.push(manifest));
-      for (let pull = start; pull < this.plan.pulls; pull += 1) {
-        const read = await ask(() => this.store.read(inForce.get()?.parts));
-        if (read !== undefined) {
-          // eslint-disable-next-line no-void -- a late message; nobody waits for it
+      const activeConfiguration = new ActiveConfiguration();
+      const activated: { generation: number; contentHash: string }[] = [];
+      this.activations.push(activated);
+      activeConfiguration.subscribe(({ manifest }) => activated.push(manifest));
+      for (let index = start; index < this.scenario.reads; index += 1) {
+        const snapshot = await retryUntilAvailable(() =>
+          this.store.read(activeConfiguration.get()?.parts),
+        );
+        if (snapshot !== undefined) {
+          // eslint-disable-next-line no-void -- a late message that is not awaited
           void this.scheduler
             .schedule(Promise.resolve(), 'message from a peer')
-            .then(() => inForce.activate(read.manifest, read.parts));
+            .then(() => activeConfiguration.activate(snapshot.manifest, snapshot.parts));
         }
       }
     }
   }
 }
 
-/** The configurations of the chain, from the edits alone: one after the other, none left out. */
-function replay(world: World): Configuration[] {
+/** Recomputes the configuration of each generation by applying the edits of the chain in order. */
+function replayEdits(simulation: Simulation): Configuration[] {
   let configuration = createConfiguration(1, WORKSPACES);
-  return world.oracle.chain.map(({ changeId }) => {
-    const { edit: made } = world.attempts.find(({ change }) => change.changeId === changeId)!;
-    configuration = setWeight(configuration, made.workspace, made.weight);
+  return simulation.chainChecker.chain.map(({ changeId }) => {
+    const { edit: applied } = simulation.attempts.find(
+      ({ change }) => change.changeId === changeId,
+    )!;
+    configuration = setWeight(configuration, applied.workspace, applied.weight);
     return configuration;
   });
 }
 
-function checkOutcome({ change, outcome }: Attempt, ids: readonly string[]): void {
-  const isInChain = ids.includes(change.changeId);
-  if (outcome.kind === 'accepted') {
-    expect(ids[outcome.change.generation - 1]).toBe(change.changeId);
-  } else if (
-    outcome.kind === 'conflict' ||
-    !('mayBeAccepted' in outcome && outcome.mayBeAccepted)
-  ) {
-    expect({ change: change.changeId, outcome: outcome.kind, isInChain }).toMatchObject({
+function checkResult({ change, result }: RecordedApply, changeIds: readonly string[]): void {
+  const isInChain = changeIds.includes(change.changeId);
+  if (result.kind === 'accepted') {
+    expect(changeIds[result.change.generation - 1]).toBe(change.changeId);
+  } else if (result.kind === 'conflict' || !('mayBeAccepted' in result && result.mayBeAccepted)) {
+    expect({ change: change.changeId, result: result.kind, isInChain }).toMatchObject({
       isInChain: false,
     });
   }
 }
 
-function check(world: World): void {
-  const { chain, violations } = world.oracle;
+function checkSimulation(simulation: Simulation): void {
+  const { chain, violations } = simulation.chainChecker;
   expect(violations).toEqual([]);
-  const ids = chain.map(({ changeId }) => changeId);
-  world.attempts.forEach((attempt) => checkOutcome(attempt, ids));
-  const hashes = replay(world).map((entry) => getPartsHash(getConfigurationParts(entry)));
+  const changeIds = chain.map(({ changeId }) => changeId);
+  simulation.attempts.forEach((attempt) => checkResult(attempt, changeIds));
+  const hashes = replayEdits(simulation).map((entry) => getPartsHash(getConfigurationParts(entry)));
   expect(chain.map(({ contentHash }) => contentHash)).toEqual(hashes);
-  world.lives.forEach((life) => {
-    const generations = life.map(({ generation }) => generation);
+  simulation.activations.forEach((activated) => {
+    const generations = activated.map(({ generation }) => generation);
     expect(generations).toEqual([...new Set(generations)].sort((left, right) => left - right));
-    life.forEach(({ generation, contentHash }) => expect(contentHash).toBe(hashes[generation - 1]));
+    activated.forEach(({ generation, contentHash }) =>
+      expect(contentHash).toBe(hashes[generation - 1]),
+    );
   });
 }
 
 describe('ConfigurationStore under faults', () => {
-  // Symptoms it looks for: two accepted changes on one base; a change applied twice, or lost after
-  // it was said to be accepted, or accepted after it was said not to be; an accepted generation
-  // that cannot be read; a daemon that goes back. Sequence: operators race, daemons pull, a
-  // collector deletes, while calls and answers are lost, late, doubled and the store is out.
-  // Cause, each time: a decision from something that was only true when it was read.
+  // Guards against two accepted changes on one base; a change applied twice, lost after it was
+  // reported as accepted, or accepted after it was reported as rejected; an accepted generation
+  // that cannot be read; and a daemon that activates an older generation. These faults come from
+  // decisions on state that is stale by then, while calls are lost, late, duplicated or in an outage.
   it('accepts one chain of changes, each at most once and none lost', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.scheduler(), scenario, async (scheduler, plan) => {
-        const world = new World(scheduler, plan);
-        await world.run();
-        check(world);
+      fc.asyncProperty(fc.scheduler(), scenarioArbitrary, async (scheduler, scenario) => {
+        const simulation = new Simulation(scheduler, scenario);
+        await simulation.run();
+        checkSimulation(simulation);
       }),
       { seed: SEED, numRuns: RUNS },
     );
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
@@ -6,7 +6,7 @@
 import type { ConfigurationSnapshot } from '../ActiveConfiguration/ActiveConfiguration.js';
 import type { AcceptedChange, Manifest } from '../Manifest.js';
 import { ARCHIVE_PREFIX, MANIFEST_KEY, getAcceptedChange } from '../Manifest.js';
-import { DEFAULT_CONFIGURATION_OPTIONS, RECENT_CHANGES } from '../options.js';
+import { defaultConfigurationOptions, MAX_RECENT_CHANGES } from '../options.js';
 import type { ConfigurationOptions } from '../options.js';
 import { getConfigurationParts, getPartsHash } from '../parts/getConfigurationParts.js';
 import type { ConfigurationPart } from '../parts/getConfigurationParts.js';
@@ -16,64 +16,64 @@
 import { GarbageCollector } from './GarbageCollector.js';
 import type { GarbageCollectionResult } from './GarbageCollector.js';
 import { getConflict } from './getConflict.js';
-import { getFate } from './getChangeStatus.js';
+import { getChangeStatus } from './getChangeStatus.js';
 import { PartWriter } from './PartWriter.js';
 
 /**
- * A configuration that somebody wants accepted.
+ * A configuration to be accepted.
  *
  * @public
  */
 export interface ConfigurationChange {
   configuration: Configuration;
-  /** The same for every attempt at this change, and for no other change. */
+  /** Identifies the change: the same on every retry, and never used for another change. */
   changeId: string;
   author: string;
-  /** The generation the change was made against; 0 before the first. */
+  /** The generation that the change is based on; 0 before the first. */
   baseGeneration: number;
 }
 
 /**
- * What became of a change.
+ * The result of applying a change.
  *
  * @public
  */
 export type ApplyResult =
   | { kind: 'accepted'; change: AcceptedChange }
-  /** The base has this very content: there is nothing to accept. */
+  /** The base already has this content, so there is nothing to accept. */
   | { kind: 'unchanged'; accepted: AcceptedChange }
-  /** Another change was accepted on the same base; this one is not and never will be. */
+  /** Another change was accepted on the same base; this one never will be. */
   | {
       kind: 'conflict';
       accepted: AcceptedChange;
-      /** What the accepted changes did to the base; absent when the base is no longer kept. */
+      /** What the accepted changes did to the base; absent if the base is no longer retained. */
       theirs?: ConfigurationDifference[];
-      /** What this change would have done to the base (to what is accepted, without a base). */
+      /** What this change would have done to the base, or without one to what is accepted. */
       mine: ConfigurationDifference[];
     }
-  /** The store gave no answer. Ask again with the same identity; it is never applied twice. */
+  /** The store did not respond. Retry with the same change id; it is never applied twice. */
   | { kind: 'unavailable'; mayBeAccepted: boolean; error: Error }
-  /** So many changes came after the base that nobody remembers whether this one was among them. */
+  /** The base is so old that it is no longer known whether this change was accepted. */
   | { kind: 'forgotten'; accepted: AcceptedChange };
 
-/** The state of one apply over its attempts. */
-interface Attempts {
+/** The state of one call of `apply` across its attempts. */
+interface ApplyState {
   change: ConfigurationChange;
   parts: ConfigurationPart[];
   contentHash: string;
-  /** Whether a manifest was sent whose answer never came. */
+  /** Whether a manifest update was sent whose response was lost. */
   mayBeAccepted: boolean;
   error: Error | undefined;
 }
 
 /**
- * The accepted configuration in the platform's store: reads it, and gets changes accepted by a
+ * The accepted configuration in the platform's store: reads it, and applies changes by a
  * conditional update of the manifest.
  *
  * @example
  * ```ts
  * const store = new ConfigurationStore({ store: platformStore, clock: new SystemClock() });
- * const outcome = await store.apply({ configuration, changeId, author, baseGeneration: 12 });
+ * const result = await store.apply({ configuration, changeId, author, baseGeneration: 12 });
  * ```
  * @public
  */
@@ -86,35 +86,35 @@
 
   private readonly reader: ConfigurationReader;
 
-  private readonly writer: PartWriter;
+  private readonly partWriter: PartWriter;
 
-  private readonly collector: GarbageCollector;
+  private readonly garbageCollector: GarbageCollector;
 
-  constructor(parts: {
+  constructor(settings: {
     store: PlatformStore;
     clock: Clock;
     options?: Partial<ConfigurationOptions>;
   }) {
-    this.store = parts.store;
-    this.clock = parts.clock;
-    this.options = { ...DEFAULT_CONFIGURATION_OPTIONS, ...parts.options };
+    this.store = settings.store;
+    this.clock = settings.clock;
+    this.options = { ...defaultConfigurationOptions, ...settings.options };
     this.reader = new ConfigurationReader(this.store, this.options);
-    this.writer = new PartWriter(this.store, this.options);
-    this.collector = new GarbageCollector(this.store, this.reader, this.options);
+    this.partWriter = new PartWriter(this.store, this.options);
+    this.garbageCollector = new GarbageCollector(this.store, this.reader, this.options);
   }
 
   /**
    * The accepted configuration, or undefined before the first change.
    *
-   * @param known - part texts by hash that need not be read again
+   * @param knownTexts - part texts by hash that need not be read again
    * @throws StoreUnavailableError, ConfigurationError
    */
-  read(known?: ReadonlyMap<string, string>): Promise<ConfigurationSnapshot | undefined> {
-    return this.reader.read(known);
+  read(knownTexts?: ReadonlyMap<string, string>): Promise<ConfigurationSnapshot | undefined> {
+    return this.reader.read(knownTexts);
   }
 
   /**
-   * The accepted manifest alone, or undefined before the first change.
+   * The accepted manifest without its parts, or undefined before the first change.
    *
    * @throws StoreUnavailableError, ConfigurationError
    */
@@ -132,7 +132,7 @@
   }
 
   /**
-   * An earlier generation, or undefined when it is no longer kept.
+   * An earlier generation, or undefined if it is no longer retained.
    *
    * @throws StoreUnavailableError, ConfigurationError
    */
@@ -141,18 +141,18 @@
   }
 
   /**
-   * Gets a change accepted. Asking again with the same identity is harmless: whatever became of an
-   * earlier attempt is found by reading back.
+   * Applies a change. Retrying with the same change id is safe: the result of an earlier attempt is
+   * determined by reading back.
    *
-   * @throws ConfigurationError when the identity belongs to another change, or the store holds
-   *   something else than a configuration
-   * @throws ValueTooLargeError when the configuration does not fit the store
+   * @throws ConfigurationError when the change id belongs to another change, or the content of the
+   *   store is not a valid configuration
+   * @throws ValueTooLargeError when the configuration is too large for the store
    */
   async apply(change: ConfigurationChange): Promise<ApplyResult> {
     const parts = getConfigurationParts(change.configuration);
     checkSizes(parts);
     const contentHash = getPartsHash(parts);
-    const attempts: Attempts = {
+    const state: ApplyState = {
       change,
       parts,
       contentHash,
@@ -160,90 +160,94 @@
       error: undefined,
     };
     for (let attempt = 0; attempt < this.options.applyAttempts; attempt += 1) {
-      // eslint-disable-next-line no-await-in-loop -- each attempt starts from what the last one left
-      const outcome = await this.attempt(attempts);
-      if (outcome !== undefined) {
-        return outcome;
+      // eslint-disable-next-line no-await-in-loop -- each attempt depends on the result of the last
+      const result = await this.attempt(state);
+      if (result !== undefined) {
+        return result;
       }
     }
-    const error = attempts.error ?? new Error('other writes kept coming in between');
-    return { kind: 'unavailable', mayBeAccepted: attempts.mayBeAccepted, error };
+    const error =
+      state.error ?? new Error('the manifest was written by others during every attempt');
+    return { kind: 'unavailable', mayBeAccepted: state.mayBeAccepted, error };
   }
 
   /**
-   * Deletes parts that no kept generation names. Safe while changes are being applied.
+   * Deletes parts that no retained generation references. Safe while changes are being applied.
    *
    * @throws StoreUnavailableError
    */
   collectGarbage(): Promise<GarbageCollectionResult> {
-    return this.collector.collect();
+    return this.garbageCollector.collect();
   }
 
-  /** One attempt; undefined when it has to start over. */
-  private async attempt(attempts: Attempts): Promise<ApplyResult | undefined> {
+  /** Makes one attempt; undefined if another one is needed. */
+  private async attempt(state: ApplyState): Promise<ApplyResult | undefined> {
     try {
       const stored = await this.reader.readManifest();
-      const settled = await this.getSettled(attempts, stored);
-      return settled ?? (await this.write(attempts, stored));
+      const decided = await this.getDecidedResult(state, stored);
+      return decided ?? (await this.write(state, stored));
     } catch (error) {
       if (!(error instanceof StoreUnavailableError)) {
         throw error;
       }
-      // eslint-disable-next-line no-param-reassign -- the attempts are one record of this apply
-      attempts.error = error;
+      // eslint-disable-next-line no-param-reassign -- the state is shared by the attempts of one apply
+      state.error = error;
       return undefined;
     }
   }
 
-  /** The outcome, if what is accepted by now already decides it. */
-  private async getSettled(
-    { change, contentHash }: Attempts,
+  /** The result, if it already follows from what has been accepted. */
+  private async getDecidedResult(
+    { change, contentHash }: ApplyState,
     stored: StoredManifest | undefined,
   ): Promise<ApplyResult | undefined> {
-    const fate = await getFate(this.reader, { ...change, contentHash }, stored?.manifest);
-    if (fate.kind === 'accepted') {
-      return { kind: 'accepted', change: fate.change };
+    const status = await getChangeStatus(this.reader, { ...change, contentHash }, stored?.manifest);
+    if (status.kind === 'accepted') {
+      return { kind: 'accepted', change: status.change };
     }
     if (stored === undefined) {
       return undefined;
     }
     const accepted = getAcceptedChange(stored.manifest);
-    if (fate.kind === 'open') {
+    if (status.kind === 'open') {
       return accepted.contentHash === contentHash ? { kind: 'unchanged', accepted } : undefined;
     }
-    return fate.kind === 'forgotten'
+    return status.kind === 'forgotten'
       ? { kind: 'forgotten', accepted }
       : getConflict(this.reader, change, accepted);
   }
 
-  /** Writes parts, archive and manifest, in this order, so that they are accepted together. */
+  /**
+   * Writes parts, archive and manifest in this order, so that everything is in place once the
+   * manifest is accepted.
+   */
   private async write(
-    attempts: Attempts,
+    state: ApplyState,
     stored: StoredManifest | undefined,
   ): Promise<ApplyResult | undefined> {
-    await this.writer.write(attempts.parts, stored);
+    await this.partWriter.write(state.parts, stored);
     if (stored !== undefined) {
       await this.store.put(ARCHIVE_PREFIX + stored.manifest.generation, stored.text, 0);
     }
-    const manifest = this.createManifest(attempts, stored?.manifest);
-    const outcome = await this.putManifest(attempts, manifest, stored?.version ?? 0);
-    return outcome.kind === 'accepted'
+    const manifest = this.createManifest(state, stored?.manifest);
+    const result = await this.putManifest(state, manifest, stored?.version ?? 0);
+    return result.kind === 'accepted'
       ? { kind: 'accepted', change: getAcceptedChange(manifest) }
       : undefined;
   }
 
-  private async putManifest(attempts: Attempts, manifest: Manifest, expectedVersion: number) {
+  private async putManifest(state: ApplyState, manifest: Manifest, expectedVersion: number) {
     try {
       return await this.store.put(MANIFEST_KEY, JSON.stringify(manifest), expectedVersion);
     } catch (error) {
-      // The update may have taken effect: the next attempt finds out by reading back.
-      // eslint-disable-next-line no-param-reassign -- the attempts are one record of this apply
-      attempts.mayBeAccepted = true;
+      // The update may have taken effect; the next attempt determines this by reading back.
+      // eslint-disable-next-line no-param-reassign -- the state is shared by the attempts of one apply
+      state.mayBeAccepted = true;
       throw error;
     }
   }
 
-  private createManifest({ change, parts, contentHash }: Attempts, base?: Manifest): Manifest {
+  private createManifest({ change, parts, contentHash }: ApplyState, base?: Manifest): Manifest {
     const recent = base === undefined ? [] : [getAcceptedChange(base), ...base.recent];
     return {
       generation: change.baseGeneration + 1,
@@ -252,7 +256,7 @@
       acceptedAt: this.clock.now(),
       contentHash,
       parts: parts.map(({ name, hash, size }) => ({ name, hash, size })),
-      recent: recent.slice(0, RECENT_CHANGES),
+      recent: recent.slice(0, MAX_RECENT_CHANGES),
     };
   }
 }
--- a/packages/configuration/src/lib/ConfigurationStore/GarbageCollector.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/GarbageCollector.ts
@@ -6,22 +6,22 @@
 import type { ConfigurationReader } from './ConfigurationReader.js';
 
 /**
- * What a collection did.
+ * The result of a garbage collection.
  *
  * @public
  */
 export type GarbageCollectionResult =
   | { kind: 'collected'; parts: number; manifests: number }
-  /** A change was accepted meanwhile; nothing was deleted. */
-  | { kind: 'raced' };
+  /** The manifest was written in the meantime; nothing was deleted. */
+  | { kind: 'conflict' };
 
-/** Archived manifests, divided by whether they are still kept. */
+/** Archived manifests, split by whether they are still retained. */
 interface Archive {
-  kept: Manifest[];
-  old: StoredObject[];
+  retained: Manifest[];
+  expired: StoredObject[];
 }
 
-/** Deletes what no kept generation names. */
+/** Deletes parts that no retained generation references, and expired archived manifests. */
 export class GarbageCollector {
   constructor(
     private readonly store: PlatformStore,
@@ -30,12 +30,15 @@
   ) {}
 
   /**
-   * What could go wrong: somebody is writing a change that names a part which looks unused now;
-   * once the part is deleted and the change accepted, no daemon can read the configuration. Three
-   * steps prevent it. The list of unused parts is made first. Then the manifest is written again
-   * unchanged, which moves its version: a change that read the manifest before that can no longer
-   * be accepted, and starts over. Then each part is deleted only at the version it was listed at:
-   * a change that starts over writes the part again and so moves that version (see `PartWriter`).
+   * A change that is being written may reference a part that is unused so far. If that part were
+   * deleted and the change then accepted, no daemon could read the configuration. Three steps
+   * prevent this:
+   *
+   * 1. The unused parts are listed.
+   * 2. The manifest is written again unchanged, which changes its version. A change that read the
+   *    manifest before this can no longer be accepted and starts over.
+   * 3. Each part is deleted only if it still has the version it was listed with. A change that
+   *    starts over writes the part again, which changes that version (see `PartWriter`).
    *
    * @throws StoreUnavailableError
    */
@@ -45,25 +48,26 @@
       return { kind: 'collected', parts: 0, manifests: 0 };
     }
     const archive = await this.getArchive(stored.manifest.generation);
-    const used = [stored.manifest, ...archive.kept].flatMap((manifest) => manifest.parts);
+    const used = [stored.manifest, ...archive.retained].flatMap((manifest) => manifest.parts);
     const unused = await this.getUnusedParts(new Set(used.map(({ hash }) => hash)));
-    const fence = await this.store.put(MANIFEST_KEY, stored.text, stored.version);
-    if (fence.kind === 'conflict') {
-      return { kind: 'raced' };
+    const fenceResult = await this.store.put(MANIFEST_KEY, stored.text, stored.version);
+    if (fenceResult.kind === 'conflict') {
+      return { kind: 'conflict' };
     }
     const parts = await this.deleteAll(unused);
-    return { kind: 'collected', parts, manifests: await this.deleteAll(archive.old) };
+    return { kind: 'collected', parts, manifests: await this.deleteAll(archive.expired) };
   }
 
   private async getArchive(generation: number): Promise<Archive> {
     const objects = await this.store.list(ARCHIVE_PREFIX);
-    const lowest = generation - this.options.archivedGenerations;
-    const isKept = ({ key }: StoredObject) => Number(key.slice(ARCHIVE_PREFIX.length)) >= lowest;
-    const kept = objects.filter(isKept).flatMap(({ value }) => {
+    const oldestRetained = generation - this.options.archivedGenerations;
+    const isRetained = ({ key }: StoredObject) =>
+      Number(key.slice(ARCHIVE_PREFIX.length)) >= oldestRetained;
+    const retained = objects.filter(isRetained).flatMap(({ value }) => {
       const manifest = parseManifest(value);
       return manifest.ok ? [manifest.value] : [];
     });
-    return { kept, old: objects.filter((object) => !isKept(object)) };
+    return { retained, expired: objects.filter((object) => !isRetained(object)) };
   }
 
   private async getUnusedParts(used: ReadonlySet<string>): Promise<StoredObject[]> {
@@ -71,16 +75,16 @@
     return objects.filter(({ key }) => !used.has(key.slice(PART_PREFIX.length)));
   }
 
-  /** How many of the objects were still as listed and are deleted now. */
+  /** Deletes the objects that were not written since they were listed, and returns their number. */
   private async deleteAll(objects: readonly StoredObject[]): Promise<number> {
-    const queue = new PQueue({ concurrency: this.options.concurrentCalls });
-    const outcomes = await queue.addAll(
+    const queue = new PQueue({ concurrency: this.options.maxConcurrentCalls });
+    const results = await queue.addAll(
       objects.map(
         ({ key, version }) =>
           () =>
             this.store.delete(key, version),
       ),
     );
-    return outcomes.filter(({ kind }) => kind === 'accepted').length;
+    return results.filter(({ kind }) => kind === 'accepted').length;
   }
 }
--- a/packages/configuration/src/lib/ConfigurationStore/PartWriter.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/PartWriter.ts
@@ -6,10 +6,10 @@
 import type { ConfigurationPart } from '../parts/getConfigurationParts.js';
 import type { StoredManifest } from './ConfigurationReader.js';
 
-/** How often one part may be deleted or rewritten by others while it is being written. */
-const MOST_TRIES = 8;
+/** Attempts to write one part while others delete or rewrite it. */
+const MAX_ATTEMPTS = 8;
 
-/** Writes the parts of a change ahead of its manifest. */
+/** Writes the parts of a change before its manifest. */
 export class PartWriter {
   constructor(
     private readonly store: PlatformStore,
@@ -17,43 +17,44 @@
   ) {}
 
   /**
-   * Makes sure that every part is in the store and stays there until the manifest was decided.
+   * Makes sure that every part is in the store and stays there until the manifest update has been
+   * accepted or rejected.
    *
-   * @param base - the manifest that the change is made against; its own parts are safe
+   * @param base - the manifest that the change is based on; its own parts cannot be deleted
    * @throws StoreUnavailableError
    */
   async write(
     parts: readonly ConfigurationPart[],
     base: StoredManifest | undefined,
   ): Promise<void> {
-    const safe = new Set(base?.manifest.parts.map(({ hash }) => hash));
-    const queue = new PQueue({ concurrency: this.options.concurrentCalls });
-    const fresh = parts.filter(({ hash }) => !safe.has(hash));
-    await queue.addAll(fresh.map((part) => () => this.writePart(part, base?.version ?? 0)));
+    const baseHashes = new Set(base?.manifest.parts.map(({ hash }) => hash));
+    const queue = new PQueue({ concurrency: this.options.maxConcurrentCalls });
+    const newParts = parts.filter(({ hash }) => !baseHashes.has(hash));
+    await queue.addAll(newParts.map((part) => () => this.writePart(part, base?.version ?? 0)));
   }
 
   /**
-   * Leaves the part at a version above the manifest's. Where it lies in the store already, left
-   * over from an earlier generation, the garbage collector may be about to delete it: the manifest
-   * would then name a part that is gone, and no daemon could read the configuration. Writing it
-   * again moves its version, on which the collector's deletion is conditional.
+   * Ensures that the part has a higher version than the manifest. If the part is left over from an
+   * earlier generation, the garbage collector may be about to delete it: the manifest would then
+   * reference a missing part, and no daemon could read the configuration. Writing the part again
+   * changes its version, and the collector's delete is conditional on the version.
    */
   private async writePart(part: ConfigurationPart, manifestVersion: number): Promise<void> {
     const key = PART_PREFIX + part.hash;
     let expectedVersion = 0;
-    for (let attempt = 0; attempt < MOST_TRIES; attempt += 1) {
-      // eslint-disable-next-line no-await-in-loop -- each try starts from the version of the last
-      const outcome = await this.store.put(key, part.text, expectedVersion);
-      const isRecent =
-        outcome.kind === 'conflict' &&
-        outcome.current?.value === part.text &&
-        outcome.current.version > manifestVersion;
-      if (outcome.kind === 'accepted' || isRecent) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      // eslint-disable-next-line no-await-in-loop -- each attempt starts from the version that the last one found
+      const result = await this.store.put(key, part.text, expectedVersion);
+      const isUpToDate =
+        result.kind === 'conflict' &&
+        result.current?.value === part.text &&
+        result.current.version > manifestVersion;
+      if (result.kind === 'accepted' || isUpToDate) {
         return;
       }
-      expectedVersion = outcome.current?.version ?? 0;
+      expectedVersion = result.current?.version ?? 0;
     }
-    throw new StoreUnavailableError(`${key} keeps changing`, {
+    throw new StoreUnavailableError(`${key} changed during each of ${MAX_ATTEMPTS} attempts`, {
       step: 'write part',
       peer: 'platform store',
     });
--- a/packages/configuration/src/lib/ConfigurationStore/checkSizes.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/checkSizes.ts
@@ -1,26 +1,27 @@
 import { ValueTooLargeError } from '@apricotrill/store';
-import { LARGEST_VALUE_BYTES } from '../options.js';
+import { MAX_VALUE_BYTES } from '../options.js';
 import type { ConfigurationPart } from '../parts/getConfigurationParts.js';
 
-/** What the manifest holds for each part, and for all its recent changes, at the most. */
+/** Upper bound of what each part adds to the manifest. */
 const MANIFEST_BYTES_PER_PART = 160;
-const MANIFEST_BYTES_BESIDES = 32768;
+/** Upper bound of the rest of the manifest, including its recent changes. */
+const MANIFEST_BASE_BYTES = 32768;
 
 /**
- * Refuses a configuration that the store would not take, before anything is written. A part grows
- * that large only by a single huge entry; the manifest only by thousands of parts.
+ * Rejects a configuration that is too large for the store before anything is written. A part
+ * becomes that large only if a single entry is huge, the manifest only with thousands of parts.
  *
  * @throws ValueTooLargeError
  */
 export function checkSizes(parts: readonly ConfigurationPart[]): void {
-  const largest = parts.find(({ size }) => size > LARGEST_VALUE_BYTES);
+  const largest = parts.find(({ size }) => size > MAX_VALUE_BYTES);
   if (largest !== undefined) {
-    const reason = `part ${largest.name} has ${largest.size} bytes, the store takes ${LARGEST_VALUE_BYTES}`;
+    const reason = `part ${largest.name} has ${largest.size} bytes; the store's limit is ${MAX_VALUE_BYTES}`;
     throw new ValueTooLargeError(reason, { step: 'apply', peer: 'platform store' });
   }
-  const manifest = MANIFEST_BYTES_BESIDES + parts.length * MANIFEST_BYTES_PER_PART;
-  if (manifest > LARGEST_VALUE_BYTES) {
-    const reason = `the manifest of ${parts.length} parts does not fit ${LARGEST_VALUE_BYTES} bytes`;
+  const manifestBytes = MANIFEST_BASE_BYTES + parts.length * MANIFEST_BYTES_PER_PART;
+  if (manifestBytes > MAX_VALUE_BYTES) {
+    const reason = `the manifest of ${parts.length} parts exceeds the store's limit of ${MAX_VALUE_BYTES} bytes`;
     throw new ValueTooLargeError(reason, { step: 'apply', peer: 'platform store' });
   }
 }
--- a/packages/configuration/src/lib/ConfigurationStore/getChangeStatus.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/getChangeStatus.ts
@@ -3,17 +3,17 @@
 import type { AcceptedChange, Manifest } from '../Manifest.js';
 import type { ConfigurationReader } from './ConfigurationReader.js';
 
-/** What is known of a change from what has been accepted by now. */
-export type ChangeFate =
-  /** Its base is what is accepted: it may still be. */
+/** The status of a change, given what has been accepted so far. */
+export type ChangeStatus =
+  /** Its base is the accepted generation, so it can still be accepted. */
   | { kind: 'open' }
   | { kind: 'accepted'; change: AcceptedChange }
-  /** Another change took its generation. */
-  | { kind: 'overtaken' }
-  /** The generation it would have is not remembered any more. */
+  /** Another change was accepted as its generation. */
+  | { kind: 'superseded' }
+  /** The generation it would have become is no longer retained. */
   | { kind: 'forgotten' };
 
-/** What tells one change from another. */
+/** The fields that identify a change. */
 export interface ChangeIdentity {
   changeId: string;
   contentHash: string;
@@ -21,62 +21,62 @@
 }
 
 /**
- * An operator who gives two changes the same identity would be told that the second is accepted
+ * If an operator used the same change id for two changes, the second would be reported as accepted
  * although it never was.
  */
 function checkIdentity(identity: ChangeIdentity, found: AcceptedChange): void {
   if (found.contentHash !== identity.contentHash) {
     throw new ConfigurationError(
-      `the identity "${identity.changeId}" belongs to generation ${found.generation}, which has another content`,
+      `change id "${identity.changeId}" was already used for generation ${found.generation}, which has different content`,
       { step: 'apply', peer: 'platform store' },
     );
   }
 }
 
-/** The change that was accepted as a generation, as far back as anything is kept. */
-async function getChange(
+/** The change that was accepted as this generation, if it is still retained. */
+async function findAcceptedChange(
   reader: ConfigurationReader,
-  remembered: readonly AcceptedChange[],
+  knownChanges: readonly AcceptedChange[],
   generation: number,
 ): Promise<AcceptedChange | undefined> {
-  const recent = remembered.find((change) => change.generation === generation);
+  const recent = knownChanges.find((change) => change.generation === generation);
   return recent ?? (await reader.readArchivedManifest(generation))?.manifest;
 }
 
 /**
- * Finds out what became of a change whose confirmation may have been lost. If it was accepted, it
- * became the generation after its base, since the update was conditional on that base; so it is
- * enough to look at that one generation, however many came after it.
+ * Determines the status of a change whose confirmation may have been lost. If it was accepted, it
+ * became the generation after its base, because the update was conditional on that base. It is
+ * therefore enough to look at that one generation, however many were accepted after it.
  *
- * @param accepted - the manifest accepted now
+ * @param accepted - the currently accepted manifest
  * @throws StoreUnavailableError, ConfigurationError
  */
-export async function getFate(
+export async function getChangeStatus(
   reader: ConfigurationReader,
   identity: ChangeIdentity,
   accepted: Manifest | undefined,
-): Promise<ChangeFate> {
+): Promise<ChangeStatus> {
   const generation = accepted?.generation ?? 0;
-  const remembered =
+  const knownChanges =
     accepted === undefined ? [] : [getAcceptedChange(accepted), ...accepted.recent];
-  const same = remembered.find(({ changeId }) => changeId === identity.changeId);
-  if (same !== undefined) {
-    checkIdentity(identity, same);
-    return { kind: 'accepted', change: same };
+  const match = knownChanges.find(({ changeId }) => changeId === identity.changeId);
+  if (match !== undefined) {
+    checkIdentity(identity, match);
+    return { kind: 'accepted', change: match };
   }
   if (identity.baseGeneration === generation) {
     return { kind: 'open' };
   }
   if (identity.baseGeneration > generation) {
-    return { kind: 'overtaken' };
+    return { kind: 'superseded' };
   }
-  const next = await getChange(reader, remembered, identity.baseGeneration + 1);
-  if (next === undefined) {
+  const nextChange = await findAcceptedChange(reader, knownChanges, identity.baseGeneration + 1);
+  if (nextChange === undefined) {
     return { kind: 'forgotten' };
   }
-  if (next.changeId !== identity.changeId) {
-    return { kind: 'overtaken' };
+  if (nextChange.changeId !== identity.changeId) {
+    return { kind: 'superseded' };
   }
-  checkIdentity(identity, next);
-  return { kind: 'accepted', change: getAcceptedChange(next) };
+  checkIdentity(identity, nextChange);
+  return { kind: 'accepted', change: getAcceptedChange(nextChange) };
 }
--- a/packages/configuration/src/lib/ConfigurationStore/getConflict.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/getConflict.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Shows both sides of an edit race: what the changes that won did to the common base, and what this
- * one would have done.
+ * Describes both sides of a conflict: the differences that the accepted changes made to the common
+ * base, and those that this change would have made.
  */
 export async function getConflict(
   reader: ConfigurationReader,
--- a/packages/configuration/src/lib/Manifest.ts
+++ b/packages/configuration/src/lib/Manifest.ts
@@ -2,11 +2,11 @@
 import type { Milliseconds, Result } from '@apricotrill/utils';
 import { z } from 'zod';
 
-/** Where the accepted manifest lies in the store. */
+/** Store key of the accepted manifest. */
 export const MANIFEST_KEY = 'config/manifest';
-/** Where parts lie, by content hash. */
+/** Store key prefix of parts, followed by the content hash. */
 export const PART_PREFIX = 'config/parts/';
-/** Where earlier manifests lie, by generation. */
+/** Store key prefix of earlier manifests, followed by the generation. */
 export const ARCHIVE_PREFIX = 'config/archive/';
 
 /**
@@ -15,42 +15,42 @@
  * @public
  */
 export interface AcceptedChange {
-  /** One higher than the generation it was made against. */
+  /** One higher than the generation that the change is based on. */
   generation: number;
-  /** The identity given by whoever asked for it; never accepted twice. */
+  /** Chosen by the author of the change; never accepted twice. */
   changeId: string;
   author: string;
-  /** Milliseconds since the epoch, by the clock of whoever applied it. */
+  /** Milliseconds since the epoch, by the clock of the process that applied the change. */
   acceptedAt: Milliseconds;
   /** Hash of the whole configuration after the change. */
   contentHash: string;
 }
 
 /**
- * Names a part: a text of some entries of the configuration.
+ * References a part: a text that contains some entries of the configuration.
  *
  * @public
  */
 export interface PartReference {
   name: string;
-  /** Of the part's text; the text lies in the store under it. */
+  /** Hash of the part's text, under which the text is stored. */
   hash: string;
   /** In bytes of UTF-8. */
   size: number;
 }
 
 /**
- * What makes one generation of the configuration: the change that led to it and its parts.
+ * Describes one generation of the configuration: the change that created it and its parts.
  *
  * @public
  */
 export interface Manifest extends AcceptedChange {
   parts: PartReference[];
-  /** The changes before this one, newest first; as many as fit. */
+  /** The changes before this one, newest first, up to a maximum number. */
   recent: AcceptedChange[];
 }
 
-const change = {
+const acceptedChangeShape = {
   generation: z.int().min(1),
   changeId: z.string().min(1),
   author: z.string(),
@@ -59,15 +59,15 @@
 };
 
 const manifestSchema = z.object({
-  ...change,
+  ...acceptedChangeShape,
   parts: z.array(z.object({ name: z.string(), hash: z.string(), size: z.int().min(0) })),
-  recent: z.array(z.object(change)).default([]),
+  recent: z.array(z.object(acceptedChangeShape)).default([]),
 });
 
 /**
- * Reads a manifest as it lies in the store or came from a peer.
+ * Parses a manifest that was read from the store or received from a peer.
  *
- * @returns the manifest, or what is wrong with the text
+ * @returns the manifest, or why the text is invalid
  * @example
  * ```ts
  * const manifest = parseManifest(object.value);
@@ -84,7 +84,7 @@
 }
 
 /**
- * The change alone that a manifest stands for, without its parts.
+ * The change that a manifest describes, without parts and recent changes.
  *
  * @example
  * ```ts
--- a/packages/configuration/src/lib/diff/getConfigurationDiff.ts
+++ b/packages/configuration/src/lib/diff/getConfigurationDiff.ts
@@ -4,7 +4,7 @@
 import type { Entry } from '../parts/entryLists.js';
 
 /**
- * One key of an entry that differs; `undefined` stands for a key that is absent.
+ * A key of an entry whose value differs; `undefined` means that the key is absent.
  *
  * @public
  */
@@ -23,10 +23,10 @@
   | { kind: 'added'; list: EntryList; name: string; entry: Entry }
   | { kind: 'removed'; list: EntryList; name: string; entry: Entry }
   | { kind: 'changed'; list: EntryList; name: string; fields: FieldChange[] }
-  /** The entries that both have stand in another order, which decides which rule comes first. */
+  /** The common entries are in a different order, which decides which rule applies first. */
   | { kind: 'reordered'; list: EntryList };
 
-/** A configuration without any entry: what stands before the first change. */
+/** A configuration without entries: the base of the first change. */
 export const EMPTY_CONFIGURATION: Configuration = {
   register: { services: [], replicas: [], workspaces: [] },
   rules: { classes: [], classRules: [] },
@@ -39,8 +39,10 @@
     .map((key) => ({ key, from: from[key], to: to[key] }));
 }
 
-function getNames(list: EntryList, entries: readonly Entry[], among: ReadonlySet<string>) {
-  return entries.map((entry) => getEntryName(list, entry)).filter((name) => among.has(name));
+function getNames(list: EntryList, entries: readonly Entry[], includedNames: ReadonlySet<string>) {
+  return entries
+    .map((entry) => getEntryName(list, entry))
+    .filter((name) => includedNames.has(name));
 }
 
 function getListDiff(
@@ -65,16 +67,16 @@
       differences.push({ kind: 'changed', list, name, fields });
     }
   });
-  const both = new Set([...before.keys()].filter((name) => after.has(name)));
-  const hasMoved =
+  const commonNames = new Set([...before.keys()].filter((name) => after.has(name)));
+  const isReordered =
     isOrdered(list) &&
-    getNames(list, from, both).join('\n') !== getNames(list, to, both).join('\n');
-  return hasMoved ? [...differences, { kind: 'reordered', list }] : differences;
+    getNames(list, from, commonNames).join('\n') !== getNames(list, to, commonNames).join('\n');
+  return isReordered ? [...differences, { kind: 'reordered', list }] : differences;
 }
 
 /**
- * What changes from one configuration to another, entry by entry. Empty when they are the same; the
- * order counts only where it decides something.
+ * The differences between two configurations, entry by entry; empty if they are equal. The order of
+ * entries is compared only in lists where it is significant.
  *
  * @example
  * ```ts
--- a/packages/configuration/src/lib/getCanonicalText.ts
+++ b/packages/configuration/src/lib/getCanonicalText.ts
@@ -7,7 +7,7 @@
   );
 }
 
-/** JSON with sorted keys: equal values have equal texts, whoever writes them. */
+/** JSON with sorted keys, so that equal values have equal texts. */
 export function getCanonicalText(value: unknown): string {
   return JSON.stringify(value, sortKeys);
 }
--- a/packages/configuration/src/lib/options.ts
+++ b/packages/configuration/src/lib/options.ts
@@ -1,34 +1,34 @@
-/** Tunables of the accepted configuration. */
+/** Options for reading and applying the accepted configuration. */
 export interface ConfigurationOptions {
-  /** How often an apply starts over after a lost answer or a write that came in between. Default 5. */
+  /** Attempts of one apply, after lost responses or conflicting writes. Default 5. */
   applyAttempts: number;
-  /** How often a read starts over when the parts it needs are gone by then. Default 3. */
+  /** Attempts of one read, when parts were deleted while it was reading. Default 3. */
   readAttempts: number;
-  /** Calls to the store at a time while parts are read or written. Default 8. */
-  concurrentCalls: number;
-  /** With more parts to read than this, one list call takes their place. Default 16. */
-  mostSingleReads: number;
-  /** Generations whose manifests and parts are kept for conflicts and lost answers. Default 200. */
+  /** Concurrent calls to the store while parts are read or written. Default 8. */
+  maxConcurrentCalls: number;
+  /** If more parts than this are to be read, a single list call reads them. Default 16. */
+  maxSingleReads: number;
+  /** Generations whose manifests and parts are retained for conflicts and lost responses. Default 200. */
   archivedGenerations: number;
 }
 
-/** The documented defaults. */
-export const DEFAULT_CONFIGURATION_OPTIONS: ConfigurationOptions = {
+/** The defaults. */
+export const defaultConfigurationOptions: ConfigurationOptions = {
   applyAttempts: 5,
   readAttempts: 3,
-  concurrentCalls: 8,
-  mostSingleReads: 16,
+  maxConcurrentCalls: 8,
+  maxSingleReads: 16,
   archivedGenerations: 200,
 };
 
 /**
- * A part is cut in two above this size. At 6,900 replicas and 3,500 workspaces the manifest and one
- * part together are smallest near here: smaller parts make a longer manifest.
+ * A part above this size is split in two. At 6,900 replicas and 3,500 workspaces the combined size
+ * of the manifest and one part is smallest near this value: smaller parts make the manifest longer.
  */
-export const PART_BYTES = 16384;
+export const MAX_PART_BYTES = 16384;
 
-/** What the store takes as one value, in bytes of UTF-8. */
-export const LARGEST_VALUE_BYTES = 1048576;
+/** The store's limit for one value, in bytes of UTF-8. */
+export const MAX_VALUE_BYTES = 1048576;
 
-/** Changes that a manifest remembers besides its own. */
-export const RECENT_CHANGES = 32;
+/** Earlier changes that a manifest lists. */
+export const MAX_RECENT_CHANGES = 32;
--- a/packages/configuration/src/lib/parts/assembleConfiguration.ts
+++ b/packages/configuration/src/lib/parts/assembleConfiguration.ts
@@ -3,13 +3,18 @@
 import type { Result } from '@apricotrill/utils';
 import { z } from 'zod';
 import type { Manifest, PartReference } from '../Manifest.js';
-import { LARGEST_VALUE_BYTES } from '../options.js';
-import { EntryList, createEntryLists, getConfigurationOf, getSortedEntries } from './entryLists.js';
+import { MAX_VALUE_BYTES } from '../options.js';
+import {
+  EntryList,
+  createEntryLists,
+  getConfigurationFromLists,
+  getSortedEntries,
+} from './entryLists.js';
 import type { Entry } from './entryLists.js';
 import { getContentHash } from './getContentHash.js';
 
 /**
- * Why parts do not make a configuration.
+ * Why parts cannot be assembled into a configuration.
  *
  * @public
  */
@@ -17,14 +22,14 @@
   | { kind: 'missing-parts'; hashes: string[] }
   | { kind: 'broken-part'; name: string; reason: string };
 
-/** A part's content once its text was checked. */
-export interface ReadPart {
+/** The content of a part whose text has been verified. */
+export interface ParsedPart {
   list: EntryList;
   entries: Entry[];
 }
 
-/** Parts that were checked before, by hash: an edit leaves nearly all of them as they are. */
-export type ReadParts = Map<string, ReadPart>;
+/** Parts that were parsed before, by hash: an edit leaves nearly all of them unchanged. */
+export type ParsedParts = Map<string, ParsedPart>;
 
 const partSchema = z.object({
   list: z.enum(EntryList),
@@ -32,15 +37,15 @@
 });
 
 /**
- * A text under the wrong hash would put entries in force that nobody accepted, and differently on
- * each daemon; so every text is held against its hash, whoever brought it.
+ * A text with the wrong hash would activate entries that were never accepted, and different ones on
+ * each daemon. Every text is therefore verified against its hash, whatever its source.
  */
-function readPart(reference: PartReference, text: string): Result<ReadPart, string> {
-  if (Buffer.byteLength(text) > LARGEST_VALUE_BYTES) {
-    return failure('larger than the store takes');
+function parsePart(reference: PartReference, text: string): Result<ParsedPart, string> {
+  if (Buffer.byteLength(text) > MAX_VALUE_BYTES) {
+    return failure('larger than the store allows');
   }
   if (getContentHash(text) !== reference.hash) {
-    return failure('the text does not have the hash that the manifest names');
+    return failure('the hash of the text differs from the manifest');
   }
   try {
     const parsed = partSchema.safeParse(JSON.parse(text));
@@ -50,18 +55,18 @@
   }
 }
 
-/** Hashes of the manifest for which there is neither a text nor a checked part. */
+/** Hashes of the manifest for which there is no text. */
 export function getMissingHashes(manifest: Manifest, texts: ReadonlyMap<string, string>): string[] {
   const hashes = new Set(manifest.parts.map(({ hash }) => hash));
   return [...hashes].filter((hash) => !texts.has(hash));
 }
 
 /**
- * Puts a configuration together from the parts that a manifest names. Every text is held against
- * its hash and the size that the store takes.
+ * Assembles a configuration from the parts that a manifest references. Every text is verified
+ * against its hash and the store's size limit.
  *
- * @param texts - part texts by hash; more than needed is fine
- * @param known - parts checked before, by hash; newly checked ones are added
+ * @param texts - part texts by hash; others than the needed ones are ignored
+ * @param parsedParts - parts parsed before, by hash; newly parsed ones are added
  * @example
  * ```ts
  * const configuration = assembleConfiguration(manifest, texts);
@@ -71,24 +76,26 @@
 export function assembleConfiguration(
   manifest: Manifest,
   texts: ReadonlyMap<string, string>,
-  known: ReadParts = new Map(),
+  parsedParts: ParsedParts = new Map(),
 ): Result<Configuration, AssemblyError> {
-  const missing = getMissingHashes(manifest, texts).filter((hash) => !known.has(hash));
+  const missing = getMissingHashes(manifest, texts).filter((hash) => !parsedParts.has(hash));
   if (missing.length > 0) {
     return failure({ kind: 'missing-parts', hashes: missing });
   }
   const lists = createEntryLists();
   for (const reference of manifest.parts) {
-    const before = known.get(reference.hash);
-    const part = before ? success(before) : readPart(reference, texts.get(reference.hash)!);
+    const alreadyParsed = parsedParts.get(reference.hash);
+    const part = alreadyParsed
+      ? success(alreadyParsed)
+      : parsePart(reference, texts.get(reference.hash)!);
     if (!part.ok) {
       return failure({ kind: 'broken-part', name: reference.name, reason: part.error });
     }
-    known.set(reference.hash, part.value);
+    parsedParts.set(reference.hash, part.value);
     lists[part.value.list].push(...part.value.entries);
   }
   Object.values(EntryList).forEach((list) => {
     lists[list] = getSortedEntries(list, lists[list]);
   });
-  return success(getConfigurationOf(lists));
+  return success(getConfigurationFromLists(lists));
 }
--- a/packages/configuration/src/lib/parts/entryLists.ts
+++ b/packages/configuration/src/lib/parts/entryLists.ts
@@ -9,28 +9,28 @@
   ClassRules = 'classRules',
 }
 
-/** An entry of any list, seen as plain data. */
+/** An entry of any list as plain data. */
 export type Entry = Record<string, unknown>;
 
 /** Entries by list. */
 export type EntryLists = Record<EntryList, Entry[]>;
 
-/** Lists whose order decides something; the others are kept sorted by name. */
+/** Whether the order of the list is significant; other lists are sorted by name. */
 export function isOrdered(list: EntryList): boolean {
   return list === EntryList.Classes || list === EntryList.ClassRules;
 }
 
-/** The conditions of a rule, which tell it from all others. */
+/** The conditions of a rule, which identify it. */
 function getRuleName(rule: ClassRule): string {
   const { class: ignored, service, ...conditions } = rule;
-  const words = Object.entries(conditions)
+  const terms = Object.entries(conditions)
     .filter(([, value]) => value !== undefined)
     .map(([key, value]) => `${key}=${value}`)
     .sort();
-  return [service, ...words].join(' ');
+  return [service, ...terms].join(' ');
 }
 
-/** What tells an entry from the others of its list. */
+/** The name that identifies an entry within its list. */
 export function getEntryName(list: EntryList, entry: Entry): string {
   switch (list) {
     case EntryList.Replicas:
@@ -52,7 +52,7 @@
   return left < right ? -1 : 1;
 }
 
-/** Sorts the entries of a list whose order decides nothing, so that all hold them alike. */
+/** Sorts the entries unless their order is significant, so that the result is the same everywhere. */
 export function getSortedEntries(list: EntryList, entries: readonly Entry[]): Entry[] {
   if (isOrdered(list)) {
     return [...entries];
@@ -62,7 +62,7 @@
   );
 }
 
-/** Takes a configuration apart into its lists. */
+/** Splits a configuration into its lists. */
 export function getEntryLists(configuration: Configuration): EntryLists {
   const { register, rules } = configuration;
   const lists = { ...register, ...rules } as unknown as EntryLists;
@@ -71,8 +71,8 @@
   ) as EntryLists;
 }
 
-/** Puts a configuration together from its lists. */
-export function getConfigurationOf(lists: EntryLists): Configuration {
+/** Assembles a configuration from its lists. */
+export function getConfigurationFromLists(lists: EntryLists): Configuration {
   const { services, replicas, workspaces, classes, classRules } = lists;
   return {
     register: { services, replicas, workspaces },
@@ -80,7 +80,7 @@
   } as unknown as Configuration;
 }
 
-/** Lists without any entry. */
+/** Creates lists without entries. */
 export function createEntryLists(): EntryLists {
   return { services: [], replicas: [], workspaces: [], classes: [], classRules: [] };
 }
--- a/packages/configuration/src/lib/parts/getConfigurationParts.test.ts
+++ b/packages/configuration/src/lib/parts/getConfigurationParts.test.ts
@@ -5,7 +5,7 @@
 import { assembleConfiguration, getConfigurationDiff, getConfigurationParts } from '../../index.js';
 import type { Manifest } from '../../index.js';
 
-const PART_LIMIT = 20000;
+const MAX_PART_TEXT_BYTES = 20000;
 
 function createManifest(configuration: Configuration): Manifest {
   const parts = getConfigurationParts(configuration);
@@ -17,13 +17,13 @@
   return new Map(getConfigurationParts(configuration).map(({ hash, text }) => [hash, text]));
 }
 
-/** Hashes that one has and the other has not, both ways. */
-function countMovedParts(before: Configuration, after: Configuration) {
-  const old = getTexts(before);
-  const fresh = getTexts(after);
+/** Counts the parts that only one of two configurations has. */
+function countChangedParts(before: Configuration, after: Configuration) {
+  const oldTexts = getTexts(before);
+  const newTexts = getTexts(after);
   const count = (from: Map<string, string>, to: Map<string, string>) =>
     [...from.keys()].filter((hash) => !to.has(hash)).length;
-  return { gone: count(old, fresh), added: count(fresh, old) };
+  return { removed: count(oldTexts, newTexts), added: count(newTexts, oldTexts) };
 }
 
 function shuffle<Value>(values: readonly Value[], seed: number): Value[] {
@@ -35,7 +35,7 @@
 }
 
 describe('getConfigurationParts', () => {
-  it('gives parts that make the same configuration again, whatever the order of the register', () => {
+  it('splits a register in any order into the same parts, which assemble to the same configuration', () => {
     fc.assert(
       fc.property(fc.nat(300), fc.nat(200), fc.nat(), (replicas, workspaces, seed) => {
         const configuration = createConfiguration(replicas, workspaces);
@@ -50,36 +50,38 @@
     );
   });
 
-  // Symptom: each edit moves the whole register to every daemon. Sequence: an operator edits one
-  // entry; the cut of all others shifts with it. Cause: cutting by position or by a bucket count.
-  it('moves one part by an edit at full size, and parts stay small', () => {
+  // Each edit sent the whole register to every daemon: parts split by position or by a number of
+  // buckets all shift when one entry is edited.
+  it('changes one part per edit at full size, and keeps parts small', () => {
     const configuration = createConfiguration(6900, 3500);
     const parts = getConfigurationParts(configuration);
-    expect(Math.max(...parts.map(({ size }) => size))).toBeLessThan(PART_LIMIT);
+    expect(Math.max(...parts.map(({ size }) => size))).toBeLessThan(MAX_PART_TEXT_BYTES);
     const edited = setWeight(configuration, 'workspace-7', 3);
-    expect(countMovedParts(configuration, edited)).toEqual({ gone: 1, added: 1 });
+    expect(countChangedParts(configuration, edited)).toEqual({ removed: 1, added: 1 });
     const [, ...fewer] = configuration.register.replicas;
     const removed = { ...configuration, register: { ...configuration.register, replicas: fewer } };
-    expect(countMovedParts(configuration, removed)).toEqual({ gone: 1, added: 1 });
+    expect(countChangedParts(configuration, removed)).toEqual({ removed: 1, added: 1 });
     const [first, ...later] = configuration.rules.classRules;
     const moved = { ...configuration.rules, classRules: [...later, first!] };
-    expect(countMovedParts(configuration, { ...configuration, rules: moved }).gone).toBeLessThan(3);
+    expect(
+      countChangedParts(configuration, { ...configuration, rules: moved }).removed,
+    ).toBeLessThan(3);
   });
 
-  it('moves few parts by each step while the register grows', () => {
+  it('changes few parts per added entry while the register grows', () => {
     for (let size = 50; size < 250; size += 1) {
       const before = createConfiguration(size, 0);
-      const { gone, added } = countMovedParts(before, createConfiguration(size + 1, 0));
-      expect(gone).toBeLessThanOrEqual(1);
+      const { removed, added } = countChangedParts(before, createConfiguration(size + 1, 0));
+      expect(removed).toBeLessThanOrEqual(1);
       expect(added).toBeLessThanOrEqual(2);
     }
   });
 });
 
 describe('assembleConfiguration', () => {
-  // Symptom: daemons route by different rules at the same generation. Sequence: a part's text is
-  // damaged or mixed up on its way; the daemon takes it. Cause: the hash was not looked at.
-  it('refuses a text that does not have the hash of the manifest', () => {
+  // Daemons used different rules at the same generation: a part's text was damaged or confused with
+  // another in transit, and its hash was not verified.
+  it('rejects a text whose hash differs from the manifest', () => {
     const configuration = createConfiguration(3, 3);
     const texts = getTexts(configuration);
     const damaged = [...texts].map(([hash, text]) => [hash, text.replace('16', '17')] as const);
@@ -87,7 +89,7 @@
     expect(assembled).toMatchObject({ ok: false, error: { kind: 'broken-part' } });
   });
 
-  it('names the parts that are missing', () => {
+  it('reports missing parts', () => {
     const configuration = createConfiguration(3, 3);
     const [hash, ...others] = getTexts(configuration).keys();
     const texts = new Map(others.map((other) => [other, getTexts(configuration).get(other)!]));
--- a/packages/configuration/src/lib/parts/getConfigurationParts.ts
+++ b/packages/configuration/src/lib/parts/getConfigurationParts.ts
@@ -2,7 +2,7 @@
 import { getHash } from '@apricotrill/utils';
 import { getCanonicalText } from '../getCanonicalText.js';
 import type { PartReference } from '../Manifest.js';
-import { PART_BYTES } from '../options.js';
+import { MAX_PART_BYTES } from '../options.js';
 import { EntryList, getEntryLists, getEntryName, isOrdered } from './entryLists.js';
 import type { Entry } from './entryLists.js';
 import { getContentHash } from './getContentHash.js';
@@ -16,30 +16,30 @@
   text: string;
 }
 
-/** An entry ready to be put in a part. */
-interface WrittenEntry {
+/** An entry as it is written to a part. */
+interface SerializedEntry {
   hash: number;
   text: string;
   size: number;
 }
 
 const HASH_BITS = 32;
-/** In an ordered list one entry in so many ends its part, whatever stands around it. */
-const ENTRIES_PER_CUT = 64;
+/** On average one in this many entries of an ordered list ends a run, regardless of its neighbours. */
+const MEAN_RUN_LENGTH = 64;
 
-function writeEntry(list: EntryList, entry: Entry): WrittenEntry {
+function serializeEntry(list: EntryList, entry: Entry): SerializedEntry {
   const text = getCanonicalText(entry);
   return { hash: getHash(getEntryName(list, entry)), text, size: Buffer.byteLength(text) };
 }
 
-function getSize(entries: readonly WrittenEntry[]): number {
+function getSize(entries: readonly SerializedEntry[]): number {
   return entries.reduce((sum, { size }) => sum + size, 0);
 }
 
 function createPart(
   list: EntryList,
   label: string | number,
-  entries: readonly WrittenEntry[],
+  entries: readonly SerializedEntry[],
 ): ConfigurationPart {
   const body = entries.map(({ text }) => text).join(',\n');
   const text = `{"list":"${list}","entries":[\n${body}\n]}`;
@@ -48,26 +48,26 @@
 }
 
 /**
- * Buckets by the leading bits of each name's hash; a bucket that grows too large is cut in two by
- * the next bit. A bucket depends on its own entries only, so an edit leaves all others as they are,
- * also when the number of buckets grows.
+ * Splits entries into buckets by the leading bits of the hash of their name; a bucket that grows
+ * too large is split in two by the next bit. A bucket depends only on its own entries, so an edit
+ * leaves all others unchanged, even when the number of buckets grows.
  */
-function cutByName(
+function splitByName(
   list: EntryList,
-  entries: readonly WrittenEntry[],
+  entries: readonly SerializedEntry[],
   prefix = '',
 ): ConfigurationPart[] {
   if (entries.length === 0) {
     return [];
   }
-  const isLeaf = getSize(entries) <= PART_BYTES || prefix.length === HASH_BITS;
+  const isLeaf = getSize(entries) <= MAX_PART_BYTES || prefix.length === HASH_BITS;
   if (isLeaf || entries.length === 1) {
     return [createPart(list, prefix === '' ? 'all' : prefix, entries)];
   }
   // eslint-disable-next-line no-bitwise
-  const getBit = ({ hash }: WrittenEntry) => (hash >>> (HASH_BITS - 1 - prefix.length)) & 1;
+  const getBit = ({ hash }: SerializedEntry) => (hash >>> (HASH_BITS - 1 - prefix.length)) & 1;
   return [0, 1].flatMap((bit) =>
-    cutByName(
+    splitByName(
       list,
       entries.filter((entry) => getBit(entry) === bit),
       `${prefix}${bit}`,
@@ -76,15 +76,15 @@
 }
 
 /**
- * Runs of neighbours: an entry ends its run by its own hash, so an edit leaves the runs before and
- * after it as they are. A run that grows too large is cut as well.
+ * Splits entries into runs of neighbours. Whether an entry ends a run depends on its own hash, so an
+ * edit leaves the runs before and after it unchanged. A run that grows too large is split as well.
  */
-function cutInOrder(list: EntryList, entries: readonly WrittenEntry[]): ConfigurationPart[] {
-  const runs: WrittenEntry[][] = [];
-  let run: WrittenEntry[] = [];
+function splitInOrder(list: EntryList, entries: readonly SerializedEntry[]): ConfigurationPart[] {
+  const runs: SerializedEntry[][] = [];
+  let run: SerializedEntry[] = [];
   entries.forEach((entry) => {
     run.push(entry);
-    if (entry.hash % ENTRIES_PER_CUT === 0 || getSize(run) > PART_BYTES) {
+    if (entry.hash % MEAN_RUN_LENGTH === 0 || getSize(run) > MAX_PART_BYTES) {
       runs.push(run);
       run = [];
     }
@@ -96,8 +96,8 @@
 }
 
 /**
- * Cuts a configuration into parts. The cut follows from the content alone: the same configuration
- * gives the same parts everywhere, and an edit of one entry changes one part (or cuts one in two,
+ * Splits a configuration into parts. The split depends only on the content: the same configuration
+ * gives the same parts everywhere, and an edit of one entry changes one part (or splits one in two,
  * or joins two).
  *
  * @example
@@ -109,12 +109,12 @@
 export function getConfigurationParts(configuration: Configuration): ConfigurationPart[] {
   const lists = getEntryLists(configuration);
   return Object.values(EntryList).flatMap((list) => {
-    const entries = lists[list].map((entry) => writeEntry(list, entry));
-    return isOrdered(list) ? cutInOrder(list, entries) : cutByName(list, entries);
+    const entries = lists[list].map((entry) => serializeEntry(list, entry));
+    return isOrdered(list) ? splitInOrder(list, entries) : splitByName(list, entries);
   });
 }
 
-/** The hash of the whole configuration that the parts make up. */
+/** The hash of the configuration that consists of these parts. */
 export function getPartsHash(parts: readonly PartReference[]): string {
   return getContentHash(parts.map(({ hash }) => hash).join('\n'));
 }
--- a/packages/configuration/src/test/ManifestChainChecker.ts
+++ b/packages/configuration/src/test/ManifestChainChecker.ts
@@ -3,10 +3,10 @@
 import type { Manifest } from '../index.js';
 
 /**
- * Watches the store's content itself, beneath all lost and late messages, and writes down every
- * manifest that was accepted and every moment at which the accepted one could not be read.
+ * Observes the store's content directly, independent of lost and late messages. Records every
+ * accepted manifest and every violation, such as an accepted manifest whose parts are missing.
  */
-export class ChainOracle {
+export class ManifestChainChecker {
   /** Accepted manifests, oldest first. */
   readonly chain: Manifest[] = [];
 
@@ -14,7 +14,7 @@
 
   constructor(private readonly objects: ObjectStore) {}
 
-  /** To be called after each effect on the store. */
+  /** Must be called after each call that reached the store. */
   observe(): void {
     const object = this.objects.get(MANIFEST_KEY);
     if (object === undefined) {
--- a/packages/configuration/src/test/ScheduledStore.ts
+++ b/packages/configuration/src/test/ScheduledStore.ts
@@ -8,32 +8,32 @@
 } from '@apricotrill/store';
 import type { Scheduler } from 'fast-check';
 
-/** What becomes of one call on its way to the store and back. */
-export type CallFate =
+/** What happens to one call between the client and the store. */
+export type CallOutcome =
   | 'answered'
-  /** It never arrives. */
+  /** The call never arrives. */
   | 'not-delivered'
-  /** It takes effect; its answer is lost. */
+  /** The call takes effect, and its response is lost. */
   | 'answer-lost'
-  /** The caller gives up first; it may still take effect much later. */
+  /** The caller times out first; the call may still take effect much later. */
   | 'late'
-  /** It is delivered a second time, any time later. */
+  /** The call is delivered a second time at any later time. */
   | 'duplicated';
 
 /**
- * The platform's store behind a network that the scheduler of a test controls: it decides when each
- * call arrives and when each answer does.
+ * The platform's store behind a simulated network. The scheduler of the test decides when each call
+ * and each response arrives.
  */
 export class ScheduledStore implements PlatformStore {
   /**
-   * @param objects - what the store holds
-   * @param takeFate - asked once for each call
-   * @param onEffect - told right after a call arrived at the store
+   * @param objects - the content of the store
+   * @param getNextOutcome - called once for each call
+   * @param onEffect - called right after a call reached the store
    */
   constructor(
     private readonly objects: ObjectStore,
     private readonly scheduler: Scheduler,
-    private readonly takeFate: () => CallFate,
+    private readonly getNextOutcome: () => CallOutcome,
     private readonly onEffect: () => void,
   ) {}
 
@@ -61,36 +61,36 @@
     return this.call('watch', () => []);
   }
 
-  private async call<Answer>(label: string, run: () => Answer): Promise<Answer> {
-    const arrive = async () => {
+  private async call<Value>(label: string, run: () => Value): Promise<Value> {
+    const deliver = async () => {
       await this.scheduler.schedule(Promise.resolve(), `${label} arrives`);
-      const answer = run();
+      const value = run();
       this.onEffect();
-      return answer;
+      return value;
     };
-    const fate = this.takeFate();
-    if (fate === 'not-delivered') {
-      throw await this.getTimeout(label);
+    const outcome = this.getNextOutcome();
+    if (outcome === 'not-delivered') {
+      throw await this.createTimeoutError(label);
     }
-    if (fate === 'late') {
-      // eslint-disable-next-line no-void -- nobody waits for it; the oracle sees its effect
-      void arrive();
-      throw await this.getTimeout(label);
+    if (outcome === 'late') {
+      // eslint-disable-next-line no-void -- not awaited; its effect is observed by `onEffect`
+      void deliver();
+      throw await this.createTimeoutError(label);
     }
-    const answer = await arrive();
-    if (fate === 'duplicated') {
-      // eslint-disable-next-line no-void -- nobody waits for it; the oracle sees its effect
-      void arrive();
+    const value = await deliver();
+    if (outcome === 'duplicated') {
+      // eslint-disable-next-line no-void -- not awaited; its effect is observed by `onEffect`
+      void deliver();
     }
-    if (fate === 'answer-lost') {
-      throw await this.getTimeout(label);
+    if (outcome === 'answer-lost') {
+      throw await this.createTimeoutError(label);
     }
     await this.scheduler.schedule(Promise.resolve(), `${label} is answered`);
-    return answer;
+    return value;
   }
 
-  private async getTimeout(label: string): Promise<StoreUnavailableError> {
+  private async createTimeoutError(label: string): Promise<StoreUnavailableError> {
     await this.scheduler.schedule(Promise.resolve(), `${label} times out`);
-    return new StoreUnavailableError('no answer', { step: label, peer: 'scheduled store' });
+    return new StoreUnavailableError('no response', { step: label, peer: 'scheduled store' });
   }
 }
--- a/packages/configuration/src/test/createConfiguration.ts
+++ b/packages/configuration/src/test/createConfiguration.ts
@@ -8,7 +8,7 @@
   return { name: `workspace-${index}`, apiKeyHashes: [hash], weight: 1 };
 }
 
-/** A configuration of one service with as many replicas, workspaces and rules as asked for. */
+/** Creates a configuration of one service; each workspace has one class rule. */
 export function createConfiguration(replicas: number, workspaces: number): Configuration {
   const service = {
     name: 'kielimalli',
@@ -53,7 +53,7 @@
   };
 }
 
-/** The configuration with one workspace's weight set: the smallest edit an operator makes. */
+/** Returns the configuration with the weight of one workspace set: the smallest possible edit. */
 export function setWeight(configuration: Configuration, name: string, weight: number) {
   const { register } = configuration;
   const workspaces = register.workspaces.map((workspace) =>
