--- a/packages/store/src/lib/CallCounters.ts
+++ b/packages/store/src/lib/CallCounters.ts
@@ -1,5 +1,5 @@
 /**
- * Calls made at the platform, as its rates count them; a waiting watch is one call.
+ * Calls made to the platform, as counted by its rate limits; a waiting watch is one call.
  *
  * @public
  */
@@ -7,14 +7,14 @@
   /** Reads of objects and of the list of instances. */
   reads: number;
   writes: number;
-  /** Watches begun. */
+  /** Watches started. */
   watches: number;
-  /** Watches open at the moment. */
+  /** Currently open watches. */
   waitingWatches: number;
 }
 
 /**
- * Counters at zero.
+ * Creates counters that are all zero.
  *
  * @internal
  */
--- a/packages/store/src/lib/HttpInstanceList/HttpInstanceList.ts
+++ b/packages/store/src/lib/HttpInstanceList/HttpInstanceList.ts
@@ -17,22 +17,22 @@
 export class HttpInstanceList implements InstanceList {
   private readonly connection: PlatformConnection;
 
-  /** @param setup - the platform's address; every other option has a default */
-  constructor(setup: HttpPlatformSettings) {
-    this.connection = new PlatformConnection(setup);
+  /** @param settings - the platform's address; every other option has a default */
+  constructor(settings: HttpPlatformSettings) {
+    this.connection = new PlatformConnection(settings);
   }
 
-  /** @throws StoreUnavailableError when no whole answer came in time */
+  /** @throws StoreUnavailableError when no complete response arrived in time */
   async getInstances(): Promise<Instance[]> {
     const step = 'list-instances';
-    const answer = await this.connection.call({ step, method: 'GET', path: '/instances' });
-    if (answer.status !== OK) {
-      throw this.connection.createError(step, `unexpected answer ${answer.status}`);
+    const response = await this.connection.request({ step, method: 'GET', path: '/instances' });
+    if (response.status !== OK) {
+      throw this.connection.createError(step, `unexpected status ${response.status}`);
     }
-    return this.connection.parse<{ instances: Instance[] }>(step, answer).instances;
+    return this.connection.parse<{ instances: Instance[] }>(step, response).instances;
   }
 
-  /** Ends every call under way and closes the connections. */
+  /** Aborts every request in flight and closes the connections. */
   async dispose(): Promise<void> {
     await this.connection.dispose();
   }
--- a/packages/store/src/lib/HttpPlatformStore/HttpPlatformStore.ts
+++ b/packages/store/src/lib/HttpPlatformStore/HttpPlatformStore.ts
@@ -4,7 +4,7 @@
 import { checkValueSize } from '../ValueTooLargeError.js';
 import type { HttpPlatformSettings } from './HttpPlatformOptions.js';
 import { PlatformConnection } from './PlatformConnection.js';
-import type { PlatformAnswer } from './PlatformConnection.js';
+import type { PlatformResponse } from './PlatformConnection.js';
 
 const OK = 200;
 const CREATED = 201;
@@ -23,8 +23,8 @@
 }
 
 /**
- * The platform's object store over HTTP. It asks each call once: whoever calls decides whether to
- * ask again, since a write whose answer was lost may have taken effect.
+ * The platform's object store over HTTP. It sends each request once: the caller decides whether to
+ * retry, because a write whose response was lost may have taken effect.
  *
  * @example
  * ```ts
@@ -38,43 +38,43 @@
 
   private readonly counters = createCallCounters();
 
-  /** @param setup - the platform's address; every other option has a default */
-  constructor(setup: HttpPlatformSettings) {
-    this.connection = new PlatformConnection(setup);
+  /** @param settings - the platform's address; every other option has a default */
+  constructor(settings: HttpPlatformSettings) {
+    this.connection = new PlatformConnection(settings);
   }
 
   async get(key: string): Promise<StoredObject | undefined> {
     this.counters.reads += 1;
     const step = 'store-get';
-    const answer = await this.connection.call({ step, method: 'GET', path: getPath(key) });
-    return answer.status === NOT_FOUND ? undefined : this.getObject(step, key, answer);
+    const response = await this.connection.request({ step, method: 'GET', path: getPath(key) });
+    return response.status === NOT_FOUND ? undefined : this.getObject(step, key, response);
   }
 
   async list(prefix: string): Promise<StoredObject[]> {
     this.counters.reads += 1;
     const step = 'store-list';
     const path = `/objects?prefix=${encodeURIComponent(prefix)}`;
-    const answer = await this.connection.call({ step, method: 'GET', path });
-    this.check(step, answer, [OK]);
-    return this.connection.parse<{ objects: StoredObject[] }>(step, answer).objects;
+    const response = await this.connection.request({ step, method: 'GET', path });
+    this.checkStatus(step, response, [OK]);
+    return this.connection.parse<{ objects: StoredObject[] }>(step, response).objects;
   }
 
-  /** @throws ValueTooLargeError when the value is over a megabyte; nothing was sent then */
+  /** @throws ValueTooLargeError when the value is larger than 1 MiB; nothing is sent in this case */
   async put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     checkValueSize(key, value, this.connection.peer);
     this.counters.writes += 1;
     const step = 'store-put';
     const headers = getCondition(expectedVersion);
-    const call = { step, method: 'PUT', path: getPath(key), headers, body: value } as const;
-    return this.getOutcome(step, key, await this.connection.call(call));
+    const request = { step, method: 'PUT', path: getPath(key), headers, body: value } as const;
+    return this.getPutResult(step, key, await this.connection.request(request));
   }
 
   async delete(key: string, expectedVersion: number): Promise<PutResult> {
     this.counters.writes += 1;
     const step = 'store-delete';
     const headers = getCondition(expectedVersion);
-    const call = { step, method: 'DELETE', path: getPath(key), headers } as const;
-    return this.getOutcome(step, key, await this.connection.call(call));
+    const request = { step, method: 'DELETE', path: getPath(key), headers } as const;
+    return this.getPutResult(step, key, await this.connection.request(request));
   }
 
   async watch(prefix: string, afterVersion: number, signal?: AbortSignal): Promise<StoreChange[]> {
@@ -85,55 +85,61 @@
     this.counters.watches += 1;
     this.counters.waitingWatches += 1;
     try {
-      const answer = await this.connection.call({ step, method: 'GET', path, wait, signal });
-      this.check(step, answer, [OK]);
-      return this.connection.parse<{ changes: StoreChange[] }>(step, answer).changes;
+      const response = await this.connection.request({ step, method: 'GET', path, wait, signal });
+      this.checkStatus(step, response, [OK]);
+      return this.connection.parse<{ changes: StoreChange[] }>(step, response).changes;
     } finally {
       this.counters.waitingWatches -= 1;
     }
   }
 
-  /** Calls this client made, and the bytes of their bodies. */
+  /** The calls made by this client and the bytes of their bodies. */
   getCounters(): CallCounters & { bytesSent: number; bytesReceived: number } {
     const { sent, received } = this.connection.getBytes();
     return { ...this.counters, bytesSent: sent, bytesReceived: received };
   }
 
-  /** How often connections were replaced because a call on them got no answer. */
+  /** How often the connections were replaced because a request got no response. */
   getRenewals(): number {
     return this.connection.getRenewals();
   }
 
-  /** Ends every call under way and closes the connections. */
+  /** Aborts every request in flight and closes the connections. */
   async dispose(): Promise<void> {
     await this.connection.dispose();
   }
 
-  private getOutcome(step: string, key: string, answer: PlatformAnswer): PutResult {
-    this.check(step, answer, [OK, CREATED, NO_CONTENT, PRECONDITION_FAILED]);
-    if (answer.status !== PRECONDITION_FAILED) {
-      return { kind: 'accepted', version: this.getVersion(step, answer) };
+  private getPutResult(step: string, key: string, response: PlatformResponse): PutResult {
+    this.checkStatus(step, response, [OK, CREATED, NO_CONTENT, PRECONDITION_FAILED]);
+    if (response.status !== PRECONDITION_FAILED) {
+      return { kind: 'accepted', version: this.getVersion(step, response) };
     }
-    const isAbsent = answer.version === undefined;
-    return { kind: 'conflict', current: isAbsent ? undefined : this.getObject(step, key, answer) };
+    const isAbsent = response.version === undefined;
+    return {
+      kind: 'conflict',
+      current: isAbsent ? undefined : this.getObject(step, key, response),
+    };
   }
 
-  private getObject(step: string, key: string, answer: PlatformAnswer): StoredObject {
-    this.check(step, answer, [OK, PRECONDITION_FAILED]);
-    return { key, value: answer.text, version: this.getVersion(step, answer) };
+  private getObject(step: string, key: string, response: PlatformResponse): StoredObject {
+    this.checkStatus(step, response, [OK, PRECONDITION_FAILED]);
+    return { key, value: response.text, version: this.getVersion(step, response) };
   }
 
-  private getVersion(step: string, answer: PlatformAnswer): number {
-    if (answer.version === undefined) {
-      throw this.connection.createError(step, 'the answer carries no version');
+  private getVersion(step: string, response: PlatformResponse): number {
+    if (response.version === undefined) {
+      throw this.connection.createError(step, 'the response has no version');
     }
-    return answer.version;
+    return response.version;
   }
 
-  /** An answer we do not know may come from something in between: nothing follows from it. */
-  private check(step: string, answer: PlatformAnswer, expected: readonly number[]): void {
-    if (!expected.includes(answer.status)) {
-      throw this.connection.createError(step, `unexpected answer ${answer.status}: ${answer.text}`);
+  /** An unexpected response may come from an intermediary, so it says nothing about the call. */
+  private checkStatus(step: string, response: PlatformResponse, expected: readonly number[]): void {
+    if (!expected.includes(response.status)) {
+      throw this.connection.createError(
+        step,
+        `unexpected status ${response.status}: ${response.text}`,
+      );
     }
   }
 }
--- a/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
+++ b/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
@@ -5,23 +5,23 @@
 import type { HttpPlatformOptions, HttpPlatformSettings } from './HttpPlatformOptions.js';
 import { RenewablePool } from './RenewablePool.js';
 
-/** A call to the platform. */
-export interface PlatformCall {
-  /** Names the call in errors. */
+/** A request to the platform. */
+export interface PlatformRequest {
+  /** The name of the request in errors. */
   step: string;
   method: 'GET' | 'PUT' | 'DELETE';
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** Present when the platform holds the call that long before it answers. */
+  /** How long the platform may hold the request before it responds; absent for most requests. */
   wait?: Milliseconds;
   signal?: AbortSignal;
 }
 
-/** A whole answer. */
-export interface PlatformAnswer {
+/** A complete response. */
+export interface PlatformResponse {
   status: number;
-  /** The version that the answer's ETag names. */
+  /** The version in the response's ETag. */
   version: number | undefined;
   text: string;
 }
@@ -35,44 +35,44 @@
   return digits === undefined ? undefined : Number(digits);
 }
 
-/** Calls the platform over HTTP; each call ends in a whole answer or in an error, and in time. */
+/** Sends requests to the platform; each ends with a complete response or an error in time. */
 export class PlatformConnection {
   readonly options: HttpPlatformOptions;
 
   readonly peer: string;
 
-  private readonly calls: RenewablePool;
+  private readonly requestPool: RenewablePool;
 
-  /** Watches wait long; on the connections of the calls they would keep the calls waiting too. */
-  private readonly watches: RenewablePool;
+  /** A separate pool, because watches occupy a connection for long and would delay requests. */
+  private readonly watchPool: RenewablePool;
 
   private readonly bytes = { sent: 0, received: 0 };
 
-  constructor(setup: HttpPlatformSettings) {
-    this.options = { ...defaultHttpPlatformOptions, ...setup };
+  constructor(settings: HttpPlatformSettings) {
+    this.options = { ...defaultHttpPlatformOptions, ...settings };
     this.peer = new URL(this.options.url).host;
-    this.calls = new RenewablePool(this.options.url, this.options.connections);
-    this.watches = new RenewablePool(this.options.url, null);
+    this.requestPool = new RenewablePool(this.options.url, this.options.connections);
+    this.watchPool = new RenewablePool(this.options.url, null);
   }
 
   /**
-   * @throws StoreUnavailableError when no whole answer came in time, or the platform says that it
-   *   can't serve the call now
+   * @throws StoreUnavailableError when no complete response arrived in time, or the status says
+   *   that the platform cannot serve the request now
    */
-  async call(call: PlatformCall): Promise<PlatformAnswer> {
-    const answer = await this.callWithTimeout(call);
-    if (answer.status >= FIRST_SERVER_ERROR || answer.status === TOO_MANY_REQUESTS) {
-      throw this.createError(call.step, `answered ${answer.status}`);
+  async request(request: PlatformRequest): Promise<PlatformResponse> {
+    const response = await this.requestWithTimeout(request);
+    if (response.status >= FIRST_SERVER_ERROR || response.status === TOO_MANY_REQUESTS) {
+      throw this.createError(request.step, `status ${response.status}`);
     }
-    return answer;
+    return response;
   }
 
-  /** Reads a JSON answer. @throws StoreUnavailableError when it is cut or no JSON */
-  parse<Content>(step: string, answer: PlatformAnswer): Content {
+  /** Parses a JSON response. @throws StoreUnavailableError when it is truncated or not JSON */
+  parse<Content>(step: string, response: PlatformResponse): Content {
     try {
-      return JSON.parse(answer.text) as Content;
+      return JSON.parse(response.text) as Content;
     } catch (cause) {
-      throw this.createError(step, 'the answer is no JSON', cause);
+      throw this.createError(step, 'the response is not valid JSON', cause);
     }
   }
 
@@ -80,9 +80,9 @@
     return new StoreUnavailableError(message, { step, peer: this.peer, cause });
   }
 
-  /** How often connections were replaced because a call on them got no answer. */
+  /** How often the connections were replaced because a request got no response. */
   getRenewals(): number {
-    return this.calls.getRenewals() + this.watches.getRenewals();
+    return this.requestPool.getRenewals() + this.watchPool.getRenewals();
   }
 
   /** Bytes of the bodies sent and received. */
@@ -91,50 +91,54 @@
   }
 
   async dispose(): Promise<void> {
-    await Promise.all([this.calls.dispose(), this.watches.dispose()]);
+    await Promise.all([this.requestPool.dispose(), this.watchPool.dispose()]);
   }
 
-  private async callWithTimeout(call: PlatformCall): Promise<PlatformAnswer> {
-    const abort = new AbortController();
-    const give = () => abort.abort(this.createError(call.step, 'abandoned by the caller'));
-    if (call.signal?.aborted) {
-      give();
+  private async requestWithTimeout(request: PlatformRequest): Promise<PlatformResponse> {
+    const controller = new AbortController();
+    const abort = () => controller.abort(this.createError(request.step, 'aborted by the caller'));
+    if (request.signal?.aborted) {
+      abort();
     }
-    call.signal?.addEventListener('abort', give, { once: true });
-    const pools = call.wait === undefined ? this.calls : this.watches;
-    const pool = pools.getPool();
-    const timer = this.options.clock.setTimer(this.options.timeout + (call.wait ?? 0), () => {
-      pools.renew(pool);
-      abort.abort(this.createError(call.step, 'no answer in time'));
+    request.signal?.addEventListener('abort', abort, { once: true });
+    const renewablePool = request.wait === undefined ? this.requestPool : this.watchPool;
+    const pool = renewablePool.getPool();
+    const timer = this.options.clock.setTimer(this.options.timeout + (request.wait ?? 0), () => {
+      renewablePool.renew(pool);
+      controller.abort(this.createError(request.step, 'no response in time'));
     });
     try {
-      return await this.send(pool, call, abort.signal);
+      return await this.send(pool, request, controller.signal);
     } catch (error) {
-      throw this.getError(call.step, error);
+      throw this.getStoreError(request.step, error);
     } finally {
       timer.cancel();
-      call.signal?.removeEventListener('abort', give);
+      request.signal?.removeEventListener('abort', abort);
     }
   }
 
-  private async send(pool: Pool, call: PlatformCall, signal: AbortSignal): Promise<PlatformAnswer> {
-    const { method, path, headers, body } = call;
+  private async send(
+    pool: Pool,
+    request: PlatformRequest,
+    signal: AbortSignal,
+  ): Promise<PlatformResponse> {
+    const { method, path, headers, body } = request;
     this.bytes.sent += Buffer.byteLength(body ?? '');
-    const request: Dispatcher.RequestOptions = {
+    const options: Dispatcher.RequestOptions = {
       method,
       path,
       headers,
       body: body ?? null,
       signal,
     };
-    const response = await pool.request(request);
+    const response = await pool.request(options);
     const text = await response.body.text();
     this.bytes.received += Buffer.byteLength(text);
     const version = getVersion(response.headers.etag);
     return { status: response.statusCode, version, text };
   }
 
-  private getError(step: string, error: unknown): StoreUnavailableError {
+  private getStoreError(step: string, error: unknown): StoreUnavailableError {
     if (error instanceof StoreUnavailableError) {
       return error;
     }
--- a/packages/store/src/lib/HttpPlatformStore/RenewablePool.ts
+++ b/packages/store/src/lib/HttpPlatformStore/RenewablePool.ts
@@ -1,17 +1,17 @@
 import { Pool } from 'undici';
 
 /**
- * A connection pool that can be replaced. A connection may go silent for good while new ones work,
- * since something between the two ends has lost track of it: one notices that calls time out though
- * the platform is up. The other connections of the pool are as old, so all of them are replaced and
- * the next call opens a new one, instead of each call finding out for itself.
+ * A connection pool that can be replaced. A connection can stay silent forever while new ones work,
+ * because an intermediary has lost its state: requests then time out although the platform is up.
+ * The other connections of the pool are as old and probably affected too, so all are replaced at
+ * once instead of one timeout each.
  */
 export class RenewablePool {
   private pool: Pool;
 
   private renewals = 0;
 
-  /** @param connections - how many at most; null for as many as there are calls */
+  /** @param connections - maximum number of connections; null for no limit */
   constructor(
     private readonly url: string,
     private readonly connections: number | null,
@@ -23,14 +23,14 @@
     return this.pool;
   }
 
-  /** Replaces the pool, unless another call's failure has already done so. */
+  /** Replaces the pool, unless another request's failure has already done so. */
   renew(failed: Pool): void {
     if (failed !== this.pool) {
       return;
     }
     this.pool = this.createPool();
     this.renewals += 1;
-    // Calls under way on the old pool come to their end or to their own timeout.
+    // Requests in flight on the old pool end normally or by their own timeout.
     failed.close().catch(() => {});
   }
 
@@ -43,7 +43,7 @@
   }
 
   private createPool(): Pool {
-    // Every call has its own timer, finer than the second at which undici's timers tick.
+    // Every request has its own timer, because undici's timers have a resolution of one second.
     const timeouts = { headersTimeout: 0, bodyTimeout: 0 };
     return new Pool(this.url, { connections: this.connections, pipelining: 1, ...timeouts });
   }
--- a/packages/store/src/lib/InstanceDirectory/InstanceDirectory.ts
+++ b/packages/store/src/lib/InstanceDirectory/InstanceDirectory.ts
@@ -15,7 +15,7 @@
 export class InstanceDirectory {
   private readonly instances: LaggedValue<readonly Instance[]>;
 
-  /** @param lag - how long the list stays behind the truth, in milliseconds */
+  /** @param lag - how far the list lags behind the actual state, in milliseconds */
   constructor(clock: Clock, lag: Milliseconds = 0) {
     this.instances = new LaggedValue<readonly Instance[]>(clock, lag, []);
   }
@@ -33,7 +33,7 @@
     this.instances.setLag(lag);
   }
 
-  /** The list as the platform shows it now. */
+  /** The list as the platform currently reports it. */
   getInstances(): Instance[] {
     return [...this.instances.get().value];
   }
--- a/packages/store/src/lib/InstanceList.ts
+++ b/packages/store/src/lib/InstanceList.ts
@@ -1,22 +1,22 @@
-/** Where an instance stands in its life, as the platform sees it. */
+/** The lifecycle state of an instance as reported by the platform. */
 export enum InstanceState {
   Live = 'live',
   Leaving = 'leaving',
 }
 
-/** Whose process runs on the instance. */
+/** Which process runs on the instance. */
 export enum InstanceRole {
   Daemon = 'daemon',
   BackendServer = 'backend-server',
 }
 
 /**
- * One entry of the platform's list of instances. The list lags behind the truth.
+ * One entry of the platform's list of instances, which lags behind the actual state.
  *
  * @public
  */
 export interface Instance {
-  /** The daemon's id, or the replica's id as in the register. */
+  /** The id of the daemon, or of the replica in the register. */
   id: string;
   role: InstanceRole;
   state: InstanceState;
@@ -31,6 +31,6 @@
  * @public
  */
 export interface InstanceList {
-  /** @throws StoreUnavailableError when the platform gives no answer */
+  /** @throws StoreUnavailableError when the platform does not respond */
   getInstances(): Promise<Instance[]>;
 }
--- a/packages/store/src/lib/LaggedValue/LaggedValue.test.ts
+++ b/packages/store/src/lib/LaggedValue/LaggedValue.test.ts
@@ -2,7 +2,7 @@
 import { LaggedValue } from './LaggedValue.js';
 
 describe('LaggedValue', () => {
-  it('shows each value after the lag, with the time at which it still held', () => {
+  it('returns each value after the lag, with the latest time at which it was valid', () => {
     const clock = new ManualClock();
     const value = new LaggedValue(clock, 100, 'first');
     clock.advance(50);
@@ -17,7 +17,7 @@
     expect(value.getCurrent()).toBe('third');
   });
 
-  it('follows a lag changed on the way', () => {
+  it('applies a changed lag to values set before', () => {
     const clock = new ManualClock();
     const value = new LaggedValue(clock, 1_000, 1);
     value.set(2);
--- a/packages/store/src/lib/LaggedValue/LaggedValue.ts
+++ b/packages/store/src/lib/LaggedValue/LaggedValue.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
 /**
- * A value and the time it was true.
+ * A value and the time at which it was valid.
  *
  * @public
  */
@@ -11,8 +11,8 @@
 }
 
 /**
- * A value that its readers see only some time after it was set, as with load reports and the
- * platform's list of instances.
+ * A value that readers see only some time after it was set, like a load report or the platform's
+ * list of instances.
  *
  * @example
  * ```ts
@@ -28,9 +28,8 @@
   private lag: Milliseconds;
 
   /**
-   * @param clock - where time comes from
    * @param lag - how long a new value stays hidden, in milliseconds
-   * @param initial - what readers see until the first value set becomes visible
+   * @param initial - what readers see until the first value that is set becomes visible
    */
   constructor(
     private readonly clock: Clock,
@@ -42,33 +41,36 @@
   }
 
   set(value: Value): void {
-    this.forgetOldReadings();
+    this.removeExpiredReadings();
     this.readings.push({ value, measuredAt: this.clock.now() });
   }
 
   setLag(lag: Milliseconds): void {
-    this.forgetOldReadings();
+    this.removeExpiredReadings();
     this.lag = lag;
   }
 
-  /** The newest value that is at least `lag` old, with the time at which it still held. */
+  /** The newest value that is at least `lag` old, with the latest time at which it was valid. */
   get(): TimestampedValue<Value> {
-    this.forgetOldReadings();
+    this.removeExpiredReadings();
     const { value, measuredAt } = this.readings[0]!;
     return { value, measuredAt: Math.max(measuredAt, this.clock.now() - this.lag) };
   }
 
-  /** The value as it is now, for whoever set it. */
+  /** The current value without the lag, for the code that sets it. */
   getCurrent(): Value {
     return this.readings[this.readings.length - 1]!.value;
   }
 
-  private forgetOldReadings(): void {
+  private removeExpiredReadings(): void {
     const visibleFrom = this.clock.now() - this.lag;
-    let hidden = 1;
-    while (hidden < this.readings.length && this.readings[hidden]!.measuredAt <= visibleFrom) {
-      hidden += 1;
+    let firstHiddenIndex = 1;
+    while (
+      firstHiddenIndex < this.readings.length &&
+      this.readings[firstHiddenIndex]!.measuredAt <= visibleFrom
+    ) {
+      firstHiddenIndex += 1;
     }
-    this.readings.splice(0, hidden - 1);
+    this.readings.splice(0, firstHiddenIndex - 1);
   }
 }
--- a/packages/store/src/lib/MemoryInstanceList.ts
+++ b/packages/store/src/lib/MemoryInstanceList.ts
@@ -3,7 +3,7 @@
 import { StoreUnavailableError } from './PlatformStore.js';
 
 /**
- * One client's view of a list of instances in this process.
+ * One client's view of an in-process list of instances.
  *
  * @example
  * ```ts
@@ -16,7 +16,7 @@
 
   constructor(readonly directory: InstanceDirectory) {}
 
-  /** Whether calls of this client fail. */
+  /** Makes the calls of this client fail, or succeed again. */
   setDown(down: boolean): void {
     this.down = down;
   }
--- a/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.test.ts
+++ b/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.test.ts
@@ -3,14 +3,14 @@
 import { MAX_VALUE_BYTES, ValueTooLargeError } from '../ValueTooLargeError.js';
 import { MemoryPlatformStore } from './MemoryPlatformStore.js';
 
-function setUp() {
+function createStores() {
   const clock = new ManualClock();
   const store = new MemoryPlatformStore({ clock, timeout: 100, watchWait: 1_000 });
   const other = new MemoryPlatformStore({ clock, objects: store.objects });
   return { clock, store, other };
 }
 
-/** Keeps a failed call's error for later, so that it is not unhandled meanwhile. */
+/** Catches the error of a call that fails later, so that it is not an unhandled rejection. */
 async function getError(call: Promise<unknown>): Promise<unknown> {
   return call.then(
     () => undefined,
@@ -19,11 +19,10 @@
 }
 
 describe('MemoryPlatformStore', () => {
+  // A configuration reverted long after a newer one was accepted: a write was delayed, its writer
+  // timed out, another client wrote, and then the first write arrived and took effect regardless.
   it('does not let a late write undo a newer one', async () => {
-    // Symptom: a configuration reverts long after a newer one was accepted. Events: a write hangs
-    // on its way, the writer gives up, another writes, the first write arrives. Cause: a write that
-    // takes effect whatever has been written since.
-    const { clock, store, other } = setUp();
+    const { clock, store, other } = createStores();
     store.applyFault({ kind: 'late-writes', count: 1, delayMs: 5_000 });
     await expect(store.put('a', 'old', 0)).rejects.toThrow(StoreUnavailableError);
     expect(await store.get('a')).toBeUndefined();
@@ -32,8 +31,8 @@
     expect(await store.get('a')).toEqual({ key: 'a', value: 'new', version: 1 });
   });
 
-  it('lets a late write take effect that nothing newer stands against', async () => {
-    const { clock, store } = setUp();
+  it('lets a late write take effect if nothing newer was written', async () => {
+    const { clock, store } = createStores();
     store.applyFault({ kind: 'late-writes', count: 1, delayMs: 5_000, keyPrefix: 'a' });
     await store.put('b', '1', 0);
     await expect(store.put('a', 'late', 0)).rejects.toThrow(StoreUnavailableError);
@@ -41,8 +40,8 @@
     expect(await store.get('a')).toEqual({ key: 'a', value: 'late', version: 2 });
   });
 
-  it('answers late when slow, and not at all beyond the timeout', async () => {
-    const { clock, store } = setUp();
+  it('responds late when slow, and fails beyond the timeout', async () => {
+    const { clock, store } = createStores();
     store.applyFault({ kind: 'slow', delayMs: 100 });
     const inTime = store.put('a', '1', 0);
     clock.advance(100);
@@ -54,8 +53,8 @@
     expect(store.objects.get('a')).toMatchObject({ value: '2', version: 2 });
   });
 
-  it('strikes one client and not the other', async () => {
-    const { store, other } = setUp();
+  it('injects a fault into one client only', async () => {
+    const { store, other } = createStores();
     const watch = getError(store.watch('', 0));
     store.applyFault({ kind: 'down' });
     expect(await watch).toBeInstanceOf(StoreUnavailableError);
@@ -64,8 +63,8 @@
     expect(store.getCounters()).toEqual({ reads: 0, writes: 0, watches: 1, waitingWatches: 0 });
   });
 
-  it('ends a watch by a change, by its time, by silence and by its caller', async () => {
-    const { clock, store, other } = setUp();
+  it('ends a watch on a change, at its end, on timeout and when its caller aborts', async () => {
+    const { clock, store, other } = createStores();
     const changed = store.watch('a', 0);
     const unchanged = store.watch('b', 0);
     await other.put('a', '1', 0);
@@ -77,18 +76,18 @@
     clock.advance(1_100);
     expect(await silent).toBeInstanceOf(StoreUnavailableError);
     const abort = new AbortController();
-    const abandoned = getError(store.watch('b', 0, abort.signal));
+    const aborted = getError(store.watch('b', 0, abort.signal));
     abort.abort();
-    expect(await abandoned).toBeInstanceOf(StoreUnavailableError);
+    expect(await aborted).toBeInstanceOf(StoreUnavailableError);
     expect(await getError(store.watch('b', 0, abort.signal))).toBeInstanceOf(StoreUnavailableError);
   });
 
-  it('refuses a value over a megabyte and writes nothing', async () => {
-    const { store } = setUp();
+  it('rejects a value larger than 1 MiB and writes nothing', async () => {
+    const { store } = createStores();
     const value = 'x'.repeat(MAX_VALUE_BYTES + 1);
     const error = await getError(store.put('a', value, 0));
     expect(error).toBeInstanceOf(ValueTooLargeError);
-    expect(String(error)).toMatch(/the value of a has 1048577 bytes, the store takes 1048576/);
+    expect(String(error)).toMatch(/the value of a has 1048577 bytes; the store's limit is 1048576/);
     expect(store.getCounters().writes).toBe(0);
   });
 });
--- a/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.ts
+++ b/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.ts
@@ -10,20 +10,20 @@
 import { OpenCalls } from './OpenCalls.js';
 
 /**
- * How the store in memory behaves.
+ * How the in-memory store behaves.
  *
  * @public
  */
 export interface MemoryPlatformOptions {
-  /** How long every answer takes, in milliseconds; 0 answers without a timer. */
+  /** How long every response takes, in milliseconds; 0 responds without a timer. */
   latency: Milliseconds;
-  /** A call without its answer by then has failed, in milliseconds. */
+  /** Timeout for the response to a call, in milliseconds. */
   timeout: Milliseconds;
-  /** How long a watch is held, in milliseconds. */
+  /** How long a watch is held before it responds, in milliseconds. */
   watchWait: Milliseconds;
 }
 
-/** The defaults: answers at once, two seconds of patience, watches of twenty seconds. */
+/** The defaults: immediate responses, and the timeouts of `defaultHttpPlatformOptions`. */
 export const defaultMemoryPlatformOptions: MemoryPlatformOptions = {
   latency: 0,
   timeout: 2_000,
@@ -31,13 +31,13 @@
 };
 
 /**
- * What a store in memory runs on.
+ * Constructor arguments of the in-memory store.
  *
  * @public
  */
 export interface MemoryPlatformSettings extends Partial<MemoryPlatformOptions> {
   clock: Clock;
-  /** Objects shared with other clients; its own when absent. */
+  /** Objects shared with other clients; a new store when absent. */
   objects?: ObjectStore;
 }
 
@@ -48,14 +48,14 @@
 }
 
 /**
- * The platform's store in this process, on a clock, with the faults a real one has. Each instance
- * is one client's view: several may share their objects, and a fault strikes one client only.
+ * An in-process platform store that runs on a clock and can inject the faults of a real one. Each
+ * instance is one client's view: several may share their objects, and a fault affects one client.
  *
  * @example
  * ```ts
  * const store = new MemoryPlatformStore({ clock });
  * store.applyFault({ kind: 'lose-answers', count: 1 });
- * await store.put('a', '1', 0); // throws, though the write took effect
+ * await store.put('a', '1', 0); // throws although the write took effect
  * ```
  * @public
  */
@@ -79,7 +79,7 @@
     this.openCalls = new OpenCalls(clock);
   }
 
-  /** Shows a fault to this client, or ends one. */
+  /** Starts or ends a fault for this client. */
   applyFault(fault: StoreFault): void {
     this.faults.apply(fault);
     if (fault.kind === 'down') {
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Calls this client made that reached the platform. */
+  /** The calls of this client that reached the platform. */
   getCounters(): CallCounters {
     return { ...this.counters };
   }
@@ -111,53 +111,53 @@
 
   async watch(prefix: string, afterVersion: number, signal?: AbortSignal): Promise<StoreChange[]> {
     const step = 'store-watch';
-    this.checkUp(step);
+    this.checkAvailable(step);
     this.counters.watches += 1;
     this.counters.waitingWatches += 1;
     try {
       const changes = await this.waitForChanges(prefix, afterVersion, signal);
-      await this.delayAnswer(step);
+      await this.delayResponse(step);
       return changes;
     } finally {
       this.counters.waitingWatches -= 1;
     }
   }
 
-  private async read<Answer>(step: string, getAnswer: () => Answer): Promise<Answer> {
-    this.checkUp(step);
+  private async read<Value>(step: string, getResult: () => Value): Promise<Value> {
+    this.checkAvailable(step);
     this.counters.reads += 1;
-    const answer = getAnswer();
-    await this.delayAnswer(step);
-    return answer;
+    const result = getResult();
+    await this.delayResponse(step);
+    return result;
   }
 
-  private async write(step: string, key: string, effect: () => PutResult): Promise<PutResult> {
-    this.checkUp(step);
+  private async write(step: string, key: string, applyWrite: () => PutResult): Promise<PutResult> {
+    this.checkAvailable(step);
     this.counters.writes += 1;
-    const fate = this.faults.consumeWriteOutcome(key);
-    if (fate.kind === 'late') {
-      this.clock.setTimer(fate.delayMs, effect);
-      throw createError(step, 'the answer was lost');
+    const outcome = this.faults.consumeWriteOutcome(key);
+    if (outcome.kind === 'late') {
+      this.clock.setTimer(outcome.delayMs, applyWrite);
+      throw createError(step, 'the response was lost');
     }
-    const outcome = effect();
-    if (fate.kind === 'answer-lost') {
-      throw createError(step, 'the answer was lost');
+    const result = applyWrite();
+    if (outcome.kind === 'answer-lost') {
+      throw createError(step, 'the response was lost');
     }
-    await this.delayAnswer(step);
-    return outcome;
+    await this.delayResponse(step);
+    return result;
   }
 
-  private checkUp(step: string): void {
+  private checkAvailable(step: string): void {
     if (this.faults.isDown()) {
       throw createError(step, 'the platform is down');
     }
   }
 
-  private async delayAnswer(step: string): Promise<void> {
+  private async delayResponse(step: string): Promise<void> {
     const delay = this.options.latency + this.faults.getDelay();
     await this.openCalls.wait(Math.min(delay, this.options.timeout));
     if (delay > this.options.timeout) {
-      throw createError(step, 'no answer in time');
+      throw createError(step, 'no response in time');
     }
   }
 
@@ -169,21 +169,21 @@
     const { timeout, watchWait } = this.options;
     return this.openCalls.open((resolve, reject) => {
       const fail = (message: string) => reject(createError('store-watch', message));
-      const silence = this.clock.setTimer(watchWait + timeout, () => fail('no answer in time'));
-      const abandon = () => fail('abandoned by the caller');
-      signal?.addEventListener('abort', abandon, { once: true });
+      const timer = this.clock.setTimer(watchWait + timeout, () => fail('no response in time'));
+      const abort = () => fail('aborted by the caller');
+      signal?.addEventListener('abort', abort, { once: true });
       if (signal?.aborted) {
-        abandon();
+        abort();
       }
-      const callOff = this.objects.watch(prefix, afterVersion, watchWait, (changes) => {
+      const cancelWatch = this.objects.watch(prefix, afterVersion, watchWait, (changes) => {
         if (!this.faults.hasSilentWatches()) {
           resolve(changes);
         }
       });
       return () => {
-        silence.cancel();
-        callOff();
-        signal?.removeEventListener('abort', abandon);
+        timer.cancel();
+        cancelWatch();
+        signal?.removeEventListener('abort', abort);
       };
     });
   }
--- a/packages/store/src/lib/MemoryPlatformStore/OpenCalls.ts
+++ b/packages/store/src/lib/MemoryPlatformStore/OpenCalls.ts
@@ -1,45 +1,46 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
-/** Calls that wait for their answer, so that an outage can end all of them. */
+/** Tracks the calls in flight, so that an outage can fail all of them. */
 export class OpenCalls {
-  private readonly failures = new Set<(error: Error) => void>();
+  private readonly rejectCallbacks = new Set<(error: Error) => void>();
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Waits for an answer.
+   * Waits for the response to a call.
    *
-   * @param begin - starts the call; gets the two ways it can end, returns what calls it off
+   * @param start - starts the call; receives the two functions that end it, and returns one that
+   *   cancels it
    */
-  async open<Answer>(
-    begin: (resolve: (answer: Answer) => void, reject: (error: Error) => void) => () => void,
-  ): Promise<Answer> {
+  async open<Value>(
+    start: (resolve: (response: Value) => void, reject: (error: Error) => void) => () => void,
+  ): Promise<Value> {
     let fail: (error: Error) => void = () => {};
-    let callOff = () => {};
-    const answer = new Promise<Answer>((resolve, reject) => {
+    let cancel = () => {};
+    const response = new Promise<Value>((resolve, reject) => {
       fail = reject;
-      callOff = begin(resolve, reject);
+      cancel = start(resolve, reject);
     });
-    this.failures.add(fail);
+    this.rejectCallbacks.add(fail);
     try {
-      return await answer;
+      return await response;
     } finally {
-      this.failures.delete(fail);
-      callOff();
+      this.rejectCallbacks.delete(fail);
+      cancel();
     }
   }
 
-  /** Waits for a span, unless an outage ends it. */
-  async wait(span: Milliseconds): Promise<void> {
-    if (span > 0) {
+  /** Waits for the duration, unless an outage ends the wait. */
+  async wait(duration: Milliseconds): Promise<void> {
+    if (duration > 0) {
       await this.open<void>((resolve) => {
-        const timer = this.clock.setTimer(span, resolve);
+        const timer = this.clock.setTimer(duration, resolve);
         return () => timer.cancel();
       });
     }
   }
 
   failAll(error: Error): void {
-    this.failures.forEach((fail) => fail(error));
+    this.rejectCallbacks.forEach((fail) => fail(error));
   }
 }
--- a/packages/store/src/lib/ObjectStore/ObjectStore.ts
+++ b/packages/store/src/lib/ObjectStore/ObjectStore.ts
@@ -1,10 +1,10 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { PutResult, StoreChange, StoredObject } from '../PlatformStore.js';
 
-interface Waiter {
+interface PendingWatch {
   prefix: string;
   afterVersion: number;
-  finish: (changes: StoreChange[]) => void;
+  resolve: (changes: StoreChange[]) => void;
 }
 
 function isStored(change: StoreChange): change is StoreChange & { value: string } {
@@ -13,8 +13,8 @@
 
 /**
  * The platform's objects in memory, with one version counter for all writes, conditional updates
- * and waiting watches. Deleted objects stay behind as changes without a value, so that a watch
- * that was away still learns of them.
+ * and waiting watches. A deleted object remains as a change without a value, so that a watch that
+ * is started later still reports the deletion.
  *
  * @example
  * ```ts
@@ -28,7 +28,7 @@
 
   private readonly changes = new Map<string, StoreChange>();
 
-  private readonly waiters = new Set<Waiter>();
+  private readonly pendingWatches = new Set<PendingWatch>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -37,7 +37,7 @@
     return change !== undefined && isStored(change) ? { ...change } : undefined;
   }
 
-  /** The objects whose key starts with the prefix, by key. */
+  /** The objects whose key starts with the prefix, sorted by key. */
   list(prefix: string): StoredObject[] {
     return [...this.changes.values()]
       .filter(isStored)
@@ -58,7 +58,7 @@
     return this.change(key, undefined, expectedVersion);
   }
 
-  /** The last change of each object under the prefix after a version, oldest first. */
+  /** The latest change of each object under the prefix after a version, oldest first. */
   getChanges(prefix: string, afterVersion: number): StoreChange[] {
     if (afterVersion >= this.lastVersion) {
       return [];
@@ -69,42 +69,42 @@
   }
 
   /**
-   * Calls back once: as soon as there are changes after the version, or with none when `wait` is
-   * over.
+   * Calls back once: as soon as there are changes after the version, or with an empty list after
+   * `duration`.
    *
-   * @returns a function that calls the watch off without an answer
+   * @returns a function that cancels the watch without calling back
    */
   watch(
     prefix: string,
     afterVersion: number,
-    wait: Milliseconds,
-    onAnswer: (changes: StoreChange[]) => void,
+    duration: Milliseconds,
+    callback: (changes: StoreChange[]) => void,
   ): () => void {
     const changes = this.getChanges(prefix, afterVersion);
     if (changes.length > 0) {
-      onAnswer(changes);
+      callback(changes);
       return () => {};
     }
-    return this.wait({ prefix, afterVersion }, wait, onAnswer);
+    return this.waitForChange({ prefix, afterVersion }, duration, callback);
   }
 
-  private wait(
-    awaited: Omit<Waiter, 'finish'>,
-    span: Milliseconds,
-    onAnswer: (changes: StoreChange[]) => void,
+  private waitForChange(
+    watch: Omit<PendingWatch, 'resolve'>,
+    duration: Milliseconds,
+    callback: (changes: StoreChange[]) => void,
   ): () => void {
-    const waiter: Waiter = { ...awaited, finish: () => {} };
-    const timer = this.clock.setTimer(span, () => waiter.finish([]));
-    const callOff = () => {
+    const pendingWatch: PendingWatch = { ...watch, resolve: () => {} };
+    const timer = this.clock.setTimer(duration, () => pendingWatch.resolve([]));
+    const cancel = () => {
       timer.cancel();
-      this.waiters.delete(waiter);
+      this.pendingWatches.delete(pendingWatch);
     };
-    waiter.finish = (changes) => {
-      callOff();
-      onAnswer(changes);
+    pendingWatch.resolve = (changes) => {
+      cancel();
+      callback(changes);
     };
-    this.waiters.add(waiter);
-    return callOff;
+    this.pendingWatches.add(pendingWatch);
+    return cancel;
   }
 
   private change(key: string, value: string | undefined, expectedVersion: number): PutResult {
@@ -115,14 +115,14 @@
     this.lastVersion += 1;
     const change = { key, value, version: this.lastVersion };
     this.changes.set(key, change);
-    this.wake(change);
+    this.notifyWatches(change);
     return { kind: 'accepted', version: change.version };
   }
 
-  private wake(change: StoreChange): void {
-    [...this.waiters]
-      .filter((waiter) => change.key.startsWith(waiter.prefix))
-      .filter((waiter) => change.version > waiter.afterVersion)
-      .forEach((waiter) => waiter.finish([change]));
+  private notifyWatches(change: StoreChange): void {
+    [...this.pendingWatches]
+      .filter((pendingWatch) => change.key.startsWith(pendingWatch.prefix))
+      .filter((pendingWatch) => change.version > pendingWatch.afterVersion)
+      .forEach((pendingWatch) => pendingWatch.resolve([change]));
   }
 }
--- a/packages/store/src/lib/PlatformStore.ts
+++ b/packages/store/src/lib/PlatformStore.ts
@@ -1,21 +1,21 @@
 import { StepError } from '@apricotrill/utils';
 
 /**
- * An object as the platform's store holds it.
+ * An object in the platform's store.
  *
  * @public
  */
 export interface StoredObject {
   key: string;
-  /** JSON text of at most a megabyte. */
+  /** JSON text of at most 1 MiB. */
   value: string;
-  /** Grows with every accepted write to any object; never reused. */
+  /** Increases with every accepted write to any object; never reused. */
   version: number;
 }
 
 /**
- * What a conditional write ended in. A write whose answer was lost throws
- * {@link StoreUnavailableError} instead: the caller reads back to learn whether it took effect.
+ * The result of a conditional write. A write whose response was lost throws
+ * {@link StoreUnavailableError} instead: the caller reads back to find out whether it took effect.
  *
  * @public
  */
@@ -23,7 +23,7 @@
   { kind: 'accepted'; version: number } | { kind: 'conflict'; current: StoredObject | undefined };
 
 /**
- * A change seen by a watch. `value` is absent when the object was deleted.
+ * A change reported by a watch. `value` is undefined if the object was deleted.
  *
  * @public
  */
@@ -34,8 +34,8 @@
 }
 
 /**
- * The platform's object store: versions, conditional updates, watches. It has outages, and a write
- * can take effect while the answer confirming it is lost.
+ * The platform's object store with versions, conditional updates and watches. It has outages, and a
+ * write can take effect although its response is lost.
  *
  * @public
  */
@@ -47,14 +47,14 @@
   /**
    * Writes if the object is still at `expectedVersion` (0: it must not exist).
    *
-   * @throws StoreUnavailableError when no answer came: the write may or may not have taken effect
+   * @throws StoreUnavailableError without a response: the write may or may not have taken effect
    */
   put(key: string, value: string, expectedVersion: number): Promise<PutResult>;
-  /** Deletes if still at `expectedVersion`. @throws StoreUnavailableError */
+  /** Deletes if the object is still at `expectedVersion`. @throws StoreUnavailableError */
   delete(key: string, expectedVersion: number): Promise<PutResult>;
   /**
-   * Waits (one waiting call) for changes under the prefix after a version; resolves with an empty
-   * list when the platform's waiting time ends.
+   * Waits in one long-polling call for changes under the prefix after a version; resolves with an
+   * empty list when the platform's maximum wait has passed.
    *
    * @throws StoreUnavailableError
    */
@@ -62,7 +62,7 @@
 }
 
 /**
- * The store gave no answer: down, slow beyond the timeout, or the answer was lost.
+ * The store did not respond: it is down, slower than the timeout, or the response was lost.
  *
  * @public
  */
--- a/packages/store/src/lib/StoreFaultInjector/StoreFaultInjector.ts
+++ b/packages/store/src/lib/StoreFaultInjector/StoreFaultInjector.ts
@@ -2,45 +2,46 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * A way for the platform to fail, as tests ask for it.
+ * A fault of the platform that tests can inject.
  *
  * @public
  */
 export type StoreFault =
-  /** Every call fails at once, waiting watches too. */
+  /** Every call fails immediately, including waiting watches. */
   | { kind: 'down' }
-  /** Ends `down`, `slow` and `silent-watches`, and forgets answers still to be lost. */
+  /** Ends `down`, `slow` and `silent-watches`, and clears pending write faults. */
   | { kind: 'up' }
-  /** Every answer comes this much later; writes take effect on arrival. */
+  /** Every response is delayed; writes still take effect on arrival. */
   | { kind: 'slow'; delayMs: Milliseconds }
-  /** The next writes under the prefix take effect, and their answers are lost. */
+  /** The next writes under the prefix take effect, but their responses are lost. */
   | { kind: 'lose-answers'; count: number; keyPrefix?: string }
-  /** The next writes under the prefix are answered by nothing and take effect only later. */
+  /** The next writes under the prefix get no response and take effect only later. */
   | { kind: 'late-writes'; count: number; delayMs: Milliseconds; keyPrefix?: string }
-  /** Watches are taken and never answered. */
+  /** Watches are accepted and never get a response. */
   | { kind: 'silent-watches' }
-  /** Connections open now go silent for good; new ones work. Over HTTP only. */
+  /** Connections that are open now stay silent forever; new ones work. Over HTTP only. */
   | { kind: 'silence-connections' }
-  /** How long the list of instances stays behind the truth. */
+  /** Sets how far the list of instances lags behind the actual state. */
   | { kind: 'list-lag'; lagMs: Milliseconds };
 
-/** What is to become of one write. */
+/** What happens to one write. */
 export type WriteOutcome =
   { kind: 'answered' } | { kind: 'answer-lost' } | { kind: 'late'; delayMs: Milliseconds };
 
 interface PendingWriteFault {
-  left: number;
+  remaining: number;
   keyPrefix: string;
-  fate: WriteOutcome;
+  outcome: WriteOutcome;
 }
 
 /**
- * Which faults the platform shows at the moment. Keeps state only; whoever serves calls asks it.
+ * The currently injected faults of the platform. Keeps state only; the store that serves the calls
+ * queries it.
  *
  * @example
  * ```ts
  * faults.apply({ kind: 'lose-answers', count: 1, keyPrefix: 'config/' });
- * faults.takeWriteFate('config/manifest'); // { kind: 'answer-lost' }
+ * faults.consumeWriteOutcome('config/manifest'); // { kind: 'answer-lost' }
  * ```
  * @public
  */
@@ -51,7 +52,7 @@
 
   private delay: Milliseconds = 0;
 
-  private pending: PendingWriteFault[] = [];
+  private pendingWriteFaults: PendingWriteFault[] = [];
 
   apply(fault: StoreFault): void {
     switch (fault.kind) {
@@ -75,7 +76,7 @@
         break;
       case 'silence-connections':
       case 'list-lag':
-        // Carried out by whoever holds the connections, or the list.
+        // Handled by the owner of the connections or of the list.
         break;
       default:
         throw exhaustiveSwitchError(fault);
@@ -90,29 +91,35 @@
     return this.silentWatches;
   }
 
-  /** How much later each answer comes. */
+  /** The additional delay of each response. */
   getDelay(): Milliseconds {
     return this.delay;
   }
 
-  /** Decides on a write to the key; uses up one of the faults asked for. */
+  /** The outcome of a write to the key; consumes one pending fault that matches. */
   consumeWriteOutcome(key: string): WriteOutcome {
-    const fault = this.pending.find(({ left, keyPrefix }) => left > 0 && key.startsWith(keyPrefix));
+    const fault = this.pendingWriteFaults.find(
+      ({ remaining, keyPrefix }) => remaining > 0 && key.startsWith(keyPrefix),
+    );
     if (fault === undefined) {
       return { kind: 'answered' };
     }
-    fault.left -= 1;
-    return fault.fate;
+    fault.remaining -= 1;
+    return fault.outcome;
   }
 
   private reset(): void {
     this.down = false;
     this.silentWatches = false;
     this.delay = 0;
-    this.pending = [];
+    this.pendingWriteFaults = [];
   }
 
-  private addWriteFault(fault: { count: number; keyPrefix?: string }, fate: WriteOutcome): void {
-    this.pending.push({ left: fault.count, keyPrefix: fault.keyPrefix ?? '', fate });
+  private addWriteFault(fault: { count: number; keyPrefix?: string }, outcome: WriteOutcome): void {
+    this.pendingWriteFaults.push({
+      remaining: fault.count,
+      keyPrefix: fault.keyPrefix ?? '',
+      outcome,
+    });
   }
 }
