--- a/packages/mesh/src/lib/ChannelPool/ChannelPool.ts
+++ b/packages/mesh/src/lib/ChannelPool/ChannelPool.ts
@@ -7,9 +7,9 @@
 import { PooledChannel } from './PooledChannel.js';
 
 /**
- * Settings that keep gRPC from doing anything but talk to this one IP number: no proxy from the
- * environment, no service configuration, no retries behind the caller's back, and a connection of
- * its own, so that closing the channel closes the connection whoever else calls the peer.
+ * Makes gRPC connect only to this one IP address: no proxy from the environment, no service
+ * configuration, no automatic retries. The channel does not share its connection with others, so
+ * that closing the channel also closes the connection.
  */
 function getChannelOptions(options: MeshOptions): ChannelOptions {
   return {
@@ -21,19 +21,19 @@
     'grpc.keepalive_time_ms': options.keepaliveInterval,
     'grpc.keepalive_timeout_ms': options.keepaliveTimeout,
     'grpc.keepalive_permit_without_calls': 0,
-    'grpc.max_send_message_length': options.messageBytes,
-    'grpc.max_receive_message_length': options.messageBytes,
+    'grpc.max_send_message_length': options.maxMessageBytes,
+    'grpc.max_receive_message_length': options.maxMessageBytes,
   };
 }
 
 /**
- * Keeps a bounded number of channels open, one for each peer. 1,800 peers exist and each channel
- * costs a socket and memory at both ends, so the least recently used one makes room.
+ * Keeps a limited number of channels open, one for each peer. There are 1,800 peers, and each
+ * channel costs a socket and memory at both ends, so the least recently used one is closed.
  *
  * @internal
  */
 export class ChannelPool {
-  /** In order of last use, oldest first. */
+  /** By peer address, in order of last use, least recent first. */
   private readonly channels = new Map<string, PooledChannel>();
 
   constructor(
@@ -41,29 +41,29 @@
     private readonly provider?: KeyProvider,
   ) {}
 
-  /** How many channels are open. */
+  /** Number of open channels. */
   get size(): number {
     return this.channels.size;
   }
 
-  /** Takes the channel to a peer for one call, opening it if needed. */
+  /** Reserves the channel to a peer for one call, and opens it if needed. */
   acquire(address: string): PooledChannel {
     const channel = this.channels.get(address) ?? this.open(address);
     this.channels.delete(address);
     this.channels.set(address, channel);
-    channel.countCall(1);
-    this.closeSurplus();
+    channel.adjustCallCount(1);
+    this.closeIdleChannels();
     return channel;
   }
 
-  /** Gives the channel back after a call. */
+  /** Releases the channel after a call. */
   release(channel: PooledChannel): void {
-    channel.countCall(-1);
-    this.closeSurplus();
+    channel.adjustCallCount(-1);
+    this.closeIdleChannels();
   }
 
-  /** Closes this very channel; the next call to the peer opens a new one. */
-  drop(channel: PooledChannel): void {
+  /** Closes the channel; the next call to the peer opens a new one. */
+  close(channel: PooledChannel): void {
     if (this.channels.get(channel.address) === channel) {
       this.channels.delete(channel.address);
     }
@@ -84,13 +84,13 @@
     return new PooledChannel(address, client);
   }
 
-  /** Channels with calls in flight stay; the surplus goes once their calls have ended. */
-  private closeSurplus(): void {
-    let surplus = this.channels.size - this.options.channels;
+  /** Closes excess channels, except those with calls in flight, which are closed after their calls. */
+  private closeIdleChannels(): void {
+    let excess = this.channels.size - this.options.maxChannels;
     this.channels.forEach((channel) => {
-      if (surplus > 0 && channel.callsInFlight === 0) {
-        surplus -= 1;
-        this.drop(channel);
+      if (excess > 0 && channel.callsInFlight === 0) {
+        excess -= 1;
+        this.close(channel);
       }
     });
   }
--- a/packages/mesh/src/lib/ChannelPool/PooledChannel.ts
+++ b/packages/mesh/src/lib/ChannelPool/PooledChannel.ts
@@ -1,12 +1,12 @@
 import type { Client } from '@grpc/grpc-js';
 
 /**
- * An open channel to a peer and what is known of it.
+ * An open channel to a peer, with the number of its responses and of its calls in flight.
  *
  * @internal
  */
 export class PooledChannel {
-  private answerCount = 0;
+  private responseCount = 0;
 
   private callCount = 0;
 
@@ -15,20 +15,20 @@
     readonly client: Client,
   ) {}
 
-  /** Answers of any kind that came on this channel. */
-  get answers(): number {
-    return this.answerCount;
+  /** Number of responses of any kind received on this channel. */
+  get responses(): number {
+    return this.responseCount;
   }
 
   get callsInFlight(): number {
     return this.callCount;
   }
 
-  countAnswer(): void {
-    this.answerCount += 1;
+  recordResponse(): void {
+    this.responseCount += 1;
   }
 
-  countCall(change: 1 | -1): void {
+  adjustCallCount(change: 1 | -1): void {
     this.callCount += change;
   }
 }
--- a/packages/mesh/src/lib/KeyProvider/KeyProvider.test.ts
+++ b/packages/mesh/src/lib/KeyProvider/KeyProvider.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '@apricotrill/utils';
 import { Mesh } from '../Mesh/Mesh.js';
 
-/** Keys that a test replaces. */
+/** A key source whose keys a test can replace. */
 class TestKeys implements KeySource {
   private readonly listeners = new Set<(keys: KeyMaterial) => void>();
 
@@ -36,7 +36,7 @@
 }
 
 describe('mesh with keys', () => {
-  it('carries messages between holders of certificates of one authority', async () => {
+  it('delivers messages between daemons with certificates of the same authority', async () => {
     const authority = await CertificateAuthority.create('ours');
     const alpha = await createMesh('alpha', new TestKeys(await authority.issue('alpha')));
     const beta = await createMesh('beta', new TestKeys(await authority.issue('beta')));
@@ -44,11 +44,10 @@
   });
 
   /*
-   * Symptom: a stranger on the network changes what daemons hold.
-   * Sequence: a process with another authority's certificate, or with none, calls the mesh.
-   * Cause: the server asked nobody for a certificate of our authority.
+   * An unauthorized process could change the state of daemons: the server did not require clients
+   * to present a certificate of our authority.
    */
-  it('lets in neither a certificate of another authority nor a plain connection', async () => {
+  it('rejects certificates of another authority and unencrypted connections', async () => {
     const authority = await CertificateAuthority.create('ours');
     const other = await CertificateAuthority.create('theirs');
     const beta = await createMesh('beta', new TestKeys(await authority.issue('beta')));
@@ -61,11 +60,10 @@
   });
 
   /*
-   * Symptom: after a change of keys, new daemons can't reach the ones that were running.
-   * Sequence: the authority is replaced; a running daemon gets new keys; a new daemon calls it.
-   * Cause: the running daemon went on with the keys of its start.
+   * After the authority was replaced, new daemons could not reach running ones, which got new keys
+   * but continued to use those they had started with.
    */
-  it('takes new keys without a restart', async () => {
+  it('uses new keys without a restart', async () => {
     const old = await CertificateAuthority.create('old');
     const next = await CertificateAuthority.create('next');
     const keys = new TestKeys(await old.issue('beta'));
--- a/packages/mesh/src/lib/KeyProvider/KeyProvider.ts
+++ b/packages/mesh/src/lib/KeyProvider/KeyProvider.ts
@@ -3,40 +3,40 @@
 import type { ChannelCredentials } from '@grpc/grpc-js';
 
 type Provider = experimental.CertificateProvider;
-type AuthorityListener = Parameters<Provider['addCaCertificateListener']>[0];
+type CaCertificateListener = Parameters<Provider['addCaCertificateListener']>[0];
 type IdentityListener = Parameters<Provider['addIdentityCertificateListener']>[0];
 
 /**
- * Hands a daemon's keys to gRPC, now and each time they change. Connections that are open keep
- * their keys until they end; new ones take the new keys.
+ * Provides gRPC with a daemon's keys, initially and each time they change. Open connections keep
+ * their keys until they are closed; new ones use the new keys.
  *
  * @internal
  */
 export class KeyProvider implements Provider {
-  private readonly authorityListeners = new Set<AuthorityListener>();
+  private readonly caCertificateListeners = new Set<CaCertificateListener>();
 
   private readonly identityListeners = new Set<IdentityListener>();
 
-  private readonly stop: () => void;
+  private readonly unsubscribe: () => void;
 
   constructor(private readonly source: KeySource) {
-    this.stop = source.onChange((keys) => this.tellAll(keys));
+    this.unsubscribe = source.onChange((keys) => this.notifyAll(keys));
   }
 
-  addCaCertificateListener(listener: AuthorityListener): void {
-    this.authorityListeners.add(listener);
-    KeyProvider.tellLater(this.authorityListeners, listener, () => ({
+  addCaCertificateListener(listener: CaCertificateListener): void {
+    this.caCertificateListeners.add(listener);
+    KeyProvider.notifyLater(this.caCertificateListeners, listener, () => ({
       caCertificate: this.source.getCurrent().caCertificate,
     }));
   }
 
-  removeCaCertificateListener(listener: AuthorityListener): void {
-    this.authorityListeners.delete(listener);
+  removeCaCertificateListener(listener: CaCertificateListener): void {
+    this.caCertificateListeners.delete(listener);
   }
 
   addIdentityCertificateListener(listener: IdentityListener): void {
     this.identityListeners.add(listener);
-    KeyProvider.tellLater(this.identityListeners, listener, () => this.source.getCurrent());
+    KeyProvider.notifyLater(this.identityListeners, listener, () => this.source.getCurrent());
   }
 
   removeIdentityCertificateListener(listener: IdentityListener): void {
@@ -44,14 +44,15 @@
   }
 
   dispose(): void {
-    this.stop();
+    this.unsubscribe();
   }
 
   /**
-   * gRPC's server registers its provider before it listens to its own credentials; what is told
-   * during the registration is lost, and the server would refuse every connection.
+   * gRPC's server registers with its provider before it listens to its own credentials. A
+   * notification sent during the registration would be lost, and the server would reject every
+   * connection.
    */
-  private static tellLater<Update>(
+  private static notifyLater<Update>(
     listeners: ReadonlySet<(update: Update) => void>,
     listener: (update: Update) => void,
     getUpdate: () => Update,
@@ -63,16 +64,18 @@
     });
   }
 
-  private tellAll(keys: KeyMaterial): void {
-    this.authorityListeners.forEach((listener) => listener({ caCertificate: keys.caCertificate }));
+  private notifyAll(keys: KeyMaterial): void {
+    this.caCertificateListeners.forEach((listener) =>
+      listener({ caCertificate: keys.caCertificate }),
+    );
     this.identityListeners.forEach((listener) => listener(keys));
   }
 }
 
 /**
- * The credentials to listen with: only holders of a certificate of our authority get in.
+ * The server's credentials: clients must present a certificate of our certificate authority.
  *
- * @param provider - the keys; undefined for plain connections
+ * @param provider - the keys; undefined for unencrypted connections
  * @example
  * ```ts
  * server.bindAsync(address, getServerCredentials(provider), onBound);
@@ -86,11 +89,11 @@
 }
 
 /**
- * The credentials to call with. The name in the peer's certificate is not compared with its address:
- * instances are replaced at any time and get any address, so what counts is the signature of our
- * authority.
+ * The client's credentials. The name in the peer's certificate is not compared with its address,
+ * because instances are replaced at any time and can get any address: only the signature of our
+ * certificate authority is checked.
  *
- * @param provider - the keys; undefined for plain connections
+ * @param provider - the keys; undefined for unencrypted connections
  * @example
  * ```ts
  * const client = new Client(target, getChannelCredentials(provider), options);
--- a/packages/mesh/src/lib/Mesh/Mesh.test.ts
+++ b/packages/mesh/src/lib/Mesh/Mesh.test.ts
@@ -4,7 +4,7 @@
 import { MeshError, MeshFailure } from '../MeshError.js';
 import { callMethod } from '../meshService.js';
 import type { MeshOptions } from '../meshOptions.js';
-import { FreezingRelay } from '../../test/FreezableProxy.js';
+import { FreezableProxy } from '../../test/FreezableProxy.js';
 import { Mesh } from './Mesh.js';
 
 const disposables: { dispose(): void }[] = [];
@@ -19,11 +19,11 @@
   return { mesh, clock, address };
 }
 
-async function createRelay(address: string) {
-  const relay = new FreezingRelay();
-  disposables.push(relay);
-  const port = await relay.listen(Number(address.split(':')[1]));
-  return { relay, address: `127.0.0.1:${port}` };
+async function createProxy(address: string) {
+  const proxy = new FreezableProxy();
+  disposables.push(proxy);
+  const port = await proxy.listen(Number(address.split(':')[1]));
+  return { proxy, address: `127.0.0.1:${port}` };
 }
 
 async function getFailure(call: Promise<unknown>) {
@@ -36,20 +36,23 @@
 }
 
 describe('Mesh', () => {
-  it('carries typed bodies with topic and sender, and counts their bytes by topic', async () => {
+  it('delivers typed bodies with topic and sender, and counts their bytes by topic', async () => {
     const alpha = await createMesh('alpha');
     const beta = await createMesh('beta');
-    beta.mesh.handle('double', (message, { from }) => ({ from, twice: Number(message) * 2 }));
-    expect(await alpha.mesh.call(beta.address, 'double', 21)).toEqual({ from: 'alpha', twice: 42 });
+    beta.mesh.handle('double', (message, { from }) => ({ from, doubled: Number(message) * 2 }));
+    expect(await alpha.mesh.call(beta.address, 'double', 21)).toEqual({
+      from: 'alpha',
+      doubled: 42,
+    });
     const sent = alpha.mesh.traffic.getTopic('double');
-    const taken = beta.mesh.traffic.getTopic('double');
+    const received = beta.mesh.traffic.getTopic('double');
     expect(sent).toMatchObject({ messagesIn: 1, messagesOut: 1 });
-    expect([sent.bytesOut, sent.bytesIn]).toEqual([taken.bytesIn, taken.bytesOut]);
+    expect([sent.bytesOut, sent.bytesIn]).toEqual([received.bytesIn, received.bytesOut]);
     expect(sent.bytesOut).toBeGreaterThan('double'.length + 'alpha'.length);
   });
 
-  it('tells refusals, handler failures and unreachable peers apart, with step and peer', async () => {
-    const alpha = await createMesh('alpha', { messageBytes: 1000 });
+  it('distinguishes rejections, handler failures and unreachable peers, with step and peer', async () => {
+    const alpha = await createMesh('alpha', { maxMessageBytes: 1000 });
     const beta = await createMesh('beta');
     beta.mesh.handle('throw', () => {
       throw new Error('no such shard');
@@ -74,7 +77,7 @@
     expect(failures[0]!.step).toBe('mesh-call unknown');
   });
 
-  it('refuses bytes that are no envelope and goes on', async () => {
+  it('rejects bytes that are not a valid envelope', async () => {
     const beta = await createMesh('beta');
     const client = new Client(`ipv4:${beta.address}`, credentials.createInsecure());
     disposables.push({ dispose: () => client.close() });
@@ -92,65 +95,61 @@
   });
 
   it('replaces a silent connection', async () => {
-    // Symptom: every call to a healthy peer times out, for good.
-    // Sequence: a call is answered; a middlebox forgets the connection; the next call gets nothing
-    // back and times out; the one after that is sent.
-    // Cause: the channel keeps using the connection that nothing comes back on.
+    // All calls to a healthy peer timed out forever: a middlebox had lost the state of the
+    // connection, and the channel kept using it although nothing was received on it any more.
     const alpha = await createMesh('alpha');
     const beta = await createMesh('beta');
     beta.mesh.handle('ping', () => 'pong');
-    const { relay, address } = await createRelay(beta.address);
+    const { proxy, address } = await createProxy(beta.address);
     await alpha.mesh.call(address, 'ping', null);
-    relay.freeze();
+    proxy.freeze();
     const lost = getFailure(alpha.mesh.call(address, 'ping', null, { timeout: 500 }));
-    await once(relay, 'swallowed');
-    const closed = once(relay, 'closed');
+    await once(proxy, 'dropped');
+    const closed = once(proxy, 'closed');
     alpha.clock.advance(500);
     expect((await lost).failure).toBe(MeshFailure.Timeout);
     await closed;
     expect(await alpha.mesh.call(address, 'ping', null)).toBe('pong');
-    expect(relay.accepted).toBe(2);
+    expect(proxy.acceptedConnections).toBe(2);
   });
 
   it('keeps the connection when only one handler is slow', async () => {
     const alpha = await createMesh('alpha');
     const beta = await createMesh('beta');
     beta.mesh.handle('ping', () => 'pong');
-    const { relay, address } = await createRelay(beta.address);
-    const reached = new Promise<void>((resolve) => {
+    const { proxy, address } = await createProxy(beta.address);
+    const started = new Promise<void>((resolve) => {
       beta.mesh.handle('slow', () => {
         resolve();
         return new Promise(() => {});
       });
     });
     const slow = getFailure(alpha.mesh.call(address, 'slow', null, { timeout: 500 }));
-    await reached;
+    await started;
     await alpha.mesh.call(address, 'ping', null);
     alpha.clock.advance(500);
     expect((await slow).failure).toBe(MeshFailure.Timeout);
     await alpha.mesh.call(address, 'ping', null);
-    expect(relay.accepted).toBe(1);
+    expect(proxy.acceptedConnections).toBe(1);
   });
 
-  it('notices a silent connection by pings while a long call waits', async () => {
-    // Symptom: a call with a long timeout hangs for all of it although the path is gone.
-    // Sequence: the call is sent; the connection goes silent; nothing comes back.
-    // Cause: TCP alone doesn't notice a peer that no longer answers.
+  it('detects a silent connection by pings while a call with a long timeout waits', async () => {
+    // A call with a long timeout waited for all of it after its connection had become silent,
+    // because TCP alone does not detect a peer that no longer responds.
     const alpha = await createMesh('alpha', { keepaliveInterval: 20, keepaliveTimeout: 20 });
     const beta = await createMesh('beta');
     beta.mesh.handle('ping', () => 'pong');
-    const { relay, address } = await createRelay(beta.address);
+    const { proxy, address } = await createProxy(beta.address);
     await alpha.mesh.call(address, 'ping', null);
-    relay.freeze();
+    proxy.freeze();
     const lost = await getFailure(alpha.mesh.call(address, 'ping', null, { timeout: 60_000 }));
     expect(lost.failure).toBe(MeshFailure.Unreachable);
     expect(await alpha.mesh.call(address, 'ping', null)).toBe('pong');
   });
 
-  it('connects at once to a peer that came back at its address', async () => {
-    // Symptom: a restarted daemon looks dead to its peers for minutes.
-    // Sequence: calls fail while the peer is away; the peer comes back; the next call is sent.
-    // Cause: gRPC waits longer after each failed attempt to connect.
+  it('connects immediately to a peer that restarted at the same address', async () => {
+    // A restarted daemon was unreachable for its peers for minutes: calls had failed while it was
+    // down, and gRPC increases its backoff after each failed attempt to connect.
     const alpha = await createMesh('alpha');
     const beta = await createMesh('beta');
     beta.mesh.dispose();
@@ -164,33 +163,33 @@
     expect(await alpha.mesh.call(beta.address, 'ping', null)).toBe('pong');
   });
 
-  it('keeps no more channels than allowed, and closes the least recently used', async () => {
-    const alpha = await createMesh('alpha', { channels: 2 });
+  it('limits the number of channels and closes the least recently used one', async () => {
+    const alpha = await createMesh('alpha', { maxChannels: 2 });
     const peers = await Promise.all(['a', 'b', 'c'].map((self) => createMesh(self)));
-    const relays = await Promise.all(peers.map(({ address }) => createRelay(address)));
+    const proxies = await Promise.all(peers.map(({ address }) => createProxy(address)));
     peers.forEach(({ mesh }) => mesh.handle('ping', () => 'pong'));
     const order = [0, 1, 0, 2, 0];
     await order.reduce<Promise<unknown>>(
-      (before, index) => before.then(() => alpha.mesh.call(relays[index]!.address, 'ping', null)),
+      (before, index) => before.then(() => alpha.mesh.call(proxies[index]!.address, 'ping', null)),
       Promise.resolve(),
     );
     expect(alpha.mesh.channelCount).toBe(2);
-    expect(relays.map(({ relay }) => relay.accepted)).toEqual([1, 1, 1]);
-    await alpha.mesh.call(relays[1]!.address, 'ping', null);
-    expect(relays[1]!.relay.accepted).toBe(2);
+    expect(proxies.map(({ proxy }) => proxy.acceptedConnections)).toEqual([1, 1, 1]);
+    await alpha.mesh.call(proxies[1]!.address, 'ping', null);
+    expect(proxies[1]!.proxy.acceptedConnections).toBe(2);
   });
 
-  it('ends calls in flight when disposed, and takes no more', async () => {
+  it('fails calls in flight when disposed, and rejects later ones', async () => {
     const alpha = await createMesh('alpha');
     const beta = await createMesh('beta');
-    const reached = new Promise<void>((resolve) => {
+    const started = new Promise<void>((resolve) => {
       beta.mesh.handle('slow', () => {
         resolve();
         return new Promise(() => {});
       });
     });
     const slow = getFailure(alpha.mesh.call(beta.address, 'slow', null));
-    await reached;
+    await started;
     alpha.mesh.dispose();
     expect((await slow).failure).toBe(MeshFailure.Disposed);
     const late = await getFailure(alpha.mesh.call(beta.address, 'slow', null));
--- a/packages/mesh/src/lib/Mesh/Mesh.ts
+++ b/packages/mesh/src/lib/Mesh/Mesh.ts
@@ -10,38 +10,38 @@
 import { TrafficCounters } from '../TrafficCounters/TrafficCounters.js';
 
 /**
- * What a mesh is made of.
+ * Constructor arguments of a mesh.
  *
  * @public
  */
 export interface MeshSettings {
-  /** This daemon's id, told to every peer it calls. */
+  /** This daemon's id, sent with every message. */
   self: string;
-  /** The IP number to listen at. */
+  /** The IP address to listen on. */
   host: string;
-  /** The port to listen at; 0 lets the machine choose. */
+  /** The port to listen on; 0 lets the operating system choose one. */
   port: number;
   clock: Clock;
-  /** The keys for TLS, both ways; plain connections when absent. */
+  /** The keys for mutual TLS; connections are unencrypted when absent. */
   keys?: KeySource;
   options?: Partial<MeshOptions>;
 }
 
 /**
- * Messages between daemons: one unary gRPC method that carries a topic, the sender's id and a
- * CBOR body. Owns the listening socket and the channels to peers.
+ * Messaging between daemons over one unary gRPC method, whose messages contain a topic, the sender's
+ * id and a CBOR body. Owns the listening socket and the channels to peers.
  *
  * @example
  * ```ts
  * const mesh = new Mesh({ self: 'daemon-1', host: '127.0.0.1', port: 7101, clock });
  * mesh.handle('ping', (message, { from }) => ({ from, message }));
  * await mesh.listen();
- * const answer = await mesh.call('127.0.0.1:7102', 'ping', { count: 1 }, { timeout: 500 });
+ * const response = await mesh.call('127.0.0.1:7102', 'ping', { count: 1 }, { timeout: 500 });
  * ```
  * @public
  */
 export class Mesh {
-  /** Bytes and messages by topic. */
+  /** Sent and received bytes and messages by topic. */
   readonly traffic = new TrafficCounters();
 
   private readonly self: string;
@@ -76,28 +76,28 @@
   /**
    * Starts to listen.
    *
-   * @returns the port, for when the machine chose it
-   * @throws MeshError when the address is taken
+   * @returns the port, which is of use if the operating system chose it
+   * @throws MeshError when the address is in use
    */
   listen(): Promise<number> {
     return this.server.listen();
   }
 
   /**
-   * Answers a topic's messages. What the handler throws reaches the caller as
-   * `MeshFailure.HandlerFailed`, with its message.
+   * Registers the handler of a topic. If the handler throws, the caller gets a `MeshError` with
+   * `MeshFailure.HandlerFailed` and the message of the error.
    */
   handle(topic: string, handler: MeshHandler): void {
     this.server.handle(topic, handler);
   }
 
   /**
-   * Calls a peer's handler and waits for its answer. The mesh repeats no call. The answer comes
-   * from another process: check it before use.
+   * Calls a peer's handler and waits for its response. The mesh never retries a call. The response
+   * comes from another process and must be validated before use.
    *
-   * @param address - IP number and port of the peer
-   * @param timeout - how long the answer may take, connecting included
-   * @throws MeshError when no answer came; its `failure` tells why
+   * @param address - IP address and port of the peer
+   * @param timeout - maximum time until the response, including the time to connect
+   * @throws MeshError when there was no response; its `failure` states the reason
    * @example
    * ```ts
    * const ack = await mesh.call(peer.address, 'gossip', message, { timeout: 500 });
@@ -111,9 +111,9 @@
   ): Promise<unknown> {
     const bytes = encodeEnvelope({ topic, from: this.self, body: message });
     this.traffic.countOut(topic, bytes.length);
-    const answer = await this.client.send(address, topic, bytes, timeout);
-    this.traffic.countIn(topic, answer.length);
-    return decodeResponse(answer);
+    const response = await this.client.send(address, topic, bytes, timeout);
+    this.traffic.countIn(topic, response.length);
+    return decodeResponse(response);
   }
 
   /** Stops listening, closes every channel and fails the calls in flight. */
--- a/packages/mesh/src/lib/MeshClient/MeshClient.ts
+++ b/packages/mesh/src/lib/MeshClient/MeshClient.ts
@@ -8,18 +8,19 @@
 import type { MeshOptions } from '../meshOptions.js';
 import { callMethod } from '../meshService.js';
 
-/** A call on its way, and how to end it early. */
+/** A call in flight. */
 interface PendingCall {
   topic: string;
   channel: PooledChannel;
-  /** The channel's answers when the call began. */
-  answersBefore: number;
+  /** The number of responses on the channel when the call was sent. */
+  initialResponses: number;
+  /** Ends the call early with this error. */
   fail: (error: MeshError) => void;
 }
 
 /**
- * The calling end of the mesh: sends bytes over pooled channels and judges the channels by what
- * comes back.
+ * The client side of the mesh: sends bytes over pooled channels, and closes channels that do not
+ * work any more.
  *
  * @internal
  */
@@ -42,7 +43,7 @@
     return this.pool.size;
   }
 
-  /** @throws MeshError when no answer came */
+  /** @throws MeshError when there was no response */
   async send(
     address: string,
     topic: string,
@@ -53,8 +54,12 @@
     if (this.disposed) {
       throw new MeshError(MeshFailure.Disposed, 'the mesh is disposed', context);
     }
-    if (bytes.length > this.options.messageBytes) {
-      throw new MeshError(MeshFailure.Refused, `${bytes.length} bytes is over the limit`, context);
+    if (bytes.length > this.options.maxMessageBytes) {
+      throw new MeshError(
+        MeshFailure.Refused,
+        `the message of ${bytes.length} bytes exceeds the limit`,
+        context,
+      );
     }
     const channel = this.pool.acquire(address);
     try {
@@ -80,22 +85,27 @@
     timeout: Milliseconds,
   ): Promise<Buffer> {
     return new Promise((resolve, reject) => {
-      const call: PendingCall = { topic, channel, answersBefore: channel.answers, fail: reject };
+      const call: PendingCall = {
+        topic,
+        channel,
+        initialResponses: channel.responses,
+        fail: reject,
+      };
       const timer = this.clock.setTimer(timeout, () => call.fail(this.getTimeoutError(call)));
-      const end = () => {
+      const finish = () => {
         timer.cancel();
         return this.pending.delete(call);
       };
-      const onAnswer = (error: ServiceError | null, answer?: Buffer) => {
-        // What gRPC says of a call that this end gave up says nothing about the channel.
-        if (!end()) {
+      const onResponse = (error: ServiceError | null, response?: Buffer) => {
+        // The error of a call that was already ended here says nothing about the channel.
+        if (!finish()) {
           return;
         }
-        if (error === null && answer !== undefined) {
-          channel.countAnswer();
-          resolve(answer);
+        if (error === null && response !== undefined) {
+          channel.recordResponse();
+          resolve(response);
         } else {
-          reject(this.getError(call, error!));
+          reject(this.getCallError(call, error!));
         }
       };
       const grpcCall = channel.client.makeUnaryRequest(
@@ -103,10 +113,10 @@
         callMethod.requestSerialize,
         callMethod.responseDeserialize,
         bytes,
-        onAnswer,
+        onResponse,
       );
       call.fail = (error) => {
-        end();
+        finish();
         reject(error);
         grpcCall.cancel();
       };
@@ -115,31 +125,32 @@
   }
 
   /**
-   * Judges a channel whose call got no answer in time. A connection that something between the
-   * ends has lost track of stays open and silent for good while new ones work: one sees every call
-   * to a healthy peer time out. If nothing at all came back since the call began, the channel is
-   * closed and the next call opens a new connection. If other calls were answered meanwhile, only
-   * this one's handler is slow and the channel stays.
+   * Creates the error of a call that timed out, and closes the channel if its connection is silent.
+   * A connection whose state was lost by an intermediary stays open and silent while new ones work,
+   * so that every call to a healthy peer times out. If there was no response at all since the call
+   * was sent, the channel is closed and the next call opens a new connection. If other calls got a
+   * response in the meantime, only the handler of this call is slow and the channel stays open.
    */
-  private getTimeoutError({ topic, channel, answersBefore }: PendingCall): MeshError {
-    if (channel.answers === answersBefore) {
-      this.pool.drop(channel);
+  private getTimeoutError({ topic, channel, initialResponses }: PendingCall): MeshError {
+    if (channel.responses === initialResponses) {
+      this.pool.close(channel);
     }
     const context = { step: `mesh-call ${topic}`, peer: channel.address };
-    return new MeshError(MeshFailure.Timeout, 'no answer in time', context);
+    return new MeshError(MeshFailure.Timeout, 'no response in time', context);
   }
 
   /**
-   * Judges a channel whose call failed. After a broken connection gRPC waits ever longer before it
-   * connects again, up to minutes, and fails calls meanwhile: a peer that restarted would look dead
-   * long after it is back. Dropping the channel makes the next call connect at once.
+   * Creates the error of a call that failed, and closes the channel if the peer is unreachable.
+   * After a broken connection, gRPC reconnects with a backoff of up to minutes and fails calls until
+   * then, so that a restarted peer would appear down for long. With a new channel, the next call
+   * connects immediately.
    */
-  private getError({ topic, channel }: PendingCall, error: ServiceError): MeshError {
+  private getCallError({ topic, channel }: PendingCall, error: ServiceError): MeshError {
     const meshError = getMeshError(error, topic, channel.address);
     if (meshError.failure === MeshFailure.Unreachable) {
-      this.pool.drop(channel);
+      this.pool.close(channel);
     } else {
-      channel.countAnswer();
+      channel.recordResponse();
     }
     return meshError;
   }
--- a/packages/mesh/src/lib/MeshError.ts
+++ b/packages/mesh/src/lib/MeshError.ts
@@ -1,16 +1,16 @@
 import { StepError } from '@apricotrill/utils';
 
-/** Why a call to a peer gave no answer. */
+/** Why a call to a peer failed. */
 export enum MeshFailure {
-  /** No answer in time: the peer may or may not have handled the message. */
+  /** No response in time: the peer may or may not have handled the message. */
   Timeout = 'timeout',
   /** No connection, or the connection broke: the peer may or may not have handled the message. */
   Unreachable = 'unreachable',
-  /** The message was refused before any handler saw it: unknown topic, too large, malformed. */
+  /** The message was rejected before it reached a handler: unknown topic, too large or malformed. */
   Refused = 'refused',
   /** The peer's handler threw. */
   HandlerFailed = 'handler-failed',
-  /** This end was disposed while the call was in flight or before it began. */
+  /** The caller's mesh was disposed before the call or while it was in flight. */
   Disposed = 'disposed',
 }
 
@@ -23,9 +23,9 @@
   readonly failure: MeshFailure;
 
   /**
-   * @param failure - what kind of failure, for the caller to act on
-   * @param message - what went wrong
-   * @param context - the step, the peer's address and the error underneath
+   * @param failure - the kind of failure, on which callers base their reaction
+   * @param message - the reason in words
+   * @param context - the step, the peer's address and the underlying error
    */
   constructor(
     failure: MeshFailure,
--- a/packages/mesh/src/lib/MeshServer/MeshServer.ts
+++ b/packages/mesh/src/lib/MeshServer/MeshServer.ts
@@ -10,23 +10,24 @@
 import type { TrafficCounters } from '../TrafficCounters/TrafficCounters.js';
 
 /**
- * What a handler learns beside the message.
+ * Information about a message that its handler receives.
  *
  * @public
  */
 export interface MeshContext {
-  /** The id the sender gave itself. */
+  /** The sender's id as stated by the sender. */
   from: string;
 }
 
 /**
- * Answers one topic's messages. A message comes from another process: check it before use.
+ * Handles the messages of one topic and returns the response. A message comes from another process
+ * and must be validated before use.
  *
  * @public
  */
 export type MeshHandler = (message: unknown, context: MeshContext) => unknown;
 
-interface ServerSettings {
+interface MeshServerSettings {
   host: string;
   port: number;
   options: MeshOptions;
@@ -35,7 +36,7 @@
 }
 
 /**
- * The listening end of the mesh: finds the handler of each message and sends its answer back.
+ * The server side of the mesh: calls the handler of each message and returns its response.
  *
  * @internal
  */
@@ -44,17 +45,17 @@
 
   private readonly server: Server;
 
-  constructor(private readonly settings: ServerSettings) {
-    const { messageBytes, concurrentCalls } = settings.options;
+  constructor(private readonly settings: MeshServerSettings) {
+    const { maxMessageBytes, maxConcurrentCalls } = settings.options;
     this.server = new Server({
-      'grpc.max_receive_message_length': messageBytes,
-      'grpc.max_send_message_length': messageBytes,
-      'grpc.max_concurrent_streams': concurrentCalls,
+      'grpc.max_receive_message_length': maxMessageBytes,
+      'grpc.max_send_message_length': maxMessageBytes,
+      'grpc.max_concurrent_streams': maxConcurrentCalls,
       'grpc.enable_channelz': 0,
     });
     this.server.addService(meshService, {
-      call: (call: ServerUnaryCall<Buffer, Buffer>, done: sendUnaryData<Buffer>) => {
-        this.answer(call.request, done);
+      call: (call: ServerUnaryCall<Buffer, Buffer>, callback: sendUnaryData<Buffer>) => {
+        this.handleCall(call.request, callback);
       },
     });
   }
@@ -82,38 +83,38 @@
     });
   }
 
-  /** Closes the socket and every connection at once. */
+  /** Closes the socket and all connections immediately. */
   dispose(): void {
     this.server.forceShutdown();
   }
 
-  private async answer(bytes: Buffer, done: sendUnaryData<Buffer>): Promise<void> {
-    const envelope = MeshServer.read(bytes);
+  private async handleCall(bytes: Buffer, callback: sendUnaryData<Buffer>): Promise<void> {
+    const envelope = MeshServer.parseEnvelope(bytes);
     if (envelope === undefined) {
-      done({ code: status.INVALID_ARGUMENT, details: 'the message is no envelope' });
+      callback({ code: status.INVALID_ARGUMENT, details: 'the message is not a valid envelope' });
       return;
     }
     const { topic, from, body } = envelope;
     const handler = this.handlers.get(topic);
     if (handler === undefined) {
-      done({ code: status.UNIMPLEMENTED, details: `no handler for topic ${topic}` });
+      callback({ code: status.UNIMPLEMENTED, details: `no handler for topic ${topic}` });
       return;
     }
     this.settings.traffic.countIn(topic, bytes.length);
     try {
-      const answer = encodeResponse(await handler(body, { from }));
-      this.settings.traffic.countOut(topic, answer.length);
-      done(null, answer);
+      const response = encodeResponse(await handler(body, { from }));
+      this.settings.traffic.countOut(topic, response.length);
+      callback(null, response);
     } catch (error) {
-      done({
+      callback({
         code: status.UNKNOWN,
         details: error instanceof Error ? error.message : String(error),
       });
     }
   }
 
-  /** Bytes that are no envelope are refused; they must not end the process. */
-  private static read(bytes: Buffer): Envelope | undefined {
+  /** Returns undefined for bytes that are not an envelope: they must not end the process. */
+  private static parseEnvelope(bytes: Buffer): Envelope | undefined {
     try {
       return decodeEnvelope(bytes);
     } catch {
--- a/packages/mesh/src/lib/TrafficCounters/TrafficCounters.ts
+++ b/packages/mesh/src/lib/TrafficCounters/TrafficCounters.ts
@@ -1,6 +1,6 @@
 /**
- * What one topic has cost so far. Bytes are those of encoded envelopes and answers; HTTP/2 and
- * TCP come on top.
+ * The traffic of one topic so far. Bytes are those of encoded envelopes and responses, without the
+ * overhead of HTTP/2 and TCP.
  *
  * @public
  */
@@ -12,7 +12,7 @@
 }
 
 /**
- * Counts traffic by topic, both ways.
+ * Counts received and sent traffic by topic.
  *
  * @example
  * ```ts
@@ -23,12 +23,12 @@
 export class TrafficCounters {
   private readonly topics = new Map<string, TopicTraffic>();
 
-  /** What a topic has cost so far. */
+  /** The traffic of a topic so far. */
   getTopic(topic: string): Readonly<TopicTraffic> {
     return this.getEntry(topic);
   }
 
-  /** What each topic has cost so far, by name. */
+  /** The traffic of each topic so far, by topic. */
   getTopics(): ReadonlyMap<string, Readonly<TopicTraffic>> {
     return this.topics;
   }
--- a/packages/mesh/src/lib/codec.ts
+++ b/packages/mesh/src/lib/codec.ts
@@ -1,10 +1,10 @@
 import { Encoder } from 'cbor-x';
 
-/** Plain CBOR (RFC 8949): no record extension, so that each message stands on its own. */
+/** Plain CBOR (RFC 8949) without the record extension, so that each message is self-contained. */
 const encoder = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 /**
- * What travels: which handler it is for, who sent it, and the message itself.
+ * What is sent to a peer: the topic, which selects the handler, the sender's id, and the message.
  *
  * @internal
  */
@@ -14,7 +14,7 @@
   body: unknown;
 }
 
-/** Encodes an envelope as a three-element array: the names of its fields would cost bytes. */
+/** Encodes an envelope as an array of three elements, which saves the bytes of field names. */
 export function encodeEnvelope({ topic, from, body }: Envelope): Buffer {
   return encoder.encode([topic, from, body]);
 }
@@ -22,7 +22,7 @@
 /**
  * Decodes an envelope.
  *
- * @throws TypeError when the bytes are no envelope
+ * @throws TypeError when the bytes are not an envelope
  */
 export function decodeEnvelope(bytes: Buffer): Envelope {
   const decoded: unknown = encoder.decode(bytes);
@@ -31,17 +31,17 @@
   }
   const [topic, from, body]: unknown[] = decoded;
   if (typeof topic !== 'string' || typeof from !== 'string') {
-    throw new TypeError('topic and sender of an envelope are strings');
+    throw new TypeError('topic and sender of an envelope must be strings');
   }
   return { topic, from, body };
 }
 
-/** Encodes an answer. */
-export function encodeResponse(answer: unknown): Buffer {
-  return encoder.encode(answer);
+/** Encodes a response. */
+export function encodeResponse(response: unknown): Buffer {
+  return encoder.encode(response);
 }
 
-/** Decodes an answer. @throws Error when the bytes are not CBOR */
+/** Decodes a response. @throws Error when the bytes are not CBOR */
 export function decodeResponse(bytes: Buffer): unknown {
   return encoder.decode(bytes);
 }
--- a/packages/mesh/src/lib/meshOptions.ts
+++ b/packages/mesh/src/lib/meshOptions.ts
@@ -1,28 +1,28 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * What can be tuned about the messages between daemons.
+ * Options of the messaging between daemons.
  *
  * @public
  */
 export interface MeshOptions {
-  /** How long a call may take when its caller names no timeout. */
+  /** Timeout of a call whose caller gives none. */
   callTimeout: Milliseconds;
-  /** How long a connection with calls in flight may be quiet before it is pinged. */
+  /** How long a connection with calls in flight may be idle before it is pinged. */
   keepaliveInterval: Milliseconds;
-  /** How long a ping may stay unanswered before the connection is given up. */
+  /** Timeout for the response to a ping, after which the connection is closed. */
   keepaliveTimeout: Milliseconds;
-  /** Channels kept open at once; the least recently used one without calls makes room. */
-  channels: number;
-  /** A message or answer larger than this is refused, in bytes. */
-  messageBytes: number;
-  /** Calls that one peer may have running here at once. */
-  concurrentCalls: number;
+  /** Maximum number of open channels; the least recently used one without calls is closed. */
+  maxChannels: number;
+  /** Maximum size of a message or response, in bytes; larger ones are rejected. */
+  maxMessageBytes: number;
+  /** Maximum number of concurrent calls from one peer. */
+  maxConcurrentCalls: number;
 }
 
 /**
- * The documented defaults. A channel holds about 60 kB at each end, so that 64 channels stay well
- * inside a daemon's memory; a part of the configuration is far under the message limit.
+ * The defaults. A channel uses about 60 kB of memory at each end, so 64 channels are a small part of
+ * a daemon's memory. A part of the configuration is far smaller than the message limit.
  *
  * @public
  */
@@ -30,7 +30,7 @@
   callTimeout: 2000,
   keepaliveInterval: 2000,
   keepaliveTimeout: 1500,
-  channels: 64,
-  messageBytes: 2 * 1024 * 1024,
-  concurrentCalls: 256,
+  maxChannels: 64,
+  maxMessageBytes: 2 * 1024 * 1024,
+  maxConcurrentCalls: 256,
 };
--- a/packages/mesh/src/lib/meshService.ts
+++ b/packages/mesh/src/lib/meshService.ts
@@ -1,10 +1,10 @@
 import type { ServiceDefinition } from '@grpc/grpc-js';
 
-const keepBytes = (bytes: Buffer) => bytes;
+const passThrough = (bytes: Buffer) => bytes;
 
 /**
- * The one gRPC method between daemons. It is written by hand over raw bytes: nothing is loaded or
- * generated at run time, and the mesh sees the size of what it sends and gets.
+ * The single gRPC method between daemons. It is defined by hand for raw bytes: nothing is loaded or
+ * generated at run time, and the mesh knows the size of what it sends and receives.
  *
  * @internal
  */
@@ -12,10 +12,10 @@
   path: '/apricotrill.Mesh/Call',
   requestStream: false,
   responseStream: false,
-  requestSerialize: keepBytes,
-  requestDeserialize: keepBytes,
-  responseSerialize: keepBytes,
-  responseDeserialize: keepBytes,
+  requestSerialize: passThrough,
+  requestDeserialize: passThrough,
+  responseSerialize: passThrough,
+  responseDeserialize: passThrough,
 } as const;
 
 /** @internal */
--- a/packages/mesh/src/test/FreezableProxy.ts
+++ b/packages/mesh/src/test/FreezableProxy.ts
@@ -3,20 +3,21 @@
 import { EventEmitter, once } from 'node:events';
 
 /**
- * A TCP relay that can freeze: connections opened before stay open and pass nothing on, new ones
- * work. Emits `swallowed` when a frozen connection takes bytes from a client.
+ * A TCP proxy that can freeze: existing connections then stay open but forward nothing, and new
+ * ones work. Emits `dropped` when a frozen connection drops received bytes, and `closed` when a
+ * client's connection was closed.
  */
-export class FreezingRelay extends EventEmitter {
-  private readonly frozen = new WeakSet<Socket>();
+export class FreezableProxy extends EventEmitter {
+  private readonly frozenClients = new WeakSet<Socket>();
 
   private readonly clients = new Set<Socket>();
 
-  private readonly server = createServer((client) => this.relay(client));
+  private readonly server = createServer((client) => this.forward(client));
 
   private target = 0;
 
-  /** Connections taken so far. */
-  accepted = 0;
+  /** Number of connections accepted so far. */
+  acceptedConnections = 0;
 
   async listen(target: number): Promise<number> {
     this.target = target;
@@ -26,7 +27,7 @@
   }
 
   freeze(): void {
-    this.clients.forEach((client) => this.frozen.add(client));
+    this.clients.forEach((client) => this.frozenClients.add(client));
   }
 
   dispose(): void {
@@ -34,19 +35,19 @@
     this.server.close();
   }
 
-  private relay(client: Socket): void {
-    this.accepted += 1;
+  private forward(client: Socket): void {
+    this.acceptedConnections += 1;
     this.clients.add(client);
     const upstream = connect(this.target, '127.0.0.1');
-    const pass = (to: Socket) => (bytes: Buffer) => {
-      if (this.frozen.has(client)) {
-        this.emit('swallowed');
+    const forwardTo = (to: Socket) => (bytes: Buffer) => {
+      if (this.frozenClients.has(client)) {
+        this.emit('dropped');
       } else {
         to.write(bytes);
       }
     };
-    client.on('data', pass(upstream));
-    upstream.on('data', pass(client));
+    client.on('data', forwardTo(upstream));
+    upstream.on('data', forwardTo(client));
     client.on('error', () => upstream.destroy());
     upstream.on('error', () => client.destroy());
     client.on('close', () => {
