--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
@@ -78,7 +78,7 @@
     }
     const manifest = parseManifest(object.value);
     if (!manifest.ok) {
-      const reason = `${key} does not contain a valid manifest: ${manifest.error}`;
+      const reason = `${key} does not hold a manifest: ${manifest.error}`;
       throw new ConfigurationError(reason, { step: 'read manifest', peer: PEER });
     }
     return { manifest: manifest.value, text: object.value, version: object.version };
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.test.ts
@@ -112,9 +112,7 @@
   it('rejects reads and changes when the stored manifest is invalid', async () => {
     const { platform, store, apply } = createStore();
     await platform.put(MANIFEST_KEY, '{"generation":"two"}', 0);
-    await expect(store.read()).rejects.toThrow(
-      /config\/manifest does not contain a valid manifest/,
-    );
+    await expect(store.read()).rejects.toThrow(/config\/manifest does not hold a manifest/);
     await expect(apply('mine', 0)).rejects.toThrow(ConfigurationError);
   });
 });
--- a/packages/configuration/src/lib/ConfigurationStore/PartWriter.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/PartWriter.ts
@@ -54,7 +54,7 @@
       }
       expectedVersion = result.current?.version ?? 0;
     }
-    throw new StoreUnavailableError(`${key} changed during each of ${MAX_ATTEMPTS} attempts`, {
+    throw new StoreUnavailableError(`${key} was changed by others during every attempt`, {
       step: 'write part',
       peer: 'platform store',
     });
--- a/packages/configuration/src/lib/ConfigurationStore/checkSizes.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/checkSizes.ts
@@ -16,7 +16,7 @@
 export function checkSizes(parts: readonly ConfigurationPart[]): void {
   const largest = parts.find(({ size }) => size > MAX_VALUE_BYTES);
   if (largest !== undefined) {
-    const reason = `part ${largest.name} has ${largest.size} bytes; the store's limit is ${MAX_VALUE_BYTES}`;
+    const reason = `part ${largest.name} has ${largest.size} bytes, the store takes ${MAX_VALUE_BYTES}`;
     throw new ValueTooLargeError(reason, { step: 'apply', peer: 'platform store' });
   }
   const manifestBytes = MANIFEST_BASE_BYTES + parts.length * MANIFEST_BYTES_PER_PART;
--- a/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.test.ts
+++ b/packages/store/src/lib/MemoryPlatformStore/MemoryPlatformStore.test.ts
@@ -87,7 +87,7 @@
     const value = 'x'.repeat(MAX_VALUE_BYTES + 1);
     const error = await getError(store.put('a', value, 0));
     expect(error).toBeInstanceOf(ValueTooLargeError);
-    expect(String(error)).toMatch(/the value of a has 1048577 bytes; the store's limit is 1048576/);
+    expect(String(error)).toMatch(/the value of a has 1048577 bytes, the store takes 1048576/);
     expect(store.getCounters().writes).toBe(0);
   });
 });
--- a/packages/store/src/lib/ValueTooLargeError.ts
+++ b/packages/store/src/lib/ValueTooLargeError.ts
@@ -23,7 +23,7 @@
 export function checkValueSize(key: string, value: string, peer: string): void {
   const size = Buffer.byteLength(value);
   if (size > MAX_VALUE_BYTES) {
-    const reason = `the value of ${key} has ${size} bytes; the store's limit is ${MAX_VALUE_BYTES}`;
+    const reason = `the value of ${key} has ${size} bytes, the store takes ${MAX_VALUE_BYTES}`;
     throw new ValueTooLargeError(reason, { step: 'store-put', peer });
   }
 }
