--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationReader.ts
@@ -51,7 +51,7 @@
     knownTexts: ReadonlyMap<string, string> = new Map(),
   ): Promise<ConfigurationSnapshot | undefined> {
     let reason = '';
-    for (let attempt = 0; attempt < this.options.readAttempts; attempt += 1) {
+    for (let attempt = 0; attempt < this.options.maxReadAttempts; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- each attempt starts from a newer manifest
       const stored = await this.readManifest();
       // eslint-disable-next-line no-await-in-loop
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.fuzz.test.ts
@@ -111,7 +111,7 @@
         this.chainChecker.observe(),
       ),
       clock: new ManualClock(),
-      options: { archivedGenerations: 1, applyAttempts: 3 },
+      options: { archivedGenerations: 1, maxApplyAttempts: 3 },
     });
   }
 
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.test.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.test.ts
@@ -28,7 +28,7 @@
   // the retry only the current manifest was checked, so a conflict was reported, and the operator
   // edited again and applied the change twice.
   it('finds a change whose confirmation was lost, with many accepted after it', async () => {
-    const { platform, apply, applyMany } = createStore({ applyAttempts: 1 });
+    const { platform, apply, applyMany } = createStore({ maxApplyAttempts: 1 });
     platform.applyFault({ kind: 'lose-answers', count: 1, keyPrefix: MANIFEST_KEY });
     const first = await apply('mine', 0);
     expect(first).toMatchObject({ kind: 'unavailable', mayBeAccepted: true });
--- a/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
+++ b/packages/configuration/src/lib/ConfigurationStore/ConfigurationStore.ts
@@ -159,7 +159,7 @@
       mayBeAccepted: false,
       error: undefined,
     };
-    for (let attempt = 0; attempt < this.options.applyAttempts; attempt += 1) {
+    for (let attempt = 0; attempt < this.options.maxApplyAttempts; attempt += 1) {
       // eslint-disable-next-line no-await-in-loop -- each attempt depends on the result of the last
       const result = await this.attempt(state);
       if (result !== undefined) {
--- a/packages/configuration/src/lib/options.ts
+++ b/packages/configuration/src/lib/options.ts
@@ -1,9 +1,9 @@
 /** Options for reading and applying the accepted configuration. */
 export interface ConfigurationOptions {
-  /** Attempts of one apply, after lost responses or conflicting writes. Default 5. */
-  applyAttempts: number;
-  /** Attempts of one read, when parts were deleted while it was reading. Default 3. */
-  readAttempts: number;
+  /** Maximum attempts of one apply, after lost responses or conflicting writes. Default 5. */
+  maxApplyAttempts: number;
+  /** Maximum attempts of one read, when parts were deleted while it was reading. Default 3. */
+  maxReadAttempts: number;
   /** Concurrent calls to the store while parts are read or written. Default 8. */
   maxConcurrentCalls: number;
   /** If more parts than this are to be read, a single list call reads them. Default 16. */
@@ -14,8 +14,8 @@
 
 /** The defaults. */
 export const defaultConfigurationOptions: ConfigurationOptions = {
-  applyAttempts: 5,
-  readAttempts: 3,
+  maxApplyAttempts: 5,
+  maxReadAttempts: 3,
   maxConcurrentCalls: 8,
   maxSingleReads: 16,
   archivedGenerations: 200,
--- a/packages/store/src/lib/HttpPlatformStore/HttpPlatformOptions.ts
+++ b/packages/store/src/lib/HttpPlatformStore/HttpPlatformOptions.ts
@@ -14,7 +14,7 @@
   /** How long the platform is asked to hold a watch before it responds, in milliseconds. */
   watchWait: Milliseconds;
   /** Maximum number of connections for requests; watches have their own. */
-  connections: number;
+  maxConnections: number;
   clock: Clock;
 }
 
@@ -22,7 +22,7 @@
 export const defaultHttpPlatformOptions: Omit<HttpPlatformOptions, 'url'> = {
   timeout: 2_000,
   watchWait: 20_000,
-  connections: 4,
+  maxConnections: 4,
   clock: new SystemClock(),
 };
 
--- a/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
+++ b/packages/store/src/lib/HttpPlatformStore/PlatformConnection.ts
@@ -51,7 +51,7 @@
   constructor(settings: HttpPlatformSettings) {
     this.options = { ...defaultHttpPlatformOptions, ...settings };
     this.peer = new URL(this.options.url).host;
-    this.requestPool = new RenewablePool(this.options.url, this.options.connections);
+    this.requestPool = new RenewablePool(this.options.url, this.options.maxConnections);
     this.watchPool = new RenewablePool(this.options.url, null);
   }
 
--- a/packages/store/src/lib/HttpPlatformStore/RenewablePool.ts
+++ b/packages/store/src/lib/HttpPlatformStore/RenewablePool.ts
@@ -11,10 +11,10 @@
 
   private renewals = 0;
 
-  /** @param connections - maximum number of connections; null for no limit */
+  /** @param maxConnections - maximum number of connections; null for no limit */
   constructor(
     private readonly url: string,
-    private readonly connections: number | null,
+    private readonly maxConnections: number | null,
   ) {
     this.pool = this.createPool();
   }
@@ -45,6 +45,6 @@
   private createPool(): Pool {
     // Every request has its own timer, because undici's timers have a resolution of one second.
     const timeouts = { headersTimeout: 0, bodyTimeout: 0 };
-    return new Pool(this.url, { connections: this.connections, pipelining: 1, ...timeouts });
+    return new Pool(this.url, { connections: this.maxConnections, pipelining: 1, ...timeouts });
   }
 }
