--- a/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
+++ b/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
@@ -5,7 +5,7 @@
 import type { CoreMessage, EmitEffect } from '../coreMessages.js';
 import type { ZoneLoad } from '../LoadDigests/LoadDigests.js';
 import type { DaemonIdentity, Member } from '../Member.js';
-import { CoreParts } from './CoreParts.js';
+import { CoreParts } from './CoreComponents.js';
 
 /** Changes of the view within so long have their consequences drawn once. */
 const VIEW_DELAY: Milliseconds = 50;
--- a/packages/cluster/src/lib/ClusterCore/CoreParts.ts
+++ b/packages/cluster/src/lib/ClusterCore/CoreComponents.ts
@@ -1,8 +1,8 @@
 import { AntiEntropy } from '../AntiEntropy/AntiEntropy.js';
 import { createClusterCounters } from '../ClusterCounters.js';
-import { ConfigurationSpread } from '../ConfigurationSpread/ConfigurationSpread.js';
+import { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
-import { ListJudge } from '../ListJudge/ListJudge.js';
+import { ListJudge } from '../InstanceListMonitor/InstanceListMonitor.js';
 import { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import { getMeshAddress } from '../Member.js';
 import { Membership } from '../Membership/Membership.js';
@@ -10,15 +10,15 @@
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import { Prober } from '../Prober/Prober.js';
 import { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
-import { RegionReach } from '../RegionReach/RegionReach.js';
+import { RegionReach } from '../RegionReachability/RegionReachability.js';
 import { ReplicaNotices } from '../ReplicaNotices/ReplicaNotices.js';
 import { Spreader } from '../Spreader/Spreader.js';
 import { StoreWatcher } from '../StoreWatcher/StoreWatcher.js';
 import type { CoreSettings } from './ClusterCore.js';
-import { Duties } from './Duties.js';
-import { PeerTalk } from './PeerTalk.js';
+import { Duties } from './ZoneDuties.js';
+import { PeerTalk } from './PeerGossip.js';
 import { RequestHandler } from './RequestHandler.js';
-import { RumourReader } from './RumourReader.js';
+import { RumourReader } from './RumourDispatcher.js';
 
 /** The parts of a core, each with one concern, and how they are wired. */
 export class CoreParts {
--- a/packages/cluster/src/lib/ClusterCore/PeerTalk.ts
+++ b/packages/cluster/src/lib/ClusterCore/PeerGossip.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationSpread } from '../ConfigurationSpread/ConfigurationSpread.js';
+import type { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
 import { pickSome } from '../CoreContext.js';
 import { getMeshAddress } from '../Member.js';
@@ -6,9 +6,9 @@
 import type { PeerAnswer, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
-import type { RegionReach } from '../RegionReach/RegionReach.js';
+import type { RegionReach } from '../RegionReachability/RegionReachability.js';
 import type { Spreader } from '../Spreader/Spreader.js';
-import type { RumourReader } from './RumourReader.js';
+import type { RumourReader } from './RumourDispatcher.js';
 
 interface PeerTalkParts {
   context: CoreContext;
--- a/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
+++ b/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
@@ -1,11 +1,11 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { AntiEntropy } from '../AntiEntropy/AntiEntropy.js';
-import type { ConfigurationSpread } from '../ConfigurationSpread/ConfigurationSpread.js';
+import type { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
 import type { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import type { PeerAnswer, PeerRequest, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import type { PeerTalk } from './PeerTalk.js';
+import type { PeerTalk } from './PeerGossip.js';
 
 type PingThrough = Extract<PeerRequest, { kind: 'ping-through' }>;
 
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
@@ -14,7 +14,7 @@
 import type { DaemonIdentity, Member } from '../Member.js';
 import { getAddress } from '../Member.js';
 import type { PeerAnswer, PeerRequest, ServiceLoad } from '../messages.js';
-import { PlatformTask } from './PlatformTask.js';
+import { PlatformTask } from './PlatformEffectRunner.js';
 
 /** The mesh topics, apart so that their bytes are counted apart. */
 enum Topic {
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.fuzz.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.fuzz.test.ts
@@ -6,7 +6,7 @@
 import type { CoreEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { ConfigurationSpread } from './ConfigurationSpread.js';
+import { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 
 const GENERATIONS = 4;
 
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.peers.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.peers.test.ts
@@ -5,7 +5,7 @@
 import type { CoreEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { ConfigurationSpread } from './ConfigurationSpread.js';
+import { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 
 type Answer = (request: PeerRequest) => PeerAnswer | undefined;
 
--- a/packages/cluster/src/lib/ConfigurationSpread/ConfigurationSpread.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.ts
@@ -7,7 +7,7 @@
 import { ManifestHistory } from '../ManifestHistory/ManifestHistory.js';
 import type { PeerAnswer } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { getManifestAnswer, getPartsAnswer } from './getFetchAnswers.js';
+import { getManifestAnswer, getPartsAnswer } from '../ConfigurationSpread/getFetchAnswers.js';
 
 type ManifestAnswer = Extract<PeerAnswer, { kind: 'manifest' }>;
 
