--- a/packages/cluster/src/lib/AntiEntropy/AntiEntropy.test.ts
+++ b/packages/cluster/src/lib/AntiEntropy/AntiEntropy.test.ts
@@ -1,10 +1,9 @@
 import { getView, TestCluster } from '../../test/TestCluster.js';
 
 describe('AntiEntropy', () => {
-  it('finds the others again when everybody known here was replaced meanwhile', () => {
-    // Symptom: a daemon goes on alone, for good, on the configuration it has.
-    // Sequence: it is cut off; all others are replaced, at other addresses; the cut heals.
-    // Cause: it tries those only whom it knows, and the others take it for dead.
+  it('finds the other daemons again after all known ones were replaced', () => {
+    // Guards against a daemon that stays alone for good: while it is partitioned, all others are
+    // replaced at new addresses. It only contacts those it knows, and the others consider it dead.
     const cluster = new TestCluster({ zones: { 'fi/a': 3, 'fi/b': 3 } });
     cluster.run(20_000);
     const alone = cluster.daemons[5]!;
@@ -18,27 +17,26 @@
     const others = cluster.getOthers(alone);
     expect(others.some((daemon) => getView(daemon, alone.id))).toBe(false);
     cluster.heal();
-    const isFound = () =>
+    const isRejoined = () =>
       others.every((daemon) => getView(daemon, alone.id) && getView(alone, daemon.id));
-    expect(cluster.runUntil(isFound, 120_000)).toBe(true);
+    expect(cluster.runUntil(isRejoined, 120_000)).toBe(true);
     cluster.dispose();
   });
 
-  it('joins two parts that know nothing of each other', () => {
-    // Symptom: two clusters go on side by side, for good, on one configuration store.
-    // Sequence: three of nine daemons are cut off and taken for dead; their processes are replaced,
-    // and the new ones know only each other; the cut heals.
-    // Cause: nobody talks to an address where somebody was dead, or that is only in the settings.
+  it('joins two clusters that know nothing of each other', () => {
+    // Guards against two clusters that stay separate for good, on one configuration store: three of
+    // nine daemons are partitioned, declared dead and replaced by processes that only know each
+    // other. Nobody contacts an address of a dead member, or one that is only configured as a seed.
     const cluster = new TestCluster({ zones: { 'fi/a': 6, 'fi/b': 3 }, listLag: 100_000_000 });
     cluster.run(20_000);
-    const cut = cluster.daemons.slice(6);
-    const ids = cut.map(({ id }) => id);
+    const partitioned = cluster.daemons.slice(6);
+    const ids = partitioned.map(({ id }) => id);
     cluster.faults.canPass = (from, to) => ids.includes(from) === ids.includes(to);
     cluster.run(30_000);
-    cut.forEach((daemon) => cluster.crash(daemon));
-    const renewed = cut.map((daemon) => cluster.restart(daemon));
-    renewed.forEach((daemon) => {
-      const rumours = renewed.map(({ host }) => {
+    partitioned.forEach((daemon) => cluster.crash(daemon));
+    const restarted = partitioned.map((daemon) => cluster.restart(daemon));
+    restarted.forEach((daemon) => {
+      const rumours = restarted.map(({ host }) => {
         const { stateSince, generation, ...member } = host.core.getMembers()[0]!;
         return { kind: 'member' as const, record: { ...member, refutation: 0 } };
       });
@@ -50,25 +48,25 @@
       ...Array<number>(3).fill(3),
     ]);
     cluster.heal();
-    const isWhole = () => cluster.daemons.every(({ host }) => host.core.memberCount === 9);
-    expect(cluster.runUntil(isWhole, 120_000)).toBe(true);
+    const isComplete = () => cluster.daemons.every(({ host }) => host.core.memberCount === 9);
+    expect(cluster.runUntil(isComplete, 120_000)).toBe(true);
     cluster.dispose();
   });
 
-  it('mends what rumours missed', () => {
-    // Symptom: two daemons hold different views for good.
-    // Sequence: a daemon joins and leaves while every rumour is lost.
-    // Cause: news is told a bounded number of times.
+  it('repairs what rumours missed', () => {
+    // Guards against daemons that hold different views for good, because a rumour is sent a limited
+    // number of times and all of them are lost.
     const cluster = new TestCluster({
       zones: { 'fi/a': 6 },
       options: { gossipBytesPerSecond: 0 },
     });
-    const isWhole = () => cluster.daemons.every(({ host }) => host.core.getMembers().length === 6);
-    expect(cluster.runUntil(isWhole, 120_000)).toBe(true);
+    const isComplete = () =>
+      cluster.daemons.every(({ host }) => host.core.getMembers().length === 6);
+    expect(cluster.runUntil(isComplete, 120_000)).toBe(true);
     cluster.dispose();
   });
 
-  it('brings a new daemon a view of many pages at once', () => {
+  it('gives a new daemon a view of many pages immediately', () => {
     const cluster = new TestCluster({ zones: { 'fi/a': 60 }, options: { syncPageBytes: 500 } });
     cluster.run(30_000);
     const late = cluster.add('fi/a');
--- a/packages/cluster/src/lib/AntiEntropy/AntiEntropy.ts
+++ b/packages/cluster/src/lib/AntiEntropy/AntiEntropy.ts
@@ -13,87 +13,88 @@
 type SyncRequest = Extract<PeerRequest, { kind: 'sync' }>;
 type SyncPage = Extract<PeerAnswer, { kind: 'sync-page' }>;
 
-/** While this daemon knows nobody it asks around this often. */
-const JOIN_INTERVAL = 1000;
+/** Milliseconds between syncs while this daemon knows no running peer. */
+const JOIN_SYNC_INTERVAL = 1000;
 
-/** One comparison in so many goes to an address that may be there again. */
-const RECONNECT_SHARE = 4;
+/** On average, one sync in this many goes to an address where a lost peer may be running again. */
+const SYNCS_PER_RECONNECT = 4;
 
 const HASH_BYTES = 4;
 
-interface AntiEntropyParts {
+interface AntiEntropySettings {
   context: CoreContext;
   membership: Membership;
   calls: PeerCalls;
-  /** Addresses from the settings. */
+  /** Configured addresses of daemons. */
   seeds: readonly string[];
   getGeneration: () => number;
   getNotices: () => ReplicaNotice[];
-  hearNotices: (notices: readonly ReplicaNotice[]) => void;
-  /** Takes the generation that an answer carries; the address is where to get it. */
-  hearGeneration: (generation: number, address: string) => void;
+  handleNotices: (notices: readonly ReplicaNotice[]) => void;
+  /** Handles the active generation of the peer at an address. */
+  handleGeneration: (generation: number, address: string) => void;
 }
 
-function getBytes(record: MemberRecord): number {
+function getRecordBytes(record: MemberRecord): number {
   return getRumourBytes({ kind: 'member', record });
 }
 
 /**
- * Compares the whole view with another daemon's now and then: finds what rumours missed, brings a
- * new daemon its first view, and joins parts that took each other for dead.
+ * Periodically compares the whole view with that of another daemon. This repairs what rumours
+ * missed, gives a new daemon its first view, and rejoins the sides of a partition that declared
+ * each other dead.
  */
 export class AntiEntropy {
   private timer: Timer | undefined;
 
-  /** Addresses the platform's list names. */
-  private listed: readonly string[] = [];
+  /** Addresses of the daemons on the platform's instance list. */
+  private listedAddresses: readonly string[] = [];
 
-  /** Where the last comparison stopped for its size. */
-  private resumeAt = 0;
+  /** The bucket at which the last sync reached its size limit, to resume from. */
+  private resumeBucket = 0;
 
-  constructor(private readonly parts: AntiEntropyParts) {}
+  constructor(private readonly settings: AntiEntropySettings) {}
 
   start(): void {
-    this.syncNow();
-    this.arm();
+    this.syncWithRandomPeer();
+    this.scheduleSync();
   }
 
-  setListed(addresses: readonly string[]): void {
-    this.listed = addresses;
+  setListedAddresses(addresses: readonly string[]): void {
+    this.listedAddresses = addresses;
   }
 
-  /** Compares with this daemon now. */
+  /** Starts a sync with the daemon at an address. */
   syncWith(address: string): void {
-    this.parts.context.counters.syncs += 1;
-    this.ask(address, this.resumeAt, this.getRunning().length === 0);
+    this.settings.context.counters.syncs += 1;
+    this.requestPage(address, this.resumeBucket, this.getRunningAddresses().length === 0);
   }
 
-  /** Answers a comparison. */
-  answer(request: SyncRequest): SyncPage {
-    const { context, membership } = this.parts;
-    membership.hearRecord(request.self, WordFrom.Rumour);
+  /** Handles the sync of a peer: returns the records of the buckets that differ. */
+  handleSyncRequest(request: SyncRequest): SyncPage {
+    const { context, membership } = this.settings;
+    membership.hearRecord(request.sender, WordFrom.Rumour);
     const hashes = membership.table.getBucketHashes(membership.self.get());
     const records: MemberRecord[] = [];
     let bytes = 0;
-    let bucket = request.start;
+    let bucket = request.startBucket;
     for (; bucket < BUCKETS && bytes < context.options.syncPageBytes; bucket += 1) {
-      const at = bucket * HASH_BYTES;
-      const isSame = Buffer.compare(
-        hashes.subarray(at, at + HASH_BYTES),
-        request.buckets.subarray(at, at + HASH_BYTES),
+      const offset = bucket * HASH_BYTES;
+      const comparison = Buffer.compare(
+        hashes.subarray(offset, offset + HASH_BYTES),
+        request.bucketHashes.subarray(offset, offset + HASH_BYTES),
       );
-      if (isSame !== 0) {
-        const found = this.getBucketRecords(bucket);
-        records.push(...found);
-        bytes += found.reduce((sum, record) => sum + getBytes(record), 0);
+      if (comparison !== 0) {
+        const bucketRecords = this.getBucketRecords(bucket);
+        records.push(...bucketRecords);
+        bytes += bucketRecords.reduce((sum, record) => sum + getRecordBytes(record), 0);
       }
     }
     return {
       kind: 'sync-page',
-      generation: this.parts.getGeneration(),
+      generation: this.settings.getGeneration(),
       records,
-      notices: this.parts.getNotices(),
-      next: bucket < BUCKETS ? bucket : -1,
+      notices: this.settings.getNotices(),
+      nextBucket: bucket < BUCKETS ? bucket : -1,
     };
   }
 
@@ -101,81 +102,81 @@
     this.timer?.cancel();
   }
 
-  private arm(): void {
-    const { context } = this.parts;
+  private scheduleSync(): void {
+    const { context } = this.settings;
     const { syncInterval } = context.options;
-    const interval = this.getRunning().length === 0 ? JOIN_INTERVAL : syncInterval;
+    const interval = this.getRunningAddresses().length === 0 ? JOIN_SYNC_INTERVAL : syncInterval;
     this.timer = context.clock.setTimer(jitter(context, interval), () => {
-      this.parts.membership.forgetDead();
-      this.syncNow();
-      this.arm();
+      this.settings.membership.forgetDead();
+      this.syncWithRandomPeer();
+      this.scheduleSync();
     });
   }
 
-  private syncNow(): void {
-    const { context } = this.parts;
-    const running = this.getRunning();
-    const lost = this.getLostAddresses(running);
-    const isLostTurn = running.length === 0 || context.random.integer(RECONNECT_SHARE) === 0;
-    const from = isLostTurn && lost.length > 0 ? lost : running;
-    pickSome(context, from, 1).forEach((address) => this.syncWith(address));
+  private syncWithRandomPeer(): void {
+    const { context } = this.settings;
+    const runningAddresses = this.getRunningAddresses();
+    const lostAddresses = this.getLostAddresses(runningAddresses);
+    const shouldTryLost =
+      runningAddresses.length === 0 || context.random.integer(SYNCS_PER_RECONNECT) === 0;
+    const candidates = shouldTryLost && lostAddresses.length > 0 ? lostAddresses : runningAddresses;
+    pickSome(context, candidates, 1).forEach((address) => this.syncWith(address));
   }
 
-  /** @param isJoining - whether this is the first view, which is taken as a whole at once */
-  private ask(address: string, start: number, isJoining: boolean): void {
-    const { context, membership, calls } = this.parts;
+  /** @param isJoining - whether this is the first view, whose pages are all fetched immediately */
+  private requestPage(address: string, startBucket: number, isJoining: boolean): void {
+    const { context, membership, calls } = this.settings;
     const self = membership.self.get();
     const request: SyncRequest = {
       kind: 'sync',
-      generation: this.parts.getGeneration(),
-      self,
-      start,
-      buckets: membership.table.getBucketHashes(self),
+      generation: this.settings.getGeneration(),
+      sender: self,
+      startBucket,
+      bucketHashes: membership.table.getBucketHashes(self),
     };
-    calls.call(address, request, context.options.callTimeout, (answer) => {
-      if (answer?.kind === 'sync-page') {
-        this.takePage(address, answer, isJoining);
+    calls.call(address, request, context.options.callTimeout, (response) => {
+      if (response?.kind === 'sync-page') {
+        this.handlePage(address, response, isJoining);
       }
     });
   }
 
-  private takePage(address: string, page: SyncPage, isJoining: boolean): void {
-    const { membership } = this.parts;
+  private handlePage(address: string, page: SyncPage, isJoining: boolean): void {
+    const { membership } = this.settings;
     page.records.forEach((record) => membership.hearRecord(record, WordFrom.Comparison));
-    this.parts.hearNotices(page.notices);
-    this.parts.hearGeneration(page.generation, address);
-    if (isJoining && page.next >= 0) {
-      this.ask(address, page.next, true);
+    this.settings.handleNotices(page.notices);
+    this.settings.handleGeneration(page.generation, address);
+    if (isJoining && page.nextBucket >= 0) {
+      this.requestPage(address, page.nextBucket, true);
     } else {
-      this.resumeAt = Math.max(0, page.next);
+      this.resumeBucket = Math.max(0, page.nextBucket);
     }
   }
 
   private getBucketRecords(bucket: number): MemberRecord[] {
-    const { table, self } = this.parts.membership;
+    const { table, self } = this.settings.membership;
     const records = table.getBucketRecords(bucket);
     return getBucket(self.get().id) === bucket ? [...records, self.get()] : records;
   }
 
-  /** Addresses of the running members. */
-  private getRunning(): string[] {
-    return [...this.parts.membership.table.values()]
+  private getRunningAddresses(): string[] {
+    return [...this.settings.membership.table.values()]
       .filter(({ record }) => isRunning(record.state))
       .map(({ record }) => getMeshAddress(record));
   }
 
   /**
-   * Where somebody may be whom this daemon takes for dead or doesn't know. Two parts that declared
-   * each other dead never talk again unless somebody tries; one sees two clusters that each go on
-   * alone, on one configuration store.
+   * Addresses at which a daemon may run that this one considers dead or doesn't know. The sides of
+   * a partition that declared each other dead would otherwise never contact each other again, and
+   * continue as two separate clusters on one configuration store.
    */
-  private getLostAddresses(running: readonly string[]): string[] {
-    const { membership, seeds } = this.parts;
-    const known = new Set([...running, getMeshAddress(membership.self.get())]);
+  private getLostAddresses(runningAddresses: readonly string[]): string[] {
+    const { membership, seeds } = this.settings;
+    const known = new Set([...runningAddresses, getMeshAddress(membership.self.get())]);
     const dead = [...membership.table.values()]
       .filter(({ record }) => !isRunning(record.state))
       .map(({ record }) => getMeshAddress(record));
-    const lost = new Set([...seeds, ...this.listed, ...dead]);
+    const lost = new Set([...seeds, ...this.listedAddresses, ...dead]);
     return [...lost].filter((address) => !known.has(address));
   }
 }
--- a/packages/cluster/src/lib/ClusterCore/ClusterCore.fuzz.test.ts
+++ b/packages/cluster/src/lib/ClusterCore/ClusterCore.fuzz.test.ts
@@ -5,8 +5,8 @@
 const RUNS = Number(process.env.APRICOTRILL_FUZZ_RUNS ?? 16);
 const SEED = Number(process.env.APRICOTRILL_FUZZ_SEED ?? 20_261);
 
-describe('ClusterCore under loss, delay, cuts, crashes, freezes and store faults', () => {
-  it('keeps its promises at any moment, and comes together once healed', () => {
+describe('ClusterCore with message loss, delays, partitions, crashes, process pauses and store faults', () => {
+  it('keeps its invariants at all times, and converges after the faults have ended', () => {
     fc.assert(
       fc.property(fc.nat(), clusterCommands, (seed, commands) => {
         const world = new ClusterWorld(seed);
--- a/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
+++ b/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
@@ -5,119 +5,122 @@
 import type { CoreMessage, EmitEffect } from '../coreMessages.js';
 import type { ZoneLoad } from '../LoadDigests/LoadDigests.js';
 import type { DaemonIdentity, Member } from '../Member.js';
-import { CoreParts } from './CoreComponents.js';
+import { CoreComponents } from './CoreComponents.js';
 
-/** Changes of the view within so long have their consequences drawn once. */
-const VIEW_DELAY: Milliseconds = 50;
+/** Changes of the view within this time are handled together. */
+const VIEW_UPDATE_DELAY: Milliseconds = 50;
 
-/** What a core is made of. */
-export interface CoreSettings {
+export interface ClusterCoreSettings {
   self: DaemonIdentity;
   clock: Clock;
   random: Random;
   options: ClusterOptions;
-  /** Mesh addresses of daemons to ask first. */
+  /** Mesh addresses of the daemons to contact first. */
   seeds: readonly string[];
   emit: EmitEffect;
 }
 
 /**
- * Membership and the spread of configuration of one daemon, without I/O: messages in, effects out.
- * The parts under it own one concern each; this class hands each message to the part it is for and
- * draws the consequences of a changed view.
+ * Cluster membership and configuration distribution of one daemon, without I/O: it takes messages
+ * and emits effects. Each component handles one concern; this class dispatches messages to the
+ * components and updates the daemon's duties after the view of the members has changed.
  */
 export class ClusterCore {
-  private readonly parts: CoreParts;
+  private readonly components: CoreComponents;
 
-  private viewTimer: Timer | undefined;
+  private viewUpdateTimer: Timer | undefined;
 
-  private graceTimer: Timer | undefined;
+  private joinGraceTimer: Timer | undefined;
 
-  private isSettled = false;
+  private hasJoinGraceEnded = false;
 
-  constructor(private readonly settings: CoreSettings) {
-    this.parts = new CoreParts(settings, () => this.noteChange());
+  constructor(private readonly settings: ClusterCoreSettings) {
+    this.components = new CoreComponents(settings, () => this.scheduleViewUpdate());
   }
 
   get counters(): Readonly<ClusterCounters> {
-    return this.parts.context.counters;
+    return this.components.context.counters;
   }
 
-  /** The generation in force; 0 before the first one. */
+  /** The active configuration generation; 0 before the first one. */
   get generation(): number {
-    return this.parts.spread.getGeneration();
+    return this.components.distributor.getGeneration();
   }
 
-  /** Whether this daemon is one of its zone's watchers at the store. */
+  /** Whether this daemon is one of its availability zone's store watchers. */
   get isWatching(): boolean {
-    return this.parts.watcher.isWatching;
+    return this.components.watcher.isWatching;
   }
 
-  /** Whether this daemon takes its own network to be at fault. */
+  /** Whether this daemon considers its own network at fault. */
   get isCutOff(): boolean {
-    return this.parts.membership.experience.isCutOff;
+    return this.components.membership.experience.isCutOff;
   }
 
-  /** How many members there are but the dead, this daemon among them. */
+  /** Number of members that are not dead, including this daemon. */
   get memberCount(): number {
-    return this.parts.membership.size;
+    return this.components.membership.size;
   }
 
-  /** All members but the dead, this daemon first. */
+  /** All members that are not dead, this daemon first. */
   getMembers(): Member[] {
-    return this.parts.membership.getMembers(this.generation);
+    return this.components.membership.getMembers(this.generation);
   }
 
-  /** The newest load of each availability zone. */
-  getLoads(): ZoneLoad[] {
-    return this.parts.loads.getLoads();
+  /** The latest load of each availability zone. */
+  getZoneLoads(): ZoneLoad[] {
+    return this.components.loads.getZoneLoads();
   }
 
-  /** Starts to look for peers, to probe, and to watch if it falls to this daemon. */
+  /**
+   * Starts to look for peers, to probe them, and to watch the store if that is this daemon's duty.
+   */
   start(): void {
-    const { membership, prober, regions, antiEntropy, list } = this.parts;
+    const { membership, prober, regionReachability, antiEntropy, listMonitor } = this.components;
     membership.tellSelf();
     prober.start();
-    regions.start();
+    regionReachability.start();
     antiEntropy.start();
-    list.start();
+    listMonitor.start();
     const { clock, options } = this.settings;
-    this.graceTimer = clock.setTimer(options.joinGrace, () => {
-      this.isSettled = true;
-      this.noteChange();
+    this.joinGraceTimer = clock.setTimer(options.joinGracePeriod, () => {
+      this.hasJoinGraceEnded = true;
+      this.scheduleViewUpdate();
     });
-    this.followChange();
+    this.updateView();
   }
 
   handle(message: CoreMessage): void {
-    this.parts.membership.noticePause();
+    this.components.membership.noticePause();
     this.dispatch(message);
   }
 
   dispose(): void {
-    this.viewTimer?.cancel();
-    this.graceTimer?.cancel();
-    const { prober, regions, antiEntropy, list, watcher, loads } = this.parts;
-    const { spreader, calls, spread, membership } = this.parts;
+    this.viewUpdateTimer?.cancel();
+    this.joinGraceTimer?.cancel();
+    const { prober, regionReachability, antiEntropy, listMonitor, watcher, loads } =
+      this.components;
+    const { spreader, calls, distributor, membership } = this.components;
     [
       prober,
-      regions,
+      regionReachability,
       antiEntropy,
-      list,
+      listMonitor,
       watcher,
       loads,
       spreader,
       calls,
-      spread,
+      distributor,
       membership,
-    ].forEach((part) => part.dispose());
+    ].forEach((component) => component.dispose());
   }
 
   private dispatch(message: CoreMessage): void {
-    const { calls, list, loads, membership, notices, requests, spread, watcher } = this.parts;
+    const { calls, listMonitor, loads, membership, notices, requestHandler, distributor, watcher } =
+      this.components;
     switch (message.kind) {
       case 'request':
-        requests.handle(message.requestId, message.from, message.request);
+        requestHandler.handleRequest(message.requestId, message.from, message.request);
         break;
       case 'answer':
         calls.settle(message.callId, message.answer);
@@ -126,25 +129,25 @@
         calls.settle(message.callId, undefined);
         break;
       case 'watch-answered':
-        membership.experience.recordPlatform();
-        watcher.hearChanges(message.watchId, message.changes);
+        membership.experience.recordPlatformResponse();
+        watcher.handleChanges(message.watchId, message.changes);
         break;
       case 'watch-failed':
-        watcher.hearWatchFailure(message.watchId);
+        watcher.handleWatchFailure(message.watchId);
         break;
       case 'manifest-read':
-        membership.experience.recordPlatform();
-        watcher.hearManifest(message.text, message.version);
+        membership.experience.recordPlatformResponse();
+        watcher.handleManifest(message.text, message.version);
         break;
       case 'parts-read':
-        spread.hearStoreParts(message.readId, message.parts);
+        distributor.handleStoreParts(message.readId, message.parts);
         break;
       case 'parts-read-failed':
-        spread.hearStoreParts(message.readId, new Map());
+        distributor.handleStoreParts(message.readId, new Map());
         break;
       case 'instances-read':
-        membership.experience.recordPlatform();
-        list.take(message.instances);
+        membership.experience.recordPlatformResponse();
+        listMonitor.handleInstances(message.instances);
         break;
       case 'manifest-read-failed':
       case 'instances-read-failed':
@@ -163,25 +166,28 @@
     }
   }
 
-  private noteChange(): void {
-    this.viewTimer ??= this.settings.clock.setTimer(VIEW_DELAY, () => this.followChange());
+  private scheduleViewUpdate(): void {
+    this.viewUpdateTimer ??= this.settings.clock.setTimer(VIEW_UPDATE_DELAY, () =>
+      this.updateView(),
+    );
   }
 
-  private followChange(): void {
-    this.viewTimer?.cancel();
-    this.viewTimer = undefined;
-    this.parts.duties.update(this.getMembers());
-    this.assignWatch();
+  private updateView(): void {
+    this.viewUpdateTimer?.cancel();
+    this.viewUpdateTimer = undefined;
+    this.components.duties.update(this.getMembers());
+    this.updateWatchDuty();
     this.settings.emit({ kind: 'members' });
   }
 
-  private assignWatch(): void {
-    const { duties, membership, watcher } = this.parts;
+  private updateWatchDuty(): void {
+    const { duties, membership, watcher } = this.components;
     const { watchRank } = duties;
-    // Everybody is alone at first: if all took the duty, a restart of all would flood the store.
-    const mayTakeDuties = this.isSettled || membership.size > 1;
-    // A daemon that reaches nobody hears of nothing, but it may still reach the store.
+    // Every daemon knows no peers at first. If each took the duty then, a restart of all daemons
+    // would flood the store.
+    const mayTakeDuties = this.hasJoinGraceEnded || membership.size > 1;
+    // A daemon that is cut off from its peers gets no updates, but it may still reach the store.
     const isNeeded = watchRank >= 0 || membership.experience.isCutOff;
-    watcher.setDuty(mayTakeDuties && isNeeded, watchRank);
+    watcher.setEnabled(mayTakeDuties && isNeeded, watchRank);
   }
 }
--- a/packages/cluster/src/lib/ClusterCore/CoreComponents.ts
+++ b/packages/cluster/src/lib/ClusterCore/CoreComponents.ts
@@ -1,8 +1,8 @@
 import { AntiEntropy } from '../AntiEntropy/AntiEntropy.js';
 import { createClusterCounters } from '../ClusterCounters.js';
-import { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
+import { ConfigurationDistributor } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
-import { ListJudge } from '../InstanceListMonitor/InstanceListMonitor.js';
+import { InstanceListMonitor } from '../InstanceListMonitor/InstanceListMonitor.js';
 import { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import { getMeshAddress } from '../Member.js';
 import { Membership } from '../Membership/Membership.js';
@@ -10,18 +10,18 @@
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import { Prober } from '../Prober/Prober.js';
 import { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
-import { RegionReach } from '../RegionReachability/RegionReachability.js';
+import { RegionReachability } from '../RegionReachability/RegionReachability.js';
 import { ReplicaNotices } from '../ReplicaNotices/ReplicaNotices.js';
 import { Spreader } from '../Spreader/Spreader.js';
 import { StoreWatcher } from '../StoreWatcher/StoreWatcher.js';
-import type { CoreSettings } from './ClusterCore.js';
-import { Duties } from './ZoneDuties.js';
-import { PeerTalk } from './PeerGossip.js';
+import type { ClusterCoreSettings } from './ClusterCore.js';
+import { ZoneDuties } from './ZoneDuties.js';
+import { PeerGossip } from './PeerGossip.js';
 import { RequestHandler } from './RequestHandler.js';
-import { RumourReader } from './RumourDispatcher.js';
+import { RumourDispatcher } from './RumourDispatcher.js';
 
-/** The parts of a core, each with one concern, and how they are wired. */
-export class CoreParts {
+/** Creates the components of a core, each with one concern, and connects them. */
+export class CoreComponents {
   readonly context: CoreContext;
 
   readonly calls: PeerCalls;
@@ -32,56 +32,56 @@
 
   readonly targets: ProbeTargets;
 
-  readonly duties: Duties;
+  readonly duties: ZoneDuties;
 
   readonly notices: ReplicaNotices;
 
   readonly loads: LoadDigests;
 
-  readonly spread: ConfigurationSpread;
+  readonly distributor: ConfigurationDistributor;
 
   readonly watcher: StoreWatcher;
 
-  readonly regions: RegionReach;
+  readonly regionReachability: RegionReachability;
 
   readonly prober: Prober;
 
   readonly antiEntropy: AntiEntropy;
 
-  readonly list: ListJudge;
+  readonly listMonitor: InstanceListMonitor;
 
-  readonly requests: RequestHandler;
+  readonly requestHandler: RequestHandler;
 
-  private readonly talk: PeerTalk;
+  private readonly peerGossip: PeerGossip;
 
   constructor(
-    private readonly settings: CoreSettings,
+    private readonly settings: ClusterCoreSettings,
     private readonly onChange: () => void,
   ) {
     const { self, options, emit, clock, random } = settings;
     this.context = { clock, random, options, emit, counters: createClusterCounters() };
     this.calls = new PeerCalls(emit);
-    this.duties = new Duties(self, options);
+    this.duties = new ZoneDuties(self, options);
     this.spreader = this.createSpreader();
     this.membership = this.createMembership();
     this.targets = new ProbeTargets(self, this.membership.table, options);
     this.notices = new ReplicaNotices(this.context, (rumour) => this.spreader.tell(rumour));
     this.loads = this.createLoads();
-    this.spread = this.createSpread();
+    this.distributor = this.createDistributor();
     this.watcher = this.createWatcher();
-    this.regions = this.createRegions();
-    this.talk = this.createTalk();
+    this.regionReachability = this.createRegionReachability();
+    this.peerGossip = this.createPeerGossip();
     this.prober = this.createProber();
     this.antiEntropy = this.createAntiEntropy();
-    this.list = this.createList();
-    this.requests = this.createRequests();
+    this.listMonitor = this.createListMonitor();
+    this.requestHandler = this.createRequestHandler();
   }
 
   private createSpreader(): Spreader {
     return new Spreader({
       context: this.context,
       getSize: () => this.membership.size,
-      push: () => this.talk.push(this.context.options.gossipFanout),
+      push: () => this.peerGossip.sendGossip(this.context.options.gossipFanout),
     });
   }
 
@@ -90,7 +90,7 @@
       context: this.context,
       identity: this.settings.self,
       tell: (rumour) => this.spreader.tell(rumour),
-      isRegionReachable: (region) => this.regions.isReachable(region),
+      isRegionReachable: (region) => this.regionReachability.isReachable(region),
       isOursToJudge: (member) => this.targets.isOursToJudge(member),
       onChange: this.onChange,
     });
@@ -101,39 +101,43 @@
     return new LoadDigests({
       context: this.context,
       availabilityZone,
-      tell: (rumour) => this.spreader.tellBriefly(rumour),
+      announce: (rumour) => this.spreader.tellBriefly(rumour),
       getZoneSize: () => this.duties.zoneSize,
       getReporter: () => (this.duties.reporter === id ? undefined : this.duties.reporter),
-      send: (reporter, services) => this.sendLoad(reporter, services),
+      sendLoad: (reporter, services) => this.sendLoad(reporter, services),
     });
   }
 
   private sendLoad(reporter: string, services: readonly ServiceLoad[]): void {
     const entry = this.membership.table.get(reporter);
     if (entry !== undefined) {
-      const request = { kind: 'load', generation: this.spread.getGeneration(), services } as const;
+      const request = {
+        kind: 'load',
+        generation: this.distributor.getGeneration(),
+        services,
+      } as const;
       const { callTimeout } = this.context.options;
       this.calls.call(getMeshAddress(entry.record), request, callTimeout);
     }
   }
 
-  private createSpread(): ConfigurationSpread {
-    return new ConfigurationSpread({
+  private createDistributor(): ConfigurationDistributor {
+    return new ConfigurationDistributor({
       context: this.context,
       calls: this.calls,
-      pushNews: () => this.talk.push(this.context.options.newsFanout),
+      pushGeneration: () => this.peerGossip.sendGossip(this.context.options.generationFanout),
     });
   }
 
   private createWatcher(): StoreWatcher {
     return new StoreWatcher({
       context: this.context,
-      onManifest: (manifest) => this.spread.hearManifest(manifest),
+      onManifest: (manifest) => this.distributor.handleStoreManifest(manifest),
     });
   }
 
-  private createRegions(): RegionReach {
-    return new RegionReach({
+  private createRegionReachability(): RegionReachability {
+    return new RegionReachability({
       context: this.context,
       ownRegion: this.settings.self.region,
       targets: this.targets,
@@ -142,63 +146,76 @@
     });
   }
 
-  private createTalk(): PeerTalk {
-    const { context, calls, membership, targets, regions, spreader, spread } = this;
-    const reader = new RumourReader(membership, this.notices, this.loads, context.counters);
-    return new PeerTalk({
+  private createPeerGossip(): PeerGossip {
+    const { context, calls, membership, targets, regionReachability, spreader, distributor } = this;
+    const rumourDispatcher = new RumourDispatcher(
+      membership,
+      this.notices,
+      this.loads,
+      context.counters,
+    );
+    return new PeerGossip({
       context,
       calls,
       membership,
       targets,
-      regions,
+      regionReachability,
       spreader,
-      spread,
-      reader,
+      distributor,
+      rumourDispatcher,
     });
   }
 
   private createProber(): Prober {
-    const { context, membership, targets, calls, talk } = this;
+    const { context, membership, targets, calls, peerGossip } = this;
     return new Prober({
       context,
       membership,
       targets,
       calls,
-      getGeneration: () => this.spread.getGeneration(),
-      takeRumours: () => talk.takeRumours(),
-      hear: (member, answer) => talk.hearAnswer(member, answer),
+      getGeneration: () => this.distributor.getGeneration(),
+      takeRumours: () => peerGossip.takeRumours(),
+      hear: (member, response) => peerGossip.handleResponse(member, response),
     });
   }
 
   private createAntiEntropy(): AntiEntropy {
-    const { context, membership, calls, notices, spread } = this;
+    const { context, membership, calls, notices, distributor } = this;
     return new AntiEntropy({
       context,
       membership,
       calls,
       seeds: this.settings.seeds,
-      getGeneration: () => spread.getGeneration(),
+      getGeneration: () => distributor.getGeneration(),
       getNotices: () => notices.getNotices(),
-      hearNotices: (heard) => heard.forEach((notice) => notices.hear(notice)),
-      hearGeneration: (generation, address) => spread.hearGeneration(generation, address),
+      handleNotices: (received) => received.forEach((notice) => notices.hear(notice)),
+      handleGeneration: (generation, address) => distributor.handleGeneration(generation, address),
     });
   }
 
-  private createList(): ListJudge {
-    return new ListJudge({
+  private createListMonitor(): InstanceListMonitor {
+    return new InstanceListMonitor({
       context: this.context,
       membership: this.membership,
-      isReader: () => this.duties.reporter === this.settings.self.id,
-      isRegionReachable: (region) => this.regions.isReachable(region),
+      isListReader: () => this.duties.reporter === this.settings.self.id,
+      isRegionReachable: (region) => this.regionReachability.isReachable(region),
       onReplicaLeaving: (replica) => this.notices.report(replica),
-      onDaemons: (addresses) => this.antiEntropy.setListed(addresses),
+      onDaemonAddresses: (addresses) => this.antiEntropy.setListedAddresses(addresses),
     });
   }
 
-  private createRequests(): RequestHandler {
-    const { context, calls, talk, spread, antiEntropy, loads } = this;
-    const reply = (requestId: number, answer: PeerAnswer) =>
-      this.settings.emit({ kind: 'reply', requestId, answer });
-    return new RequestHandler({ context, calls, talk, spread, antiEntropy, loads, reply });
+  private createRequestHandler(): RequestHandler {
+    const { context, calls, peerGossip, distributor, antiEntropy, loads } = this;
+    const reply = (requestId: number, response: PeerAnswer) =>
+      this.settings.emit({ kind: 'reply', requestId, answer: response });
+    return new RequestHandler({
+      context,
+      calls,
+      peerGossip,
+      distributor,
+      antiEntropy,
+      loads,
+      reply,
+    });
   }
 }
--- a/packages/cluster/src/lib/ClusterCore/PeerGossip.ts
+++ b/packages/cluster/src/lib/ClusterCore/PeerGossip.ts
@@ -1,4 +1,4 @@
-import type { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
+import type { ConfigurationDistributor } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
 import { pickSome } from '../CoreContext.js';
 import { getMeshAddress } from '../Member.js';
@@ -6,86 +6,90 @@
 import type { PeerAnswer, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
-import type { RegionReach } from '../RegionReachability/RegionReachability.js';
+import type { RegionReachability } from '../RegionReachability/RegionReachability.js';
 import type { Spreader } from '../Spreader/Spreader.js';
-import type { RumourReader } from './RumourDispatcher.js';
+import type { RumourDispatcher } from './RumourDispatcher.js';
 
-interface PeerTalkParts {
+interface PeerGossipSettings {
   context: CoreContext;
   calls: PeerCalls;
   membership: Membership;
   targets: ProbeTargets;
-  regions: RegionReach;
+  regionReachability: RegionReachability;
   spreader: Spreader;
-  reader: RumourReader;
-  spread: ConfigurationSpread;
+  rumourDispatcher: RumourDispatcher;
+  distributor: ConfigurationDistributor;
 }
 
-/** What passes along with every message to and from peers: rumours and generations. */
-export class PeerTalk {
-  constructor(private readonly parts: PeerTalkParts) {}
+/**
+ * Handles what is piggybacked on the messages to and from peers, rumours and active generations,
+ * and sends gossip.
+ */
+export class PeerGossip {
+  constructor(private readonly settings: PeerGossipSettings) {}
 
-  /** This daemon's id. */
-  get self(): string {
-    return this.parts.membership.self.get().id;
+  get selfId(): string {
+    return this.settings.membership.self.get().id;
   }
 
-  /** Rumours to send along; not those that the receiver has just told. */
-  takeRumours(heard: readonly Rumour[] = []): Rumour[] {
-    return this.parts.spreader.take(heard).map((rumour) => this.parts.reader.refresh(rumour));
+  /** Takes rumours to piggyback on a message, without those just received from its receiver. */
+  takeRumours(received: readonly Rumour[] = []): Rumour[] {
+    return this.settings.spreader
+      .take(received)
+      .map((rumour) => this.settings.rumourDispatcher.refresh(rumour));
   }
 
-  /** @returns newer word on what the sender told */
-  hearRumours(rumours: readonly Rumour[]): Rumour[] {
-    return this.parts.reader.hear(rumours);
+  /** @returns newer records where the sender's rumours were outdated */
+  handleRumours(rumours: readonly Rumour[]): Rumour[] {
+    return this.settings.rumourDispatcher.handleRumours(rumours);
   }
 
-  /** What a peer ought to know about itself. */
-  getWordOn(member: string): Rumour[] {
-    return this.parts.membership.getWordOn(member);
+  /** What a peer needs to know about itself: that it is not considered alive. */
+  getUpdatesAbout(member: string): Rumour[] {
+    return this.settings.membership.getWordOn(member);
   }
 
-  /** A member told its generation, and with that that its region can be reached. */
-  hearGeneration(member: string, generation: number): void {
-    const { membership, regions, spread } = this.parts;
+  /** Handles the active generation of a member, which also shows that its region is reachable. */
+  handleGeneration(member: string, generation: number): void {
+    const { membership, regionReachability, distributor } = this.settings;
     const entry = membership.table.get(member);
     if (entry !== undefined) {
       membership.table.setGeneration(member, generation);
-      regions.hear(entry.record.region);
-      spread.hearGeneration(generation, getMeshAddress(entry.record));
+      regionReachability.recordContact(entry.record.region);
+      distributor.handleGeneration(generation, getMeshAddress(entry.record));
     }
   }
 
-  /** Takes what an answer carries beside the answer. */
-  hearAnswer(member: string, answer: PeerAnswer): void {
-    this.hearGeneration(member, answer.generation);
-    if (answer.kind === 'ack') {
-      this.hearRumours(answer.rumours);
+  /** Handles what is piggybacked on a response. */
+  handleResponse(member: string, response: PeerAnswer): void {
+    this.handleGeneration(member, response.generation);
+    if (response.kind === 'ack') {
+      this.handleRumours(response.rumours);
     }
   }
 
-  /** Sends rumours and the generation in force to some of the peers that are talked to anyway. */
-  push(fanout: number): void {
-    const { context, calls, spread } = this.parts;
-    pickSome(context, this.getContacts(), fanout).forEach((member) => {
-      const { record } = this.parts.membership.table.get(member)!;
+  /** Sends rumours and the active generation to some of the peers with an open connection. */
+  sendGossip(fanout: number): void {
+    const { context, calls, distributor } = this.settings;
+    pickSome(context, this.getGossipTargets(), fanout).forEach((member) => {
+      const { record } = this.settings.membership.table.get(member)!;
       const rumours = this.takeRumours();
-      const request = { kind: 'gossip', generation: spread.getGeneration(), rumours } as const;
+      const request = { kind: 'gossip', generation: distributor.getGeneration(), rumours } as const;
       context.counters.gossips += 1;
-      calls.call(getMeshAddress(record), request, context.options.callTimeout, (answer) => {
-        if (answer !== undefined) {
-          this.hearAnswer(member, answer);
+      calls.call(getMeshAddress(record), request, context.options.callTimeout, (response) => {
+        if (response !== undefined) {
+          this.handleResponse(member, response);
         }
       });
     });
   }
 
-  /** Neighbours, and one link into each other region: connections to them are open. */
-  private getContacts(): string[] {
-    const { membership, regions, targets } = this.parts;
+  /** The neighbours and one link into each other region, which are probed anyway. */
+  private getGossipTargets(): string[] {
+    const { membership, regionReachability, targets } = this.settings;
     const ownRegion = membership.self.get().region;
     const links = [...targets.getRegions().keys()]
-      .filter((region) => region !== ownRegion && regions.isReachable(region))
+      .filter((region) => region !== ownRegion && regionReachability.isReachable(region))
       .map((region) => targets.getLink(region, 0))
       .filter((link) => link !== undefined);
     return [...targets.getNeighbours(), ...links];
--- a/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
+++ b/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
@@ -1,85 +1,89 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { AntiEntropy } from '../AntiEntropy/AntiEntropy.js';
-import type { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
+import type { ConfigurationDistributor } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
 import type { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import type { PeerAnswer, PeerRequest, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import type { PeerTalk } from './PeerGossip.js';
+import type { PeerGossip } from './PeerGossip.js';
 
-type PingThrough = Extract<PeerRequest, { kind: 'ping-through' }>;
+type IndirectPing = Extract<PeerRequest, { kind: 'ping-through' }>;
 
-interface RequestParts {
+interface RequestHandlerSettings {
   context: CoreContext;
   calls: PeerCalls;
-  talk: PeerTalk;
-  spread: ConfigurationSpread;
+  peerGossip: PeerGossip;
+  distributor: ConfigurationDistributor;
   antiEntropy: AntiEntropy;
   loads: LoadDigests;
-  reply: (requestId: number, answer: PeerAnswer) => void;
+  reply: (requestId: number, response: PeerAnswer) => void;
 }
 
-/** Answers what peers ask. */
+/** Handles the requests of peers. */
 export class RequestHandler {
-  constructor(private readonly parts: RequestParts) {}
+  constructor(private readonly settings: RequestHandlerSettings) {}
 
-  handle(requestId: number, from: string, request: PeerRequest): void {
-    this.parts.context.counters.requests += 1;
-    this.parts.talk.hearGeneration(from, request.generation);
+  handleRequest(requestId: number, from: string, request: PeerRequest): void {
+    this.settings.context.counters.requests += 1;
+    this.settings.peerGossip.handleGeneration(from, request.generation);
     if (request.kind === 'ping-through') {
-      this.pingFor(requestId, from, request);
+      this.handleIndirectPing(requestId, from, request);
     } else {
-      this.parts.reply(requestId, this.getAnswer(from, request));
+      this.settings.reply(requestId, this.respond(from, request));
     }
   }
 
-  private getAnswer(from: string, request: Exclude<PeerRequest, PingThrough>): PeerAnswer {
-    const { antiEntropy, loads, spread, talk } = this.parts;
+  private respond(from: string, request: Exclude<PeerRequest, IndirectPing>): PeerAnswer {
+    const { antiEntropy, loads, distributor, peerGossip } = this.settings;
     switch (request.kind) {
       case 'ping':
-        return request.member === talk.self
-          ? this.getAck(from, request.rumours)
-          : { kind: 'nothing', generation: spread.getGeneration() };
+        return request.member === peerGossip.selfId
+          ? this.createAck(from, request.rumours)
+          : { kind: 'nack', generation: distributor.getGeneration() };
       case 'gossip':
-        return this.getAck(from, request.rumours);
+        return this.createAck(from, request.rumours);
       case 'sync':
-        return antiEntropy.answer(request);
+        return antiEntropy.handleSyncRequest(request);
       case 'fetch-manifest':
-        return spread.answerManifest(request.generation);
+        return distributor.createManifestResponse(request.generation);
       case 'fetch-parts':
-        return spread.answerParts(request.hashes);
+        return distributor.createPartsResponse(request.hashes);
       case 'load':
-        loads.hearLoad(from, request.services);
-        return this.getAck(from, []);
+        loads.handleLoad(from, request.services);
+        return this.createAck(from, []);
       default:
         throw exhaustiveSwitchError(request);
     }
   }
 
-  private getAck(from: string, rumours: readonly Rumour[]): PeerAnswer {
-    const { spread, talk } = this.parts;
-    const told = talk.hearRumours(rumours);
-    const own = [...told, ...talk.getWordOn(from), ...talk.takeRumours(rumours)];
-    return { kind: 'ack', generation: spread.getGeneration(), rumours: own };
+  private createAck(from: string, rumours: readonly Rumour[]): PeerAnswer {
+    const { distributor, peerGossip } = this.settings;
+    const corrections = peerGossip.handleRumours(rumours);
+    const ownRumours = [
+      ...corrections,
+      ...peerGossip.getUpdatesAbout(from),
+      ...peerGossip.takeRumours(rumours),
+    ];
+    return { kind: 'ack', generation: distributor.getGeneration(), rumours: ownRumours };
   }
 
-  /** Probes a member for a peer that got no answer from it. */
-  private pingFor(requestId: number, from: string, request: PingThrough): void {
-    const { calls, context, reply, spread, talk } = this.parts;
-    talk.hearRumours(request.rumours);
+  /** Pings a member on behalf of a peer that got no response from it. */
+  private handleIndirectPing(requestId: number, from: string, request: IndirectPing): void {
+    const { calls, context, reply, distributor, peerGossip } = this.settings;
+    peerGossip.handleRumours(request.rumours);
     const ping = {
       kind: 'ping',
-      generation: spread.getGeneration(),
+      generation: distributor.getGeneration(),
       member: request.member,
       rumours: request.rumours,
     } as const;
-    calls.call(request.address, ping, context.options.indirectTimeout, (answer) => {
-      const generation = spread.getGeneration();
-      if (answer?.kind === 'ack') {
-        talk.hearRumours(answer.rumours);
-        reply(requestId, { kind: 'ack', generation, rumours: [...answer.rumours] });
+    calls.call(request.address, ping, context.options.indirectTimeout, (response) => {
+      const generation = distributor.getGeneration();
+      if (response?.kind === 'ack') {
+        peerGossip.handleRumours(response.rumours);
+        reply(requestId, { kind: 'ack', generation, rumours: [...response.rumours] });
       } else {
-        reply(requestId, { kind: 'nothing', generation });
+        reply(requestId, { kind: 'nack', generation });
       }
     });
   }
--- a/packages/cluster/src/lib/ClusterCore/RumourDispatcher.ts
+++ b/packages/cluster/src/lib/ClusterCore/RumourDispatcher.ts
@@ -7,11 +7,11 @@
 import type { Rumour } from '../messages.js';
 import type { ReplicaNotices } from '../ReplicaNotices/ReplicaNotices.js';
 
-/** Old words that one message is corrected on at most; comparison of views does the rest. */
+/** Maximum corrections of outdated rumours per message; anti-entropy takes care of the rest. */
 const MAX_CORRECTIONS = 8;
 
-/** Hands each rumour to the part it is for, and keeps what is told on fresh. */
-export class RumourReader {
+/** Dispatches received rumours to their components, and refreshes rumours before they are sent. */
+export class RumourDispatcher {
   constructor(
     private readonly membership: Membership,
     private readonly notices: ReplicaNotices,
@@ -20,27 +20,27 @@
   ) {}
 
   /**
-   * Takes the rumours of one message.
+   * Handles the rumours of one message.
    *
-   * @returns newer word on what the sender told, for the answer
+   * @returns newer records where the rumours were outdated, to be sent with the response
    */
-  hear(rumours: readonly Rumour[]): Rumour[] {
+  handleRumours(rumours: readonly Rumour[]): Rumour[] {
     this.counters.rumoursHeard += rumours.length;
     return rumours
-      .map((rumour) => this.hearOne(rumour))
+      .map((rumour) => this.handleRumour(rumour))
       .filter((record) => record !== undefined)
       .slice(0, MAX_CORRECTIONS)
       .map((record) => ({ kind: 'member', record }));
   }
 
-  /** A rumour as it holds now: it may have waited. */
+  /** Updates a rumour that may have waited in the queue to the present time. */
   refresh(rumour: Rumour): Rumour {
     return rumour.kind === 'replica-leaving'
       ? { kind: 'replica-leaving', notice: this.notices.refresh(rumour.notice) }
       : rumour;
   }
 
-  private hearOne(rumour: Rumour): MemberRecord | undefined {
+  private handleRumour(rumour: Rumour): MemberRecord | undefined {
     switch (rumour.kind) {
       case 'member':
         return this.membership.hearRecord(rumour.record, WordFrom.Rumour);
@@ -50,7 +50,7 @@
         this.notices.hear(rumour.notice);
         return undefined;
       case 'zone-load':
-        this.loads.hearReport(rumour.report);
+        this.loads.handleReport(rumour.report);
         return undefined;
       default:
         throw exhaustiveSwitchError(rumour);
--- a/packages/cluster/src/lib/ClusterCore/ZoneDuties.ts
+++ b/packages/cluster/src/lib/ClusterCore/ZoneDuties.ts
@@ -4,51 +4,54 @@
 import { MemberState } from '../Member.js';
 
 /**
- * What falls to whom in this daemon's availability zone. Every daemon computes it from its own
- * view; where views differ for a while, more or fewer than intended act, which costs a few calls.
+ * Assigns duties to the daemons of this daemon's availability zone. Every daemon computes the
+ * assignment from its own view. While views differ, more or fewer daemons than intended perform a
+ * duty, which costs a few calls.
  */
-export class Duties {
-  /** The zone's daemons that duties may be given to, in the order in which they get them. */
-  private order: string[] = [];
+export class ZoneDuties {
+  /** The zone's daemons that may be given duties, in the order in which they are given them. */
+  private candidates: string[] = [];
 
-  private size = 1;
+  private daemonCount = 1;
 
   constructor(
     private readonly self: DaemonIdentity,
     private readonly options: ClusterOptions,
   ) {}
 
-  /** How many daemons the own zone has. */
+  /** Number of daemons in the zone. */
   get zoneSize(): number {
-    return this.size;
+    return this.daemonCount;
   }
 
-  /** The daemon that sums up the zone's load and reads the platform's list for it. */
+  /**
+   * The daemon that reports the zone's load and reads the platform's instance list for the zone.
+   */
   get reporter(): string {
-    return this.order[0] ?? this.self.id;
+    return this.candidates[0] ?? this.self.id;
   }
 
-  /** This daemon's place among the watchers; -1 when it is none. */
+  /** This daemon's rank among the store watchers; -1 if it is not one of them. */
   get watchRank(): number {
-    const rank = Math.max(0, this.order.indexOf(this.self.id));
+    const rank = Math.max(0, this.candidates.indexOf(this.self.id));
     const isWatcher =
-      this.order.length === 0 ||
-      (this.order[rank] === this.self.id && rank < this.options.watchersPerZone);
+      this.candidates.length === 0 ||
+      (this.candidates[rank] === this.self.id && rank < this.options.watchersPerZone);
     return isWatcher ? rank : -1;
   }
 
-  /** @param members - the view, this daemon first */
+  /** @param members - all known members, this daemon first */
   update(members: readonly Member[]): void {
     const { availabilityZone } = this.self;
     const zone = members.filter((member) => member.availabilityZone === availabilityZone);
-    const able = zone.filter(
+    const eligible = zone.filter(
       (member) => member.isEligible || (this.isSelf(member) && member.state === MemberState.Alive),
     );
-    this.size = zone.length;
+    this.daemonCount = zone.length;
     const key = `cluster-duties/${availabilityZone}`;
-    this.order = getRendezvousOrder(
+    this.candidates = getRendezvousOrder(
       key,
-      able.map(({ id }) => id),
+      eligible.map(({ id }) => id),
     );
   }
 
--- a/packages/cluster/src/lib/ClusterCounters.ts
+++ b/packages/cluster/src/lib/ClusterCounters.ts
@@ -1,5 +1,5 @@
 /**
- * What the cluster part has done so far.
+ * Counters of this daemon's cluster activity since it started.
  *
  * @public
  */
@@ -16,14 +16,13 @@
   fetches: number;
   partsFromPeers: number;
   partsFromStore: number;
-  /** Store calls: reads of the manifest, of parts, of the list; watches started. */
+  /** Calls to the platform: reads of the manifest, of parts and of the instance list; watches. */
   manifestReads: number;
   partReads: number;
   listReads: number;
   watches: number;
 }
 
-/** Counters at zero. */
 export function createClusterCounters(): ClusterCounters {
   return {
     probes: 0,
--- a/packages/cluster/src/lib/ClusterEvent.ts
+++ b/packages/cluster/src/lib/ClusterEvent.ts
@@ -1,49 +1,52 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** Who brought a generation of the configuration. */
+/** Where a configuration generation came from. */
 export enum ConfigurationSource {
   Store = 'store',
   Peer = 'peer',
 }
 
-/** What led to a daemon's death notice. */
+/** Why a member was declared dead. */
 export enum DeathCause {
-  /** Its time to refute a suspicion ran out. */
+  /** It did not refute a suspicion in time. */
   Unrefuted = 'unrefuted',
-  /** It was leaving and no longer answers. */
+  /** It was leaving and no longer responds. */
   Left = 'left',
-  /** It does not answer and the platform's list no longer has it. */
+  /** It does not respond and is no longer on the platform's instance list. */
   Unlisted = 'unlisted',
-  /** Word from a peer. */
+  /** A peer reported it dead. */
   Word = 'word',
 }
 
 /**
- * A decision of the cluster part, one log line each.
+ * An event of cluster membership or configuration distribution; each becomes one log line.
  *
  * @public
  */
 export type ClusterEvent =
   | { kind: 'member-joined'; member: string; incarnation: number }
-  /** Neither we nor the peers we asked could reach it. */
+  /** Neither a direct probe nor the indirect ones through peers reached it. */
   | { kind: 'member-suspected'; member: string; incarnation: number }
   | { kind: 'member-refuted'; member: string; incarnation: number }
   | { kind: 'member-leaving'; member: string }
   | { kind: 'member-dead'; member: string; incarnation: number; cause: DeathCause }
   | { kind: 'member-damped'; member: string; penalty: number }
   | { kind: 'member-undamped'; member: string }
-  /** Most peers tried did not answer: this daemon's own network is at fault, its view is kept. */
+  /** Most peers tried did not respond: this daemon's own network is at fault, its view is kept. */
   | { kind: 'cut-off'; tried: number; failed: number }
   | { kind: 'reconnected'; tried: number; failed: number }
   | { kind: 'region-unreachable'; region: string }
   | { kind: 'region-reachable'; region: string }
-  /** Peers held a wrong word about this daemon, which it contradicted. */
+  /** This daemon refuted a wrong claim of peers about it. */
   | { kind: 'self-refuted'; refutation: number }
-  /** Another process with this daemon's id was started later, or its clock runs ahead. */
+  /** Another process with this daemon's id was started later, or its clock is ahead. */
   | { kind: 'incarnation-raised'; from: number; to: number }
-  /** This process did not run for so long; what it missed counts against nobody. */
+  /**
+   * This process did not run for this long; timeouts that elapsed meanwhile are not held against
+   * peers.
+   */
   | { kind: 'pause-noticed'; span: Milliseconds }
-  /** The platform's list lacks this daemon, so it is not believed on who is gone. */
+  /** The platform's instance list lacks this daemon, so it is not trusted on who is gone. */
   | { kind: 'list-distrusted'; instances: number }
   | { kind: 'watch-started'; rank: number }
   | { kind: 'watch-ended' }
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.test.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.test.ts
@@ -16,7 +16,7 @@
 
 afterEach(() => disposables.splice(0).forEach((disposable) => disposable.dispose()));
 
-/** Daemons as they run, over sockets, with a platform in memory. */
+/** Creates daemons that communicate over sockets and share a platform in memory. */
 async function createDaemons(size: number) {
   const objects = new ObjectStore(clock);
   const instanceList = new MemoryInstanceList(new InstanceDirectory(clock));
@@ -34,7 +34,7 @@
       store,
       instanceList,
       seeds: [...seeds],
-      options: { probeInterval: 50, joinGrace: 100 },
+      options: { probeInterval: 50, joinGracePeriod: 100 },
     });
     seeds.push({ host: '127.0.0.1', port: meshPort });
     disposables.push(cluster, mesh);
@@ -42,7 +42,7 @@
   };
   const daemons = [];
   for (let index = 0; index < size; index += 1) {
-    // eslint-disable-next-line no-await-in-loop -- each has the ones before as seeds
+    // eslint-disable-next-line no-await-in-loop -- each has the earlier ones as seeds
     daemons.push(await create(`daemon-${index}`));
   }
   const configuration = new ConfigurationStore({
@@ -54,54 +54,54 @@
 
 type Daemon = Awaited<ReturnType<typeof createDaemons>>['daemons'][number];
 
-function waitForMembers({ cluster }: Daemon, isThere: () => boolean): Promise<void> {
+function waitForMembers({ cluster }: Daemon, condition: () => boolean): Promise<void> {
   return new Promise((resolve) => {
-    cluster.onMembersChange(() => isThere() && resolve());
-    if (isThere()) {
+    cluster.onMembersChange(() => condition() && resolve());
+    if (condition()) {
       resolve();
     }
   });
 }
 
 describe('ClusterManager', () => {
-  it('joins daemons over sockets, and brings them what the store accepts', async () => {
+  it('joins daemons over sockets, and distributes a configuration accepted by the store', async () => {
     const { daemons, configuration } = await createDaemons(3);
-    const known = daemons.map((daemon) =>
+    const joined = daemons.map((daemon) =>
       waitForMembers(daemon, () => daemon.cluster.getMembers().length === 3),
     );
-    const inForce = daemons.map(
+    const activations = daemons.map(
       ({ cluster }) =>
         new Promise<number>((resolve) => {
           cluster.onConfigurationChange(({ manifest }) => resolve(manifest.generation));
         }),
     );
     daemons.forEach(({ cluster }) => cluster.start());
-    await Promise.all(known);
+    await Promise.all(joined);
     const change = { changeId: 'first', author: 'operator', baseGeneration: 0 };
     await configuration.apply({ ...change, configuration: EMPTY_CONFIGURATION });
-    expect(await Promise.all(inForce)).toEqual([1, 1, 1]);
+    expect(await Promise.all(activations)).toEqual([1, 1, 1]);
     expect(daemons.map(({ cluster }) => cluster.getGeneration())).toEqual([1, 1, 1]);
     const [first] = daemons;
     expect(first!.mesh.traffic.getTopic('membership').bytesOut).toBeGreaterThan(0);
   });
 
-  it('passes on that a daemon and a backend server are leaving', async () => {
+  it('announces to peers that a daemon and a backend server are leaving', async () => {
     const { daemons } = await createDaemons(2);
     const [leaving, other] = daemons;
-    const isSeen = () => other!.cluster.getMembers()[1]?.state === MemberState.Leaving;
-    const seen = waitForMembers(other!, isSeen);
-    const replica = new Promise<string>((resolve) => {
+    const isLeavingSeen = () => other!.cluster.getMembers()[1]?.state === MemberState.Leaving;
+    const leavingSeen = waitForMembers(other!, isLeavingSeen);
+    const leavingReplica = new Promise<string>((resolve) => {
       other!.cluster.onReplicaLeaving(resolve);
     });
     daemons.forEach(({ cluster }) => cluster.start());
     leaving!.cluster.announceLeaving();
     leaving!.cluster.announceReplicaLeaving('engine-1');
-    await seen;
-    expect(await replica).toBe('engine-1');
+    await leavingSeen;
+    expect(await leavingReplica).toBe('engine-1');
     expect(leaving!.cluster.getLocalMember().isEligible).toBe(false);
   });
 
-  it('refuses what is no request, and goes on', async () => {
+  it('rejects a malformed request, and keeps working', async () => {
     const { daemons } = await createDaemons(2);
     const [first, second] = daemons;
     daemons.forEach(({ cluster }) => cluster.start());
@@ -112,7 +112,7 @@
     await waitForMembers(first!, () => first!.cluster.getMembers().length === 2);
   });
 
-  it('ends its watch at the store when it is disposed', async () => {
+  it('ends its watch at the store on dispose', async () => {
     const { daemons } = await createDaemons(1);
     const [{ cluster, store }] = daemons as [Daemon];
     cluster.start();
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
@@ -14,9 +14,9 @@
 import type { DaemonIdentity, Member } from '../Member.js';
 import { getAddress } from '../Member.js';
 import type { PeerAnswer, PeerRequest, ServiceLoad } from '../messages.js';
-import { PlatformTask } from './PlatformEffectRunner.js';
+import { PlatformEffectRunner } from './PlatformEffectRunner.js';
 
-/** The mesh topics, apart so that their bytes are counted apart. */
+/** The mesh topics. Traffic is counted by topic. */
 enum Topic {
   Membership = 'membership',
   Configuration = 'configuration',
@@ -27,11 +27,7 @@
   return isFetch ? Topic.Configuration : Topic.Membership;
 }
 
-/**
- * What a manager is given.
- *
- * @public
- */
+/** @public */
 export interface ClusterSettings {
   self: DaemonIdentity;
   clock: Clock;
@@ -39,24 +35,24 @@
   mesh: Mesh;
   store: PlatformStore;
   instanceList: InstanceList;
-  /** Mesh addresses of daemons to ask first. */
+  /** Mesh addresses of the daemons to contact first. */
   seeds: readonly { host: string; port: number }[];
-  /** Values that differ from the defaults. */
+  /** Overrides of the default options. */
   options?: Partial<ClusterOptions>;
-  /** Called with every decision, for the log. */
-  onEvent?: (decision: ClusterEvent) => void;
+  /** Called with each event for the log. */
+  onEvent?: (event: ClusterEvent) => void;
 }
 
-type Call = Extract<CoreEffect, { kind: 'call' }>;
+type CallEffect = Extract<CoreEffect, { kind: 'call' }>;
 
 /**
- * The task around the cluster's core: carries its calls over the mesh and to the platform, and
- * tells its listeners what changed.
+ * Runs the cluster core of this daemon: sends its calls over the mesh and to the platform, and
+ * notifies listeners of changes.
  *
  * @example
  * ```ts
  * const cluster = new ClusterManager({ self, clock, random, mesh, store, instanceList, seeds });
- * cluster.onConfiguration(({ configuration }) => table.replace(configuration));
+ * cluster.onConfigurationChange(({ configuration }) => table.replace(configuration));
  * cluster.start();
  * ```
  * @public
@@ -64,19 +60,20 @@
 export class ClusterManager {
   private readonly core: ClusterCore;
 
-  private readonly platform: PlatformTask;
+  private readonly platformEffects: PlatformEffectRunner;
 
-  private readonly replies = new Map<number, (answer: PeerAnswer) => void>();
+  private readonly pendingRequests = new Map<number, (response: PeerAnswer) => void>();
 
   private readonly memberListeners: ((members: Member[]) => void)[] = [];
 
-  private readonly configurationListeners: ((inForce: ConfigurationSnapshot) => void)[] = [];
+  private readonly configurationListeners: ((snapshot: ConfigurationSnapshot) => void)[] = [];
 
-  private readonly leavingListeners: ((replica: string, span: Milliseconds) => void)[] = [];
+  private readonly replicaLeavingListeners: ((replica: string, remaining: Milliseconds) => void)[] =
+    [];
 
   private lastRequestId = 0;
 
-  private disposed = false;
+  private isDisposed = false;
 
   constructor(private readonly settings: ClusterSettings) {
     const { self, clock, random, store, instanceList, seeds, options } = settings;
@@ -86,9 +83,9 @@
       random,
       options: { ...defaultClusterOptions, ...options },
       seeds: seeds.map(({ host, port }) => getAddress(host, port)),
-      emit: (effect) => this.carryOut(effect),
+      emit: (effect) => this.runEffect(effect),
     });
-    this.platform = new PlatformTask({
+    this.platformEffects = new PlatformEffectRunner({
       clock,
       store,
       instanceList,
@@ -96,17 +93,17 @@
     });
   }
 
-  /** Begins to take part; the mesh must listen by then. */
+  /** Joins the cluster. The mesh must be listening already. */
   start(): void {
     Object.values(Topic).forEach((topic) =>
       this.settings.mesh.handle(topic, async (message, { from }) =>
-        encodeAnswer(await this.answer(message, from)),
+        encodeAnswer(await this.handleRequest(message, from)),
       ),
     );
     this.core.start();
   }
 
-  /** All members but the dead, this daemon first. */
+  /** All members that are not dead, this daemon first. */
   getMembers(): Member[] {
     return this.core.getMembers();
   }
@@ -116,84 +113,91 @@
     return this.core.getMembers()[0]!;
   }
 
-  /** The generation in force here; 0 before the first. */
+  /** The active configuration generation of this daemon; 0 before the first one. */
   getGeneration(): number {
     return this.core.generation;
   }
 
-  /** The newest load of each availability zone. */
-  getLoadDigests(): ZoneLoad[] {
-    return this.core.getLoads();
+  /** The latest load of each availability zone. */
+  getZoneLoads(): ZoneLoad[] {
+    return this.core.getZoneLoads();
   }
 
   getCounters(): Readonly<ClusterCounters> {
     return this.core.counters;
   }
 
-  /** Calls back after each change of the members. */
+  /** Adds a listener that is called after each change of the members. */
   onMembersChange(listener: (members: Member[]) => void): void {
     this.memberListeners.push(listener);
   }
 
-  /** Calls back with each configuration that comes into force here. */
-  onConfigurationChange(listener: (inForce: ConfigurationSnapshot) => void): void {
+  /** Adds a listener that is called with each configuration that becomes active here. */
+  onConfigurationChange(listener: (snapshot: ConfigurationSnapshot) => void): void {
     this.configurationListeners.push(listener);
   }
 
-  /** Calls back on word that a backend server is leaving, with how long the word holds. */
-  onReplicaLeaving(listener: (replica: string, span: Milliseconds) => void): void {
-    this.leavingListeners.push(listener);
+  /**
+   * Adds a listener that is called with each notice that a backend server is leaving, and with how
+   * long the notice is still valid.
+   */
+  onReplicaLeaving(listener: (replica: string, remaining: Milliseconds) => void): void {
+    this.replicaLeavingListeners.push(listener);
   }
 
-  /** Tells the others that this daemon shuts down: it gets no new duties. */
+  /**
+   * Announces to the peers that this daemon is shutting down, so that it is given no new duties.
+   */
   announceLeaving(): void {
     this.deliver({ kind: 'announce-leaving' });
   }
 
-  /** Tells the others that a backend server said it is leaving. */
+  /** Announces to the peers that a backend server reported that it is leaving. */
   announceReplicaLeaving(replica: string): void {
     this.deliver({ kind: 'tell-replica-leaving', replica });
   }
 
-  /** Hands in this daemon's load for its zone's sum. */
+  /** Reports this daemon's load, to be summed up for its availability zone. */
   publishLoad(services: ServiceLoad[]): void {
     this.deliver({ kind: 'publish-load', services });
   }
 
   dispose(): void {
-    this.disposed = true;
-    this.platform.dispose();
+    this.isDisposed = true;
+    this.platformEffects.dispose();
     this.core.dispose();
-    this.replies.clear();
+    this.pendingRequests.clear();
   }
 
-  private answer(message: unknown, from: string): Promise<PeerAnswer> {
+  private handleRequest(message: unknown, from: string): Promise<PeerAnswer> {
     const request = decodeRequest(message, from);
     this.lastRequestId += 1;
     const requestId = this.lastRequestId;
     return new Promise((resolve) => {
-      this.replies.set(requestId, resolve);
+      this.pendingRequests.set(requestId, resolve);
       this.deliver({ kind: 'request', requestId, from, request });
     });
   }
 
-  private carryOut(effect: CoreEffect): void {
+  private runEffect(effect: CoreEffect): void {
     switch (effect.kind) {
       case 'call':
         this.call(effect);
         break;
       case 'reply':
-        this.replies.get(effect.requestId)?.(effect.answer);
-        this.replies.delete(effect.requestId);
+        this.pendingRequests.get(effect.requestId)?.(effect.answer);
+        this.pendingRequests.delete(effect.requestId);
         break;
       case 'members':
-        this.tellMembers();
+        this.notifyMemberListeners();
         break;
       case 'configuration':
         this.configurationListeners.forEach((listener) => listener(effect.inForce));
         break;
       case 'replica-leaving':
-        this.leavingListeners.forEach((listener) => listener(effect.replica, effect.remaining));
+        this.replicaLeavingListeners.forEach((listener) =>
+          listener(effect.replica, effect.remaining),
+        );
         break;
       case 'decision':
         this.settings.onEvent?.(effect.decision);
@@ -203,31 +207,31 @@
       case 'read-manifest':
       case 'read-parts':
       case 'read-instances':
-        this.platform.carryOut(effect);
+        this.platformEffects.run(effect);
         break;
       default:
         throw exhaustiveSwitchError(effect);
     }
   }
 
-  private tellMembers(): void {
+  private notifyMemberListeners(): void {
     const members = this.getMembers();
     this.memberListeners.forEach((listener) => listener(members));
   }
 
-  private call({ callId, address, request, timeout }: Call): void {
+  private call({ callId, address, request, timeout }: CallEffect): void {
     this.settings.mesh
       .call(address, getTopic(request), encodeRequest(request), { timeout })
-      .then((answer) => decodeAnswer(answer, address))
+      .then((message) => decodeAnswer(message, address))
       .then(
-        (answer) => this.deliver({ kind: 'answer', callId, answer }),
+        (response) => this.deliver({ kind: 'answer', callId, answer: response }),
         () => this.deliver({ kind: 'call-failed', callId }),
       );
   }
 
-  /** After the end nothing reaches the core any more: answers may still be on their way. */
+  /** Passes a message to the core unless disposed; results of calls may still arrive after that. */
   private deliver(message: CoreMessage): void {
-    if (!this.disposed) {
+    if (!this.isDisposed) {
       this.core.handle(message);
     }
   }
--- a/packages/cluster/src/lib/ClusterManager/PlatformEffectRunner.ts
+++ b/packages/cluster/src/lib/ClusterManager/PlatformEffectRunner.ts
@@ -4,49 +4,49 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { CoreEffect, CoreMessage } from '../coreMessages.js';
 
-/** The effects that concern the platform. */
+/** The effects that are calls to the platform. */
 export type PlatformEffect = Extract<
   CoreEffect,
   { kind: 'start-watch' | 'end-watch' | 'read-manifest' | 'read-parts' | 'read-instances' }
 >;
 
-interface PlatformTaskSettings {
+interface PlatformEffectRunnerSettings {
   clock: Clock;
   store: PlatformStore;
   instanceList: InstanceList;
   deliver: (message: CoreMessage) => void;
 }
 
-/** Carries out the core's calls to the platform; each call ends in exactly one message. */
-export class PlatformTask {
+/** Runs the core's calls to the platform. Each call but an ended watch results in one message. */
+export class PlatformEffectRunner {
   private readonly watches = new Map<number, AbortController>();
 
   private readonly configuration: ConfigurationStore;
 
-  constructor(private readonly settings: PlatformTaskSettings) {
+  constructor(private readonly settings: PlatformEffectRunnerSettings) {
     this.configuration = new ConfigurationStore(settings);
   }
 
-  carryOut(effect: PlatformEffect): void {
+  run(effect: PlatformEffect): void {
     switch (effect.kind) {
       case 'start-watch':
-        this.watch(effect.watchId, effect.afterVersion);
+        this.startWatch(effect.watchId, effect.afterVersion);
         break;
       case 'end-watch':
         this.watches.get(effect.watchId)?.abort();
         this.watches.delete(effect.watchId);
         break;
       case 'read-manifest':
-        this.deliver(this.readManifest(), { kind: 'manifest-read-failed' });
+        this.deliverResult(this.readManifest(), { kind: 'manifest-read-failed' });
         break;
       case 'read-parts':
-        this.deliver(this.readParts(effect.readId, effect.hashes), {
+        this.deliverResult(this.readParts(effect.readId, effect.hashes), {
           kind: 'parts-read-failed',
           readId: effect.readId,
         });
         break;
       case 'read-instances':
-        this.deliver(this.readInstances(), { kind: 'instances-read-failed' });
+        this.deliverResult(this.readInstances(), { kind: 'instances-read-failed' });
         break;
       default:
         throw exhaustiveSwitchError(effect);
@@ -58,24 +58,27 @@
     this.watches.clear();
   }
 
-  /** A watch that the core has ended says nothing more: its answer would be taken for a new one's. */
-  private watch(watchId: number, afterVersion: number): void {
+  /**
+   * Starts a watch. Its result is dropped once the core has ended the watch: it could be mistaken
+   * for that of a newer one.
+   */
+  private startWatch(watchId: number, afterVersion: number): void {
     const { store, deliver } = this.settings;
     const controller = new AbortController();
     this.watches.set(watchId, controller);
-    const tell = (message: CoreMessage) => {
+    const deliverOnce = (message: CoreMessage) => {
       if (this.watches.delete(watchId)) {
         deliver(message);
       }
     };
     store.watch(MANIFEST_KEY, afterVersion, controller.signal).then(
-      (changes) => tell({ kind: 'watch-answered', watchId, changes }),
-      () => tell({ kind: 'watch-failed', watchId }),
+      (changes) => deliverOnce({ kind: 'watch-answered', watchId, changes }),
+      () => deliverOnce({ kind: 'watch-failed', watchId }),
     );
   }
 
-  private deliver(answer: Promise<CoreMessage>, failure: CoreMessage): void {
-    answer.then(this.settings.deliver, () => this.settings.deliver(failure));
+  private deliverResult(result: Promise<CoreMessage>, failure: CoreMessage): void {
+    result.then(this.settings.deliver, () => this.settings.deliver(failure));
   }
 
   private async readManifest(): Promise<CoreMessage> {
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.fuzz.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.fuzz.test.ts
@@ -6,27 +6,30 @@
 import type { CoreEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { ConfigurationSpread } from '../ConfigurationDistributor/ConfigurationDistributor.js';
+import { ConfigurationDistributor } from './ConfigurationDistributor.js';
 
 const GENERATIONS = 4;
 
 const WORKSPACES = 600;
 
-/** Generations by number, and every part's text by hash. */
-const accepted = Array.from({ length: GENERATIONS + 1 }, (_, generation) =>
+/** Manifests and parts by generation. */
+const acceptedManifests = Array.from({ length: GENERATIONS + 1 }, (_, generation) =>
   createManifest(generation, WORKSPACES),
 );
 
-const texts = new Map(accepted.flatMap(({ parts }) => parts.map(({ hash, text }) => [hash, text])));
+/** The texts of all parts by hash. */
+const textsByHash = new Map(
+  acceptedManifests.flatMap(({ parts }) => parts.map(({ hash, text }) => [hash, text])),
+);
 
-/** What becomes of one message or answer. */
-type Fate = 'whole' | 'lost' | 'wrong-text' | 'no-parts';
+/** What happens to a message or response. */
+type MessageFate = 'whole' | 'lost' | 'wrong-text' | 'no-parts';
 
-/** Some daemons whose every message the scheduler delivers when it likes, in any order. */
-class SpreadWorld {
-  readonly spreads: ConfigurationSpread[] = [];
+/** Distributors of several daemons whose messages the scheduler delivers in any order. */
+class DistributorWorld {
+  readonly distributors: ConfigurationDistributor[] = [];
 
-  readonly inForce: number[][] = [];
+  readonly activatedGenerations: number[][] = [];
 
   private readonly calls: PeerCalls[] = [];
 
@@ -34,7 +37,7 @@
 
   constructor(
     private readonly scheduler: fc.Scheduler,
-    private readonly takeFate: () => Fate,
+    private readonly takeMessageFate: () => MessageFate,
     size: number,
   ) {
     for (let index = 0; index < size; index += 1) {
@@ -42,23 +45,25 @@
     }
   }
 
-  /** Everybody tells everybody, without faults, until nothing changes. */
+  /** Lets every daemon announce its generation to all, without faults, until nothing changes. */
   async settle(): Promise<void> {
     for (let round = 0; round < 3; round += 1) {
       this.clock.advance(10_000);
-      this.spreads.forEach((_, index) => this.tellAll(index));
-      // eslint-disable-next-line no-await-in-loop -- a round follows the one before
+      this.distributors.forEach((_, index) => this.announceToAll(index));
+      // eslint-disable-next-line no-await-in-loop -- rounds run one after the other
       await this.scheduler.waitIdle();
     }
   }
 
-  tellAll(from: number): void {
-    const generation = this.spreads[from]!.getGeneration();
-    this.spreads.forEach((spread) => spread.hearGeneration(generation, String(from)));
+  announceToAll(from: number): void {
+    const generation = this.distributors[from]!.getGeneration();
+    this.distributors.forEach((distributor) =>
+      distributor.handleGeneration(generation, String(from)),
+    );
   }
 
   private add(index: number): void {
-    const emit = (effect: CoreEffect) => this.carryOut(index, effect);
+    const emit = (effect: CoreEffect) => this.runEffect(index, effect);
     const calls = new PeerCalls(emit);
     const context = {
       clock: this.clock,
@@ -67,46 +72,52 @@
       counters: createClusterCounters(),
       emit,
     };
-    const pushNews = () => this.later('news', () => this.tellAll(index));
+    const pushGeneration = () => this.schedule('generation', () => this.announceToAll(index));
     this.calls.push(calls);
-    this.inForce.push([]);
-    this.spreads.push(new ConfigurationSpread({ context, calls, pushNews }));
+    this.activatedGenerations.push([]);
+    this.distributors.push(new ConfigurationDistributor({ context, calls, pushGeneration }));
   }
 
-  private carryOut(index: number, effect: CoreEffect): void {
+  private runEffect(index: number, effect: CoreEffect): void {
     if (effect.kind === 'call') {
-      this.later(`${effect.request.kind} from ${index}`, () => this.answer(index, effect));
+      this.schedule(`${effect.request.kind} from ${index}`, () => this.respond(index, effect));
     } else if (effect.kind === 'read-parts') {
-      this.later(`store parts for ${index}`, () => {
-        const found = this.takeFate() === 'lost' ? [] : effect.hashes;
-        const parts = new Map(found.map((hash) => [hash, texts.get(hash)!]));
-        this.spreads[index]!.hearStoreParts(effect.readId, parts);
+      this.schedule(`store parts for ${index}`, () => {
+        const found = this.takeMessageFate() === 'lost' ? [] : effect.hashes;
+        const parts = new Map(found.map((hash) => [hash, textsByHash.get(hash)!]));
+        this.distributors[index]!.handleStoreParts(effect.readId, parts);
       });
     } else if (effect.kind === 'configuration') {
-      this.inForce[index]!.push(effect.inForce.manifest.generation);
+      this.activatedGenerations[index]!.push(effect.inForce.manifest.generation);
     }
   }
 
-  private answer(index: number, { callId, address, request }: CoreEffect & { kind: 'call' }): void {
-    const fate = this.takeFate();
-    const answer = fate === 'lost' ? undefined : this.getAnswer(Number(address), request, fate);
-    this.later(`answer to ${index}`, () => this.calls[index]!.settle(callId, answer));
+  private respond(
+    index: number,
+    { callId, address, request }: CoreEffect & { kind: 'call' },
+  ): void {
+    const fate = this.takeMessageFate();
+    const response =
+      fate === 'lost' ? undefined : this.createResponse(Number(address), request, fate);
+    this.schedule(`response to ${index}`, () => this.calls[index]!.settle(callId, response));
   }
 
-  private getAnswer(peer: number, request: PeerRequest, fate: Fate): PeerAnswer {
-    const spread = this.spreads[peer]!;
-    const answer =
+  private createResponse(peer: number, request: PeerRequest, fate: MessageFate): PeerAnswer {
+    const distributor = this.distributors[peer]!;
+    const response =
       request.kind === 'fetch-parts'
-        ? spread.answerParts(request.hashes)
-        : spread.answerManifest(request.generation);
-    if (!('parts' in answer) || fate === 'whole') {
-      return answer;
+        ? distributor.createPartsResponse(request.hashes)
+        : distributor.createManifestResponse(request.generation);
+    if (!('parts' in response) || fate === 'whole') {
+      return response;
     }
-    const spoilt = [...answer.parts.keys()].map((hash) => [hash, '{"list":"services"}'] as const);
-    return { ...answer, parts: new Map(fate === 'wrong-text' ? spoilt : []) };
+    const wrongTexts = [...response.parts.keys()].map(
+      (hash) => [hash, '{"list":"services"}'] as const,
+    );
+    return { ...response, parts: new Map(fate === 'wrong-text' ? wrongTexts : []) };
   }
 
-  private later(label: string, run: () => void): void {
+  private schedule(label: string, run: () => void): void {
     // eslint-disable-next-line no-void -- the scheduler decides when it runs
     void this.scheduler.schedule(Promise.resolve(), label).then(run);
   }
@@ -115,40 +126,41 @@
 const SEED = 11;
 
 const fates = fc.infiniteStream(
-  fc.constantFrom<Fate[]>('whole', 'whole', 'whole', 'lost', 'wrong-text', 'no-parts'),
+  fc.constantFrom<MessageFate[]>('whole', 'whole', 'whole', 'lost', 'wrong-text', 'no-parts'),
 );
 
-describe('ConfigurationSpread with messages in any order', () => {
-  it('never goes back, takes no wrong text, and ends with the highest generation everywhere', async () => {
-    // Symptom: a daemon goes back to an old generation, or holds one with other content.
-    // Sequence: manifests and parts of several generations arrive late, crossed, twice or spoilt.
-    // Cause: an answer to an old question is taken for one to a new.
+describe('ConfigurationDistributor with messages in any order', () => {
+  it('never reverts, accepts no wrong text, and ends with the highest generation everywhere', async () => {
+    // Guards against a daemon that reverts to an old generation, or holds one with other content,
+    // because it takes the response to an old request for that to a newer one: manifests and parts
+    // of several generations arrive late, out of order, twice or corrupted.
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
         fates,
         fc.array(fc.record({ at: fc.nat({ max: 3 }), generation: fc.integer({ min: 1, max: 4 }) })),
         async (scheduler, stream, arrivals) => {
-          let isDisturbed = true;
-          const takeFate = () => (isDisturbed ? stream.next().value! : 'whole');
-          const world = new SpreadWorld(scheduler, takeFate, 4);
+          let hasFaults = true;
+          const takeFate = () => (hasFaults ? stream.next().value! : 'whole');
+          const world = new DistributorWorld(scheduler, takeFate, 4);
           arrivals.forEach(({ at, generation }) => {
-            const arrive = () => world.spreads[at]!.hearManifest(accepted[generation]!.manifest);
+            const arrive = () =>
+              world.distributors[at]!.handleStoreManifest(acceptedManifests[generation]!.manifest);
             // eslint-disable-next-line no-void -- the scheduler decides when it runs
             void scheduler.schedule(Promise.resolve(), `${generation} at ${at}`).then(arrive);
           });
           await scheduler.waitIdle();
-          isDisturbed = false;
+          hasFaults = false;
           const highest = Math.max(0, ...arrivals.map(({ generation }) => generation));
-          world.spreads[0]!.hearManifest(accepted[highest]!.manifest);
+          world.distributors[0]!.handleStoreManifest(acceptedManifests[highest]!.manifest);
           await scheduler.waitIdle();
           await world.settle();
-          world.spreads.forEach((spread, index) => {
-            const seen = world.inForce[index]!;
-            expect(seen).toEqual([...new Set(seen)].sort());
-            expect(spread.getGeneration()).toBe(highest);
-            const held = spread.inForce.get();
-            held?.parts.forEach((text, hash) => expect(text).toBe(texts.get(hash)));
+          world.distributors.forEach((distributor, index) => {
+            const generations = world.activatedGenerations[index]!;
+            expect(generations).toEqual([...new Set(generations)].sort());
+            expect(distributor.getGeneration()).toBe(highest);
+            const snapshot = distributor.activeConfiguration.get();
+            snapshot?.parts.forEach((text, hash) => expect(text).toBe(textsByHash.get(hash)));
           });
         },
       ),
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.test.ts
@@ -1,39 +1,41 @@
 import { PART_PREFIX } from '@apricotrill/configuration';
 import { getDecided, TestCluster } from '../../test/TestCluster.js';
 
-const NINE = { 'fi/a': 3, 'fi/b': 3, 'fi/c': 3 };
+const NINE_DAEMONS = { 'fi/a': 3, 'fi/b': 3, 'fi/c': 3 };
 
 function createCluster(settings: Partial<ConstructorParameters<typeof TestCluster>[0]> = {}) {
-  const cluster = new TestCluster({ zones: NINE, ...settings });
+  const cluster = new TestCluster({ zones: NINE_DAEMONS, ...settings });
   cluster.accept();
   cluster.run(20_000);
-  const isEverywhere = () =>
+  const isActiveEverywhere = () =>
     cluster.daemons.every(({ host }) => host.core.generation === cluster.generation);
-  expect(isEverywhere()).toBe(true);
-  return { cluster, isEverywhere };
+  expect(isActiveEverywhere()).toBe(true);
+  return { cluster, isActiveEverywhere };
 }
 
-function getSum({ daemons }: TestCluster, counter: 'partsFromStore' | 'partsFromPeers'): number {
+function getCounterSum(
+  { daemons }: TestCluster,
+  counter: 'partsFromStore' | 'partsFromPeers',
+): number {
   return daemons.reduce((sum, { host }) => sum + host.core.counters[counter], 0);
 }
 
-describe('ConfigurationSpread', () => {
-  it('brings an accepted change in force everywhere, and each part from the store to watchers only', () => {
-    const { cluster, isEverywhere } = createCluster({ zones: { 'fi/a': 12, 'fi/b': 12 } });
-    const fromStore = getSum(cluster, 'partsFromStore');
-    const fromPeers = getSum(cluster, 'partsFromPeers');
+describe('ConfigurationDistributor', () => {
+  it('activates an accepted change everywhere, with each part read from the store by watchers only', () => {
+    const { cluster, isActiveEverywhere } = createCluster({ zones: { 'fi/a': 12, 'fi/b': 12 } });
+    const fromStore = getCounterSum(cluster, 'partsFromStore');
+    const fromPeers = getCounterSum(cluster, 'partsFromPeers');
     cluster.accept();
-    expect(cluster.runUntil(isEverywhere, 3000)).toBe(true);
+    expect(cluster.runUntil(isActiveEverywhere, 3000)).toBe(true);
     const WATCHERS = 4;
-    expect(getSum(cluster, 'partsFromStore') - fromStore).toBeLessThanOrEqual(WATCHERS);
-    expect(getSum(cluster, 'partsFromPeers') - fromPeers).toBe(24 - WATCHERS);
+    expect(getCounterSum(cluster, 'partsFromStore') - fromStore).toBeLessThanOrEqual(WATCHERS);
+    expect(getCounterSum(cluster, 'partsFromPeers') - fromPeers).toBe(24 - WATCHERS);
     cluster.dispose();
   });
 
-  it('takes the highest generation of its peers when it starts while the store is down', () => {
-    // Symptom: a daemon that starts in an outage of the store serves nothing, or an old state.
-    // Sequence: the store goes down; a daemon is replaced.
-    // Cause: the configuration is looked for at the store only.
+  it('activates the highest generation of its peers if it starts while the store is down', () => {
+    // Guards against a daemon that is replaced during a store outage and serves nothing, or an old
+    // configuration, because it reads the configuration from the store only.
     const { cluster } = createCluster();
     cluster.accept(400);
     cluster.run(5000);
@@ -45,38 +47,37 @@
     cluster.dispose();
   });
 
-  it('reaches a daemon that the first word of a generation missed', () => {
-    // Symptom: one daemon stays on an old generation.
-    // Sequence: a daemon is out of reach while a generation spreads, and comes back.
-    // Cause: a generation is told once, as it comes in force.
-    const { cluster, isEverywhere } = createCluster({ options: { syncInterval: 10_000_000 } });
+  it('reaches a daemon that missed the first announcement of a generation', () => {
+    // Guards against a daemon that stays on an old generation, because it was unreachable while the
+    // new one was distributed and a generation is announced only once, on its activation.
+    const { cluster, isActiveEverywhere } = createCluster({
+      options: { syncInterval: 10_000_000 },
+    });
     const late = cluster.daemons.find(({ host }) => !host.core.isWatching)!;
     cluster.isolate(late);
     late.platform.isDown = true;
     cluster.accept();
     cluster.run(2000);
     cluster.heal();
-    expect(cluster.runUntil(isEverywhere, 5000)).toBe(true);
+    expect(cluster.runUntil(isActiveEverywhere, 5000)).toBe(true);
     cluster.dispose();
   });
 
-  it('reaches a daemon that is cut off from its peers and not from the store', () => {
-    // Symptom: one daemon stays on an old generation for as long as it is cut off.
-    // Sequence: a daemon that is no watcher loses its peers; a change is accepted.
-    // Cause: only watchers read the store, and it hears of nothing from them.
-    const { cluster, isEverywhere } = createCluster();
+  it('reaches a daemon that is cut off from its peers but not from the store', () => {
+    // Guards against a daemon that stays on an old generation while it is cut off: it is not a
+    // watcher, so it does not read the store, and it gets no updates from the watchers.
+    const { cluster, isActiveEverywhere } = createCluster();
     const cutOff = cluster.daemons.find(({ host }) => !host.core.isWatching)!;
     cluster.isolate(cutOff);
     cluster.run(30_000);
     cluster.accept();
-    expect(cluster.runUntil(isEverywhere, 6000)).toBe(true);
+    expect(cluster.runUntil(isActiveEverywhere, 6000)).toBe(true);
     cluster.dispose();
   });
 
-  it('leaves alone what the store holds of a lower generation than is in force', () => {
-    // Symptom: an old configuration is in force again.
-    // Sequence: the platform brings back an old state of its objects.
-    // Cause: the store is believed whatever it holds.
+  it('ignores a manifest in the store with a lower generation than the active one', () => {
+    // Guards against an old configuration that becomes active again after the platform has restored
+    // an old state of its objects.
     const { cluster } = createCluster();
     cluster.accept();
     cluster.run(5000);
@@ -87,16 +88,15 @@
     cluster.dispose();
   });
 
-  it('waits for parts that nobody has, and takes them once they are there', () => {
-    // Symptom: a daemon gives up on a generation for good.
-    // Sequence: the manifest is read from the store while its parts are not there yet.
-    // Cause: what could not be put together once isn't tried again.
-    const { cluster, isEverywhere } = createCluster();
+  it('waits for parts that are not available yet, and activates the generation once they are', () => {
+    // Guards against a daemon that abandons a generation for good, because it read the manifest
+    // before its parts were in the store and does not try again.
+    const { cluster, isActiveEverywhere } = createCluster();
     const put = cluster.objects.put.bind(cluster.objects);
-    const held: Parameters<typeof put>[] = [];
+    const heldBack: Parameters<typeof put>[] = [];
     cluster.objects.put = (...args) => {
       if (args[0].startsWith(PART_PREFIX)) {
-        held.push(args);
+        heldBack.push(args);
         return { kind: 'accepted', version: 0 };
       }
       return put(...args);
@@ -107,8 +107,8 @@
     expect(
       cluster.daemons.some((daemon) => getDecided(daemon, 'configuration-refused').length),
     ).toBe(true);
-    held.forEach((args) => put(...args));
-    expect(cluster.runUntil(isEverywhere, 10_000)).toBe(true);
+    heldBack.forEach((args) => put(...args));
+    expect(cluster.runUntil(isActiveEverywhere, 10_000)).toBe(true);
     cluster.dispose();
   });
 });
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.ts
@@ -7,259 +7,278 @@
 import { ManifestHistory } from '../ManifestHistory/ManifestHistory.js';
 import type { PeerAnswer } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { getManifestAnswer, getPartsAnswer } from '../ConfigurationSpread/getFetchAnswers.js';
+import { getManifestAnswer, createPartsResponse } from '../ConfigurationSpread/getFetchAnswers.js';
 
-type ManifestAnswer = Extract<PeerAnswer, { kind: 'manifest' }>;
+type ManifestResponse = Extract<PeerAnswer, { kind: 'manifest' }>;
 
-/** After a fetch that led nowhere, how long until the next. */
+/** Delay of the next manifest fetch after an assembly was abandoned. */
 const RETRY_DELAY: Milliseconds = 1000;
 
-/** Hashes in one request for parts. */
-const HASHES_PER_REQUEST = 128;
+const MAX_HASHES_PER_REQUEST = 128;
 
-/** Who gives parts: a peer's address, or the store. */
-type Provider = { kind: 'peer'; address: string } | { kind: 'store' };
+/** Where parts are fetched from. */
+type PartSource = { kind: 'peer'; address: string } | { kind: 'store' };
 
-/** A generation on its way into force. */
+/** A generation whose parts are being collected before it is activated. */
 interface Assembly {
   manifest: Manifest;
-  /** Who told of it, for the log. */
+  /** Where the manifest came from, for the log. */
   source: ConfigurationSource;
   peer: string;
-  texts: Map<string, string>;
-  provider: Provider;
-  /** Providers that did not have what they should. */
-  failed: Set<string>;
+  partTexts: Map<string, string>;
+  partSource: PartSource;
+  /** Names of the sources that failed to provide missing parts. */
+  failedSources: Set<string>;
 }
 
-interface SpreadParts {
+interface ConfigurationDistributorSettings {
   context: CoreContext;
   calls: PeerCalls;
-  /** Tells some peers at once that a new generation is in force here. */
-  pushNews: () => void;
+  /** Notifies some peers immediately that a new generation is active here. */
+  pushGeneration: () => void;
 }
 
-function getName(provider: Provider): string {
-  return provider.kind === 'peer' ? provider.address : ConfigurationSource.Store;
+function getSourceName(source: PartSource): string {
+  return source.kind === 'peer' ? source.address : ConfigurationSource.Store;
 }
 
 /**
- * The texts that are what the manifest names them to be. A wrong one would be handed on to peers,
- * and would keep the right one from being asked for.
+ * Selects the texts that match their part in the manifest. A wrong text would be passed on to
+ * peers, and would keep the correct one from being fetched.
  */
-function getSoundParts(manifest: Manifest, texts: ReadonlyMap<string, string>) {
-  const sound = manifest.parts.filter(
+function getValidParts(manifest: Manifest, texts: ReadonlyMap<string, string>) {
+  const validParts = manifest.parts.filter(
     (part) =>
       texts.has(part.hash) && assembleConfiguration({ ...manifest, parts: [part] }, texts).ok,
   );
-  return new Map(sound.map(({ hash }) => [hash, texts.get(hash)!]));
+  return new Map(validParts.map(({ hash }) => [hash, texts.get(hash)!]));
 }
 
 /**
- * Brings generations of the configuration into force: hears of them from peers and from the store,
- * fetches the manifest and the parts that are missing, and hands them on. What comes in force is
- * decided by {@link ActiveConfiguration} alone, which takes higher generations only.
+ * Distributes generations of the configuration: learns of them from peers and from the store,
+ * fetches the manifest and missing parts, activates them and passes them on to peers. What becomes
+ * active is decided by {@link ActiveConfiguration} alone, which accepts higher generations only.
  */
-export class ConfigurationSpread {
-  readonly inForce = new ActiveConfiguration();
+export class ConfigurationDistributor {
+  readonly activeConfiguration = new ActiveConfiguration();
 
   private readonly history = new ManifestHistory();
 
-  /** Peers that told of a generation above the one in force. */
-  private readonly tellers = new Map<string, number>();
+  /**
+   * Addresses of the peers that have a higher generation than the active one, with that generation.
+   */
+  private readonly peerGenerations = new Map<string, number>();
 
   private assembly: Assembly | undefined;
 
-  /** Whether a peer was asked for a manifest and has not answered. */
-  private isAsking = false;
+  private isFetchingManifest = false;
 
-  private retryAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  private nextFetchAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   private lastReadId = 0;
 
-  constructor(private readonly parts: SpreadParts) {}
+  constructor(private readonly settings: ConfigurationDistributorSettings) {}
 
   getGeneration(): number {
-    return this.inForce.getGeneration();
+    return this.activeConfiguration.getGeneration();
   }
 
-  /** A peer has this generation in force. */
-  hearGeneration(generation: number, address: string): void {
+  /** Handles the active generation of a peer. */
+  handleGeneration(generation: number, address: string): void {
     if (generation > this.getGeneration()) {
-      this.tellers.set(address, generation);
-      this.ask();
+      this.peerGenerations.set(address, generation);
+      this.fetchManifest();
     }
   }
 
-  /** The store holds this manifest. */
-  hearManifest(manifest: Manifest): void {
-    const provider: Provider = { kind: 'store' };
-    this.assemble(manifest, new Map(), provider, ConfigurationSource.Store);
+  /** Handles a manifest read from the store. */
+  handleStoreManifest(manifest: Manifest): void {
+    const partSource: PartSource = { kind: 'store' };
+    this.startAssembly(manifest, new Map(), partSource, ConfigurationSource.Store);
   }
 
-  /** Parts came from the store; fewer than asked for, or none, when it had no more. */
-  hearStoreParts(readId: number, parts: ReadonlyMap<string, string>): void {
-    this.parts.context.counters.partsFromStore += parts.size;
-    if (readId === this.lastReadId && this.assembly?.provider.kind === 'store') {
-      this.takeParts(this.assembly, parts);
+  /** Handles parts read from the store: fewer than requested, or none, if it does not have them. */
+  handleStoreParts(readId: number, parts: ReadonlyMap<string, string>): void {
+    this.settings.context.counters.partsFromStore += parts.size;
+    if (readId === this.lastReadId && this.assembly?.partSource.kind === 'store') {
+      this.addParts(this.assembly, parts);
     }
   }
 
-  /** Answers a peer that holds a generation and asks for the manifest in force. */
-  answerManifest(heldGeneration: number): PeerAnswer {
-    const inForce = this.inForce.get();
+  /** Creates the response to a peer that holds a generation and fetches the active manifest. */
+  createManifestResponse(heldGeneration: number): PeerAnswer {
+    const snapshot = this.activeConfiguration.get();
     return getManifestAnswer(
-      inForce,
+      snapshot,
       heldGeneration,
       (manifest) => this.history.getTransfer(manifest, heldGeneration),
-      this.parts.context.options.partPageBytes,
+      this.settings.context.options.partPageBytes,
     );
   }
 
-  /** Answers a peer that asks for parts. */
-  answerParts(hashes: readonly string[]): PeerAnswer {
-    return getPartsAnswer(this.inForce.get(), hashes, this.parts.context.options.partPageBytes);
+  /** Creates the response to a peer that fetches parts. */
+  createPartsResponse(hashes: readonly string[]): PeerAnswer {
+    return createPartsResponse(
+      this.activeConfiguration.get(),
+      hashes,
+      this.settings.context.options.partPageBytes,
+    );
   }
 
   dispose(): void {
-    this.inForce.dispose();
+    this.activeConfiguration.dispose();
     this.assembly = undefined;
   }
 
-  /** Asks one of the peers that told of the highest generation for its manifest. */
-  private ask(): void {
-    const { context, calls } = this.parts;
-    const highest = Math.max(0, ...this.tellers.values());
-    const isWanted = highest > Math.max(this.getGeneration(), this.getAssembling());
-    if (!isWanted || this.isAsking || context.clock.now() < this.retryAt) {
+  /** Fetches the manifest from one of the peers that have the highest generation. */
+  private fetchManifest(): void {
+    const { context, calls } = this.settings;
+    const highestGeneration = Math.max(0, ...this.peerGenerations.values());
+    const isWanted =
+      highestGeneration > Math.max(this.getGeneration(), this.getAssemblingGeneration());
+    if (!isWanted || this.isFetchingManifest || context.clock.now() < this.nextFetchAt) {
       return;
     }
-    const tellers = [...this.tellers.keys()].filter((key) => this.tellers.get(key) === highest);
-    const [address] = pickSome(context, tellers, 1);
+    const addresses = [...this.peerGenerations.keys()].filter(
+      (peer) => this.peerGenerations.get(peer) === highestGeneration,
+    );
+    const [address] = pickSome(context, addresses, 1);
     const request = { kind: 'fetch-manifest', generation: this.getGeneration() } as const;
-    this.isAsking = true;
+    this.isFetchingManifest = true;
     context.counters.fetches += 1;
-    calls.call(address!, request, context.options.callTimeout, (answer) => {
-      this.isAsking = false;
-      this.takeManifest(address!, answer);
+    calls.call(address!, request, context.options.callTimeout, (response) => {
+      this.isFetchingManifest = false;
+      this.handleManifestResponse(address!, response);
     });
   }
 
-  private getAssembling(): number {
+  private getAssemblingGeneration(): number {
     return this.assembly?.manifest.generation ?? 0;
   }
 
-  private takeManifest(address: string, answer: PeerAnswer | undefined): void {
+  private handleManifestResponse(address: string, response: PeerAnswer | undefined): void {
     const manifest =
-      answer?.kind === 'manifest' ? this.history.getManifest(answer.transfer) : undefined;
+      response?.kind === 'manifest' ? this.history.resolveTransfer(response.transfer) : undefined;
     if (manifest === undefined) {
-      this.tellers.delete(address);
-      this.ask();
+      this.peerGenerations.delete(address);
+      this.fetchManifest();
       return;
     }
-    const { parts } = answer as ManifestAnswer;
-    this.parts.context.counters.partsFromPeers += parts.size;
-    this.assemble(manifest, parts, { kind: 'peer', address }, ConfigurationSource.Peer);
+    const { parts } = response as ManifestResponse;
+    this.settings.context.counters.partsFromPeers += parts.size;
+    this.startAssembly(manifest, parts, { kind: 'peer', address }, ConfigurationSource.Peer);
   }
 
-  /** Starts on a generation unless a higher one is in force or on its way. */
-  private assemble(
+  /** Starts to assemble a generation unless it, or a higher one, is active or being assembled. */
+  private startAssembly(
     manifest: Manifest,
-    texts: ReadonlyMap<string, string>,
-    provider: Provider,
+    partTexts: ReadonlyMap<string, string>,
+    partSource: PartSource,
     source: ConfigurationSource,
   ): void {
-    if (manifest.generation <= Math.max(this.getGeneration(), this.getAssembling())) {
+    if (manifest.generation <= Math.max(this.getGeneration(), this.getAssemblingGeneration())) {
       return;
     }
-    this.proceed({
+    this.continueAssembly({
       manifest,
       source,
-      peer: getName(provider),
-      texts: new Map([...(this.assembly?.texts ?? []), ...getSoundParts(manifest, texts)]),
-      provider,
-      failed: new Set(),
+      peer: getSourceName(partSource),
+      partTexts: new Map([
+        ...(this.assembly?.partTexts ?? []),
+        ...getValidParts(manifest, partTexts),
+      ]),
+      partSource,
+      failedSources: new Set(),
     });
   }
 
-  private proceed(assembly: Assembly): void {
+  private continueAssembly(assembly: Assembly): void {
     this.assembly = assembly;
-    const missing = this.getMissing(assembly);
-    if (missing.length === 0) {
-      this.offer(assembly);
-    } else if (assembly.provider.kind === 'store') {
+    const missingHashes = this.getMissingHashes(assembly);
+    if (missingHashes.length === 0) {
+      this.activate(assembly);
+    } else if (assembly.partSource.kind === 'store') {
       this.lastReadId += 1;
-      this.parts.context.counters.partReads += 1;
-      this.parts.context.emit({ kind: 'read-parts', readId: this.lastReadId, hashes: missing });
+      this.settings.context.counters.partReads += 1;
+      this.settings.context.emit({
+        kind: 'read-parts',
+        readId: this.lastReadId,
+        hashes: missingHashes,
+      });
     } else {
-      this.askForParts(assembly, assembly.provider.address, missing);
+      this.fetchParts(assembly, assembly.partSource.address, missingHashes);
     }
   }
 
-  private getMissing({ manifest, texts }: Assembly): string[] {
-    return this.inForce.getMissingHashes(manifest).filter((hash) => !texts.has(hash));
+  private getMissingHashes({ manifest, partTexts }: Assembly): string[] {
+    return this.activeConfiguration
+      .getMissingHashes(manifest)
+      .filter((hash) => !partTexts.has(hash));
   }
 
-  private askForParts(assembly: Assembly, address: string, missing: readonly string[]): void {
-    const { calls, context } = this.parts;
-    const hashes = missing.slice(0, HASHES_PER_REQUEST);
+  private fetchParts(assembly: Assembly, address: string, missingHashes: readonly string[]): void {
+    const { calls, context } = this.settings;
+    const hashes = missingHashes.slice(0, MAX_HASHES_PER_REQUEST);
     const request = { kind: 'fetch-parts', generation: this.getGeneration(), hashes } as const;
-    calls.call(address, request, context.options.callTimeout, (answer) => {
+    calls.call(address, request, context.options.callTimeout, (response) => {
       if (assembly === this.assembly) {
-        const parts = answer?.kind === 'parts' ? answer.parts : new Map<string, string>();
+        const parts = response?.kind === 'parts' ? response.parts : new Map<string, string>();
         context.counters.partsFromPeers += parts.size;
-        this.takeParts(assembly, parts);
+        this.addParts(assembly, parts);
       }
     });
   }
 
-  private takeParts(assembly: Assembly, parts: ReadonlyMap<string, string>): void {
-    const wanted = new Set(this.getMissing(assembly));
-    const offered = new Map([...parts].filter(([hash]) => wanted.has(hash)));
-    const sound = getSoundParts(assembly.manifest, offered);
-    sound.forEach((text, hash) => assembly.texts.set(hash, text));
-    if (sound.size > 0) {
-      this.proceed(assembly);
+  private addParts(assembly: Assembly, parts: ReadonlyMap<string, string>): void {
+    const missingHashes = new Set(this.getMissingHashes(assembly));
+    const missingParts = new Map([...parts].filter(([hash]) => missingHashes.has(hash)));
+    const validParts = getValidParts(assembly.manifest, missingParts);
+    validParts.forEach((text, hash) => assembly.partTexts.set(hash, text));
+    if (validParts.size > 0) {
+      this.continueAssembly(assembly);
     } else {
-      this.changeProvider(assembly, 'parts are missing');
+      this.switchPartSource(assembly, 'parts are missing');
     }
   }
 
-  /** Another peer that has the generation, else the store, else nobody for now. */
-  private changeProvider(assembly: Assembly, reason: string): void {
-    const { failed, manifest } = assembly;
-    failed.add(getName(assembly.provider));
-    const address = [...this.tellers].find(
-      ([teller, generation]) => generation >= manifest.generation && !failed.has(teller),
+  /** Switches to another peer that has the generation, else to the store, else abandons it. */
+  private switchPartSource(assembly: Assembly, reason: string): void {
+    const { failedSources, manifest } = assembly;
+    failedSources.add(getSourceName(assembly.partSource));
+    const address = [...this.peerGenerations].find(
+      ([peerAddress, generation]) =>
+        generation >= manifest.generation && !failedSources.has(peerAddress),
     )?.[0];
     if (address !== undefined) {
-      this.proceed({ ...assembly, provider: { kind: 'peer', address } });
-    } else if (!failed.has(ConfigurationSource.Store)) {
-      this.proceed({ ...assembly, provider: { kind: 'store' } });
+      this.continueAssembly({ ...assembly, partSource: { kind: 'peer', address } });
+    } else if (!failedSources.has(ConfigurationSource.Store)) {
+      this.continueAssembly({ ...assembly, partSource: { kind: 'store' } });
     } else {
-      this.giveUp(assembly, reason);
+      this.abandonAssembly(assembly, reason);
     }
   }
 
-  /** Whoever told of the generation tells again, and the store is read again. */
-  private giveUp({ manifest, peer }: Assembly, reason: string): void {
-    const { context } = this.parts;
+  /**
+   * Gives up on a generation for now: peers will report it again, and the store is polled again.
+   */
+  private abandonAssembly({ manifest, peer }: Assembly, reason: string): void {
+    const { context } = this.settings;
     const { generation } = manifest;
     this.assembly = undefined;
-    this.retryAt = context.clock.now() + RETRY_DELAY;
+    this.nextFetchAt = context.clock.now() + RETRY_DELAY;
     decide(context, { kind: 'configuration-refused', generation, reason, peer });
   }
 
-  private offer(assembly: Assembly): void {
-    const { manifest, texts } = assembly;
-    const outcome = this.inForce.activate(manifest, texts);
-    switch (outcome.kind) {
+  private activate(assembly: Assembly): void {
+    const { manifest, partTexts } = assembly;
+    const result = this.activeConfiguration.activate(manifest, partTexts);
+    switch (result.kind) {
       case 'in-force':
         this.assembly = undefined;
-        this.enter(assembly);
+        this.handleActivation(assembly);
         break;
       case 'broken-part':
-        this.giveUp(assembly, `part ${outcome.name}: ${outcome.reason}`);
+        this.abandonAssembly(assembly, `part ${result.name}: ${result.reason}`);
         break;
       case 'not-newer':
         this.assembly = undefined;
@@ -267,22 +286,25 @@
       case 'divergent':
       case 'missing-parts':
       default:
-        this.giveUp(assembly, outcome.kind);
+        this.abandonAssembly(assembly, result.kind);
     }
   }
 
-  private enter({ manifest, source, peer }: Assembly): void {
-    const { context, pushNews } = this.parts;
+  private handleActivation({ manifest, source, peer }: Assembly): void {
+    const { context, pushGeneration } = this.settings;
     const { generation } = manifest;
     this.history.add(manifest);
-    this.tellers.forEach((told, address) => {
-      if (told <= generation) {
-        this.tellers.delete(address);
+    this.peerGenerations.forEach((peerGeneration, address) => {
+      if (peerGeneration <= generation) {
+        this.peerGenerations.delete(address);
       }
     });
     decide(context, { kind: 'configuration-in-force', generation, source, peer });
-    context.emit({ kind: 'configuration', inForce: this.inForce.get() as ConfigurationSnapshot });
-    pushNews();
-    this.ask();
+    context.emit({
+      kind: 'configuration',
+      inForce: this.activeConfiguration.get() as ConfigurationSnapshot,
+    });
+    pushGeneration();
+    this.fetchManifest();
   }
 }
--- a/packages/cluster/src/lib/ConfigurationSpread/getFetchAnswers.ts
+++ b/packages/cluster/src/lib/ConfigurationSpread/getFetchAnswers.ts
@@ -1,57 +1,57 @@
 import type { ConfigurationSnapshot, Manifest } from '@apricotrill/configuration';
 import type { ManifestTransfer, PeerAnswer } from '../messages.js';
 
-/** Texts of parts by hash, as many as fit, the first one in any case. */
-function getPage(
+/** Selects part texts by hash, as many as fit, but at least one. */
+function getPartsPage(
   parts: ReadonlyMap<string, string>,
   hashes: readonly string[],
-  bytes: number,
+  maxBytes: number,
 ): Map<string, string> {
   const page = new Map<string, string>();
-  let left = bytes;
+  let remainingBytes = maxBytes;
   hashes.forEach((hash) => {
     const text = parts.get(hash);
-    if (text !== undefined && (page.size === 0 || text.length <= left)) {
+    if (text !== undefined && (page.size === 0 || text.length <= remainingBytes)) {
       page.set(hash, text);
-      left -= text.length;
+      remainingBytes -= text.length;
     }
   });
   return page;
 }
 
-/** The hashes of the parts that a peer with the base of a delta cannot have. */
-function getAddedHashes(transfer: ManifestTransfer): string[] {
+/** Hashes of the parts that a delta adds, which a peer that holds its base may lack. */
+function getAddedPartHashes(transfer: ManifestTransfer): string[] {
   return transfer.kind === 'whole'
     ? []
     : transfer.delta.steps.flatMap((step) => (step.kind === 'add' ? [step.part.hash] : []));
 }
 
 /**
- * What a daemon answers to a peer that asks for its manifest: with the parts that the peer cannot
- * have, if the difference is known, so that an edit needs one round trip.
+ * Creates the response to a peer that fetches the manifest. With a delta it includes the added
+ * parts, so that an edit needs only one round trip.
  */
 export function getManifestAnswer(
-  inForce: ConfigurationSnapshot | undefined,
+  snapshot: ConfigurationSnapshot | undefined,
   heldGeneration: number,
-  getTransfer: (manifest: Manifest) => ManifestTransfer,
-  bytes: number,
+  createTransfer: (manifest: Manifest) => ManifestTransfer,
+  maxBytes: number,
 ): PeerAnswer {
-  const generation = inForce?.manifest.generation ?? 0;
-  if (inForce === undefined || generation <= heldGeneration) {
-    return { kind: 'nothing', generation };
+  const generation = snapshot?.manifest.generation ?? 0;
+  if (snapshot === undefined || generation <= heldGeneration) {
+    return { kind: 'nack', generation };
   }
-  const transfer = getTransfer(inForce.manifest);
-  const parts = getPage(inForce.parts, getAddedHashes(transfer), bytes);
+  const transfer = createTransfer(snapshot.manifest);
+  const parts = getPartsPage(snapshot.parts, getAddedPartHashes(transfer), maxBytes);
   return { kind: 'manifest', generation, transfer, parts };
 }
 
-/** What a daemon answers to a peer that asks for parts. */
-export function getPartsAnswer(
-  inForce: ConfigurationSnapshot | undefined,
+/** Creates the response to a peer that fetches parts. */
+export function createPartsResponse(
+  snapshot: ConfigurationSnapshot | undefined,
   hashes: readonly string[],
-  bytes: number,
+  maxBytes: number,
 ): PeerAnswer {
-  const generation = inForce?.manifest.generation ?? 0;
-  const parts = getPage(inForce?.parts ?? new Map<string, string>(), hashes, bytes);
+  const generation = snapshot?.manifest.generation ?? 0;
+  const parts = getPartsPage(snapshot?.parts ?? new Map<string, string>(), hashes, maxBytes);
   return { kind: 'parts', generation, parts };
 }
--- a/packages/cluster/src/lib/CoreContext.ts
+++ b/packages/cluster/src/lib/CoreContext.ts
@@ -4,7 +4,7 @@
 import type { ClusterOptions } from './clusterOptions.js';
 import type { EmitEffect } from './coreMessages.js';
 
-/** What every part of the core is handed. */
+/** What all components of the core share. */
 export interface CoreContext {
   clock: Clock;
   random: Random;
@@ -13,27 +13,30 @@
   emit: EmitEffect;
 }
 
-/** Emits a decision record. */
-export function decide({ emit }: CoreContext, decision: ClusterEvent): void {
-  emit({ kind: 'decision', decision });
+/** Emits an event for the log. */
+export function decide({ emit }: CoreContext, event: ClusterEvent): void {
+  emit({ kind: 'decision', decision: event });
 }
 
-/** A span that differs from daemon to daemon, so that they don't act in step: within a quarter. */
-export function jitter({ random }: CoreContext, span: number): number {
-  const SPREAD = 0.25;
-  return span * (1 - SPREAD + 2 * SPREAD * random.next());
+/**
+ * Varies a duration at random by up to a quarter in either direction, so that daemons don't act in
+ * lockstep.
+ */
+export function jitter({ random }: CoreContext, duration: number): number {
+  const MAX_DEVIATION = 0.25;
+  return duration * (1 - MAX_DEVIATION + 2 * MAX_DEVIATION * random.next());
 }
 
-/** Picks up to `count` of the items at random. */
+/** Picks up to `count` items at random, without repetition. */
 export function pickSome<Item>(
   { random }: CoreContext,
   items: readonly Item[],
   count: number,
 ): Item[] {
-  const left = [...items];
+  const remaining = [...items];
   const picked: Item[] = [];
-  while (left.length > 0 && picked.length < count) {
-    picked.push(...left.splice(random.integer(left.length), 1));
+  while (remaining.length > 0 && picked.length < count) {
+    picked.push(...remaining.splice(random.integer(remaining.length), 1));
   }
   return picked;
 }
--- a/packages/cluster/src/lib/Experience/Experience.ts
+++ b/packages/cluster/src/lib/Experience/Experience.ts
@@ -2,78 +2,80 @@
 import type { CoreContext } from '../CoreContext.js';
 import { decide } from '../CoreContext.js';
 
-/** With fewer peers tried than this, the platform's answers can speak for the own network. */
-const TELLING_SAMPLE = 3;
+/** If fewer peers were tried, responses of the platform can also show that the network works. */
+const MIN_PEER_SAMPLE = 3;
 
-interface Outcome {
+interface ContactResult {
   succeeded: boolean;
   at: Milliseconds;
 }
 
 /**
- * What this daemon itself lived through with its peers lately, and what follows for its own
- * network. A daemon whose network is broken finds that nobody answers; taken for the truth, that
- * would empty its view. So when most peers tried give no answer it concludes that it is cut off:
- * it suspects nobody, keeps its last view and goes on trying.
+ * Records the recent results of this daemon's own contacts with peers, and derives whether its own
+ * network works. To a daemon whose network is broken all peers seem dead, which would empty its
+ * view. So if most of the peers tried did not respond, it considers itself cut off: it suspects
+ * nobody, keeps its last view and continues to probe.
  */
 export class Experience {
-  private readonly outcomes = new Map<string, Outcome>();
+  private readonly lastResults = new Map<string, ContactResult>();
 
-  private platformAnsweredAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  private platformRespondedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   private cutOff = false;
 
-  /** @param onChange - told when this daemon finds itself cut off, or no longer */
+  /** @param onChange - called when `isCutOff` changes */
   constructor(
     private readonly context: CoreContext,
     private readonly onChange: () => void,
   ) {}
 
-  /** Whether this daemon's own network is at fault, as far as it can tell. */
+  /** Whether this daemon considers its own network at fault. */
   get isCutOff(): boolean {
     return this.cutOff;
   }
 
-  /** Whether some peer did not answer lately. */
+  /** Whether some peer did not respond within the window. */
   hasFailures(): boolean {
-    return this.count().failed > 0;
+    return this.countRecentResults().failed > 0;
   }
 
-  /** Whether a peer failed the last time it was tried, lately. */
+  /** Whether a peer did not respond when last contacted. */
   hasFailed(peer: string): boolean {
-    return this.outcomes.get(peer)?.succeeded === false;
+    return this.lastResults.get(peer)?.succeeded === false;
   }
 
   record(peer: string, succeeded: boolean): void {
-    this.outcomes.set(peer, { succeeded, at: this.context.clock.now() });
-    this.judge();
+    this.lastResults.set(peer, { succeeded, at: this.context.clock.now() });
+    this.update();
   }
 
-  /** The platform answered a call. */
-  recordPlatform(): void {
-    this.platformAnsweredAt = this.context.clock.now();
-    this.judge();
+  /** Records that the platform responded to a call. */
+  recordPlatformResponse(): void {
+    this.platformRespondedAt = this.context.clock.now();
+    this.update();
   }
 
-  /** Forgets a peer: it is known to be gone, so its silence says nothing more. */
+  /** Forgets a peer that is known to be gone, so that its silence no longer counts. */
   forget(peer: string): void {
-    if (this.outcomes.delete(peer)) {
-      this.judge();
+    if (this.lastResults.delete(peer)) {
+      this.update();
     }
   }
 
-  /** Whether anybody else answered since then: proof that the own network works. */
+  /**
+   * Whether another peer or the platform responded since then, which proves that the network works.
+   */
   hasOtherAnswer(peer: string, since: Milliseconds): boolean {
-    const hasPeer = [...this.outcomes].some(
+    const hasPeerResponse = [...this.lastResults].some(
       ([other, { succeeded, at }]) => other !== peer && succeeded && at >= since,
     );
-    return hasPeer || this.platformAnsweredAt >= since;
+    return hasPeerResponse || this.platformRespondedAt >= since;
   }
 
-  private judge(): void {
-    const { tried, failed, firstFailure } = this.count();
-    const canPlatformTell = tried < TELLING_SAMPLE && this.platformAnsweredAt >= firstFailure;
-    const isCutOff = failed * 2 > tried && !canPlatformTell;
+  private update(): void {
+    const { tried, failed, firstFailure } = this.countRecentResults();
+    const isPlatformReachable = tried < MIN_PEER_SAMPLE && this.platformRespondedAt >= firstFailure;
+    const isCutOff = failed * 2 > tried && !isPlatformReachable;
     if (isCutOff !== this.cutOff) {
       this.cutOff = isCutOff;
       decide(this.context, { kind: isCutOff ? 'cut-off' : 'reconnected', tried, failed });
@@ -81,15 +83,15 @@
     }
   }
 
-  private count() {
+  private countRecentResults() {
     const { clock, options } = this.context;
-    const oldest = clock.now() - options.experienceWindow;
+    const oldest = clock.now() - options.localHealthWindow;
     let tried = 0;
     let failed = 0;
     let firstFailure = Number.POSITIVE_INFINITY;
-    this.outcomes.forEach(({ succeeded, at }, peer) => {
+    this.lastResults.forEach(({ succeeded, at }, peer) => {
       if (at < oldest) {
-        this.outcomes.delete(peer);
+        this.lastResults.delete(peer);
         return;
       }
       tried += 1;
--- a/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.test.ts
+++ b/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.test.ts
@@ -5,7 +5,7 @@
   const cluster = new TestCluster({
     zones: { 'fi/a': 3, 'fi/b': 3 },
     listLag,
-    options: { listInterval: 300, suspicionSpan: 20_000 },
+    options: { minListInterval: 300, suspicionSpan: 20_000 },
   });
   cluster.run(10_000);
   cluster.daemons.forEach(({ decisions }) => decisions.splice(0));
@@ -16,8 +16,8 @@
   return [...new Set(daemons.flatMap((daemon) => getDecided(daemon, 'member-dead')))];
 }
 
-describe('ListJudge', () => {
-  it('declares dead at once who neither answers nor is listed', () => {
+describe('InstanceListMonitor', () => {
+  it('immediately declares a daemon dead that neither responds nor is listed', () => {
     const cluster = createCluster();
     const [gone] = cluster.daemons;
     cluster.crash(gone!);
@@ -26,10 +26,9 @@
     cluster.dispose();
   });
 
-  it('does not believe the list against a member that answers', () => {
-    // Symptom: a healthy daemon is taken for dead, again and again.
-    // Sequence: the platform's list loses an entry.
-    // Cause: the list is believed against own experience.
+  it('does not trust the list about a member that responds', () => {
+    // Guards against a healthy daemon that is declared dead again and again, because the platform's
+    // list has lost its entry and is trusted over the results of probes.
     const cluster = createCluster();
     cluster.directory.remove(cluster.daemons[3]!.id);
     cluster.run(60_000);
@@ -37,10 +36,9 @@
     cluster.dispose();
   });
 
-  it('does not believe one reading that lacks a member', () => {
-    // Symptom: a daemon that stops for a moment is declared dead before it can refute.
-    // Sequence: it stops and is suspected; the platform's list lacks it for a moment.
-    // Cause: a single reading is believed.
+  it('does not trust a single read that lacks a member', () => {
+    // Guards against a paused daemon that is declared dead before it can refute, because the
+    // platform's list briefly lacked it while it was suspected.
     const cluster = createCluster();
     const paused = cluster.daemons[2]!;
     paused.clock.freeze();
@@ -56,10 +54,9 @@
     cluster.dispose();
   });
 
-  it('does not believe a list that lacks the reader itself', () => {
-    // Symptom: a daemon that stops for a moment is declared dead before it can refute.
-    // Sequence: the platform answers with an empty list; a daemon stops for a few seconds.
-    // Cause: an empty list is taken for one on which everybody is gone.
+  it('does not trust a list that lacks the reader itself', () => {
+    // Guards against a paused daemon that is declared dead before it can refute, because the
+    // platform returned an empty list.
     const cluster = createCluster();
     cluster.daemons.forEach(({ id }) => cluster.directory.remove(id));
     const [paused] = cluster.daemons;
@@ -74,7 +71,7 @@
     cluster.dispose();
   });
 
-  it('passes on that a backend server is listed as leaving', () => {
+  it('announces a backend server that is listed as leaving', () => {
     const cluster = createCluster();
     cluster.directory.set({
       id: 'engine-1',
--- a/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.ts
+++ b/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.ts
@@ -7,59 +7,60 @@
 import { getAddress, isRunning, MemberState } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
 
-/** What an instance takes in the list's JSON, about. */
-const INSTANCE_BYTES = 130;
+/** Approximate size of an instance in the JSON of the list. */
+const APPROXIMATE_INSTANCE_BYTES = 130;
 
-const SECOND = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
-/** The list lags: a member must be missing from so many readings in a row. */
-const TELLING_READINGS = 2;
+/** A member must be missing from this many reads in a row, since the list lags behind. */
+const MIN_MISSING_READS = 2;
 
-/** So many readings without this daemon are more than the list's lag. */
-const REPORTED_READINGS = 3;
+/** This many reads in a row without this daemon are not explained by the lag of the list. */
+const MIN_DISTRUSTED_READS = 3;
 
-interface ListJudgeParts {
+interface InstanceListMonitorSettings {
   context: CoreContext;
   membership: Membership;
-  /** Whether this daemon is the one of its zone that reads the list. */
-  isReader: () => boolean;
+  /** Whether this daemon reads the list for its availability zone. */
+  isListReader: () => boolean;
   isRegionReachable: (region: string) => boolean;
   onReplicaLeaving: (replica: string) => void;
-  /** Takes the addresses of the daemons listed. */
-  onDaemons: (addresses: string[]) => void;
+  /** Called with the addresses of the listed daemons. */
+  onDaemonAddresses: (addresses: string[]) => void;
 }
 
 /**
- * Reads the platform's list of instances and judges what follows from it. The list lags, so it is
- * believed on three things only: where daemons may be found, which backend servers are leaving,
- * and that a daemon which does not answer anyway is gone for good.
+ * Polls the platform's instance list. The list lags behind, so it is trusted on three things only:
+ * where daemons may be running, which backend servers are leaving, and that an unlisted daemon
+ * which does not respond either is gone for good.
  */
-export class ListJudge {
+export class InstanceListMonitor {
   private timer: Timer | undefined;
 
   private listedCount = 0;
 
-  private readonly missing = new Map<string, number>();
+  /** Number of consecutive reads without the member, by id. */
+  private readonly missingReads = new Map<string, number>();
 
-  /** Readings in a row without this daemon itself. */
-  private distrusted = 0;
+  /** Number of consecutive reads without this daemon itself. */
+  private distrustedReads = 0;
 
-  constructor(private readonly parts: ListJudgeParts) {}
+  constructor(private readonly settings: InstanceListMonitorSettings) {}
 
   start(): void {
-    this.round();
+    this.poll();
   }
 
-  take(instances: readonly Instance[]): void {
+  handleInstances(instances: readonly Instance[]): void {
     this.listedCount = instances.length;
     const daemons = instances.filter(({ role }) => role === InstanceRole.Daemon);
-    this.parts.onDaemons(daemons.map(({ host, port }) => getAddress(host, port)));
+    this.settings.onDaemonAddresses(daemons.map(({ host, port }) => getAddress(host, port)));
     instances
       .filter(({ role }) => role === InstanceRole.BackendServer)
       .filter(({ state }) => state === InstanceState.Leaving)
-      .forEach(({ id }) => this.parts.onReplicaLeaving(id));
+      .forEach(({ id }) => this.settings.onReplicaLeaving(id));
     if (this.isTrusted(daemons)) {
-      this.judgeMissing(new Set(daemons.map(({ id }) => id)));
+      this.declareUnlistedDead(new Set(daemons.map(({ id }) => id)));
     }
   }
 
@@ -67,56 +68,56 @@
     this.timer?.cancel();
   }
 
-  private round(): void {
-    const { context, membership } = this.parts;
-    this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () => this.round());
+  private poll(): void {
+    const { context, membership } = this.settings;
+    this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () => this.poll());
     const isAlone = membership.size === 1;
-    if (isAlone || this.parts.isReader() || membership.experience.isCutOff) {
+    if (isAlone || this.settings.isListReader() || membership.experience.isCutOff) {
       context.counters.listReads += 1;
       context.emit({ kind: 'read-instances' });
     }
   }
 
   /**
-   * A list without this daemon itself is an old or a broken one. Believed, it could have everybody
-   * who is slow to answer taken for dead.
+   * A list without this daemon itself is outdated or broken. If it were trusted, all daemons that
+   * are slow to respond could be declared dead.
    */
   private isTrusted(daemons: readonly Instance[]): boolean {
-    const self = this.parts.membership.self.get().id;
-    const isTrusted = daemons.some(({ id }) => id === self);
-    this.distrusted = isTrusted ? 0 : this.distrusted + 1;
-    if (this.distrusted === REPORTED_READINGS) {
-      decide(this.parts.context, { kind: 'list-distrusted', instances: daemons.length });
+    const selfId = this.settings.membership.self.get().id;
+    const isTrusted = daemons.some(({ id }) => id === selfId);
+    this.distrustedReads = isTrusted ? 0 : this.distrustedReads + 1;
+    if (this.distrustedReads === MIN_DISTRUSTED_READS) {
+      decide(this.settings.context, { kind: 'list-distrusted', instances: daemons.length });
     }
     return isTrusted;
   }
 
-  private judgeMissing(listed: ReadonlySet<string>): void {
-    const { membership } = this.parts;
+  private declareUnlistedDead(listedIds: ReadonlySet<string>): void {
+    const { membership } = this.settings;
     [...membership.table.values()]
       .map(({ record }) => record)
       .filter(({ state }) => isRunning(state))
       .forEach(({ id, region, state }) => {
-        const readings = listed.has(id) ? 0 : (this.missing.get(id) ?? 0) + 1;
-        this.missing.set(id, readings);
-        const isSilent =
+        const reads = listedIds.has(id) ? 0 : (this.missingReads.get(id) ?? 0) + 1;
+        this.missingReads.set(id, reads);
+        const isUnresponsive =
           state === MemberState.Suspect ||
           membership.experience.hasFailed(id) ||
-          !this.parts.isRegionReachable(region);
-        if (readings >= TELLING_READINGS && isSilent) {
+          !this.settings.isRegionReachable(region);
+        if (reads >= MIN_MISSING_READS && isUnresponsive) {
           membership.declareDead(id, DeathCause.Unlisted);
         }
       });
-    this.missing.forEach((readings, id) => {
-      if (readings === 0 || !isRunning(membership.table.get(id)?.record.state)) {
-        this.missing.delete(id);
+    this.missingReads.forEach((reads, id) => {
+      if (reads === 0 || !isRunning(membership.table.get(id)?.record.state)) {
+        this.missingReads.delete(id);
       }
     });
   }
 
   private getInterval(): Milliseconds {
-    const { listInterval, listBytesPerSecond } = this.parts.context.options;
-    const bytes = this.listedCount * INSTANCE_BYTES;
-    return Math.max(listInterval, (bytes / listBytesPerSecond) * SECOND);
+    const { minListInterval, maxListBytesPerSecond } = this.settings.context.options;
+    const bytes = this.listedCount * APPROXIMATE_INSTANCE_BYTES;
+    return Math.max(minListInterval, (bytes / maxListBytesPerSecond) * MILLISECONDS_PER_SECOND);
   }
 }
--- a/packages/cluster/src/lib/LoadDigests/LoadDigests.test.ts
+++ b/packages/cluster/src/lib/LoadDigests/LoadDigests.test.ts
@@ -1,7 +1,7 @@
 import { TestCluster } from '../../test/TestCluster.js';
 
 describe('LoadDigests', () => {
-  it('sums the load of each zone for everybody, and drops who is gone', () => {
+  it('reports the load of each zone to all daemons, and drops that of a dead daemon', () => {
     const cluster = new TestCluster({ zones: { 'fi/a': 4, 'se/b': 5 } });
     cluster.run(10_000);
     const publish = () =>
@@ -13,7 +13,7 @@
     cluster.run(20_000);
     const getSums = (index: number) =>
       Object.fromEntries(
-        cluster.daemons[index]!.host.core.getLoads().map(({ availabilityZone, services }) => [
+        cluster.daemons[index]!.host.core.getZoneLoads().map(({ availabilityZone, services }) => [
           availabilityZone,
           services[0]!.running,
         ]),
--- a/packages/cluster/src/lib/LoadDigests/LoadDigests.ts
+++ b/packages/cluster/src/lib/LoadDigests/LoadDigests.ts
@@ -3,14 +3,16 @@
 import { jitter } from '../CoreContext.js';
 import type { Rumour, ServiceLoad, ZoneLoadReport } from '../messages.js';
 
-/** A zone of more daemons sends less often, so that its reporter takes about ten messages a second. */
+/**
+ * In a large zone each daemon sends less often: its reporter gets about ten messages per second.
+ */
 const INTERVAL_PER_DAEMON: Milliseconds = 100;
 
-/** Loads and reports that were not renewed for so many intervals are dropped. */
-const KEPT_INTERVALS = 4;
+/** Loads and reports that were not renewed for this many intervals are dropped. */
+const RETENTION_INTERVALS = 4;
 
 /**
- * The load of an availability zone, as its reporter summed it.
+ * The load of an availability zone, as summed up by its reporter.
  *
  * @public
  */
@@ -19,28 +21,28 @@
   /** How many daemons' loads are in the sum. */
   daemons: number;
   services: readonly ServiceLoad[];
-  /** When the sum came here, by this daemon's clock. */
-  heardAt: Milliseconds;
+  /** When this daemon received it, by its own clock. */
+  receivedAt: Milliseconds;
 }
 
-interface Dated<Value> {
+interface Timestamped<Value> {
   value: Value;
   at: Milliseconds;
 }
 
-interface LoadDigestParts {
+interface LoadDigestsSettings {
   context: CoreContext;
   availabilityZone: string;
-  tell: (rumour: Rumour) => void;
-  /** How many daemons the own zone has. */
+  announce: (rumour: Rumour) => void;
+  /** Number of daemons in this daemon's zone. */
   getZoneSize: () => number;
-  /** The daemon that sums up the own zone; undefined when it is this one. */
+  /** The reporter of this daemon's zone; undefined if it is this daemon. */
   getReporter: () => string | undefined;
   /** Sends this daemon's load to the reporter. */
-  send: (reporter: string, services: readonly ServiceLoad[]) => void;
+  sendLoad: (reporter: string, services: readonly ServiceLoad[]) => void;
 }
 
-function addUp(loads: readonly (readonly ServiceLoad[])[]): ServiceLoad[] {
+function sumLoads(loads: readonly (readonly ServiceLoad[])[]): ServiceLoad[] {
   const sums = new Map<string, ServiceLoad>();
   loads.flat().forEach(({ service, running, waiting, refused }) => {
     const sum = sums.get(service) ?? { service, running: 0, waiting: 0, refused: 0 };
@@ -55,50 +57,50 @@
 }
 
 /**
- * How loaded each availability zone is. Every daemon sends its own load to one daemon of its zone,
- * which sums them up and tells everybody the sum: 1,800 single loads would not fit the budget.
+ * Keeps the load of each availability zone. Every daemon sends its own load to the reporter of its
+ * zone, which gossips the sum: the loads of 1,800 daemons would exceed the bandwidth budget.
  */
 export class LoadDigests {
-  private own: readonly ServiceLoad[] = [];
+  private ownLoad: readonly ServiceLoad[] = [];
 
-  private readonly zoneLoads = new Map<string, Dated<readonly ServiceLoad[]>>();
+  private readonly daemonLoads = new Map<string, Timestamped<readonly ServiceLoad[]>>();
 
-  private readonly reports = new Map<string, Dated<ZoneLoadReport>>();
+  private readonly reports = new Map<string, Timestamped<ZoneLoadReport>>();
 
   private timer: Timer | undefined;
 
-  constructor(private readonly parts: LoadDigestParts) {}
+  constructor(private readonly settings: LoadDigestsSettings) {}
 
-  /** Takes this daemon's load; the next message carries it. */
+  /** Sets this daemon's own load, which is sent with the next message. */
   publish(services: readonly ServiceLoad[]): void {
-    this.own = services;
-    this.arm();
+    this.ownLoad = services;
+    this.scheduleReport();
   }
 
-  /** Takes the load of a daemon of the zone, as its reporter. */
-  hearLoad(from: string, services: readonly ServiceLoad[]): void {
-    this.zoneLoads.set(from, { value: services, at: this.parts.context.clock.now() });
-    this.arm();
+  /** Handles the load of a daemon of the zone, as the zone's reporter. */
+  handleLoad(from: string, services: readonly ServiceLoad[]): void {
+    this.daemonLoads.set(from, { value: services, at: this.settings.context.clock.now() });
+    this.scheduleReport();
   }
 
-  /** Takes the sum of a zone. */
-  hearReport(report: ZoneLoadReport): void {
-    const known = this.reports.get(report.availabilityZone)?.value.version ?? 0;
-    if (report.version > known) {
-      this.set(report);
+  /** Handles the load report of a zone. */
+  handleReport(report: ZoneLoadReport): void {
+    const knownVersion = this.reports.get(report.availabilityZone)?.value.version ?? 0;
+    if (report.version > knownVersion) {
+      this.acceptReport(report);
     }
   }
 
-  /** The newest sums, without those that are no longer renewed. */
-  getLoads(): ZoneLoad[] {
-    const oldest = this.parts.context.clock.now() - this.getKeptSpan();
+  /** The latest load of each zone, without those that are no longer renewed. */
+  getZoneLoads(): ZoneLoad[] {
+    const oldest = this.settings.context.clock.now() - this.getRetention();
     return [...this.reports.values()]
       .filter(({ at }) => at >= oldest)
       .map(({ value: { availabilityZone, daemons, services }, at }) => ({
         availabilityZone,
         daemons,
         services,
-        heardAt: at,
+        receivedAt: at,
       }));
   }
 
@@ -106,50 +108,57 @@
     this.timer?.cancel();
   }
 
-  private arm(): void {
-    const { context } = this.parts;
+  private scheduleReport(): void {
+    const { context } = this.settings;
     if (this.timer === undefined) {
-      this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () => this.round());
+      this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () =>
+        this.reportLoad(),
+      );
     }
   }
 
-  private round(): void {
+  private reportLoad(): void {
     this.timer = undefined;
-    const reporter = this.parts.getReporter();
+    const reporter = this.settings.getReporter();
     if (reporter === undefined) {
-      this.report();
+      this.announceZoneLoad();
     } else {
-      this.zoneLoads.clear();
-      this.parts.send(reporter, this.own);
+      this.daemonLoads.clear();
+      this.settings.sendLoad(reporter, this.ownLoad);
     }
-    this.arm();
+    this.scheduleReport();
   }
 
-  private report(): void {
-    const { availabilityZone, context } = this.parts;
-    const oldest = context.clock.now() - this.getKeptSpan();
-    this.zoneLoads.forEach(({ at }, from) => {
+  private announceZoneLoad(): void {
+    const { availabilityZone, context } = this.settings;
+    const oldest = context.clock.now() - this.getRetention();
+    this.daemonLoads.forEach(({ at }, from) => {
       if (at < oldest) {
-        this.zoneLoads.delete(from);
+        this.daemonLoads.delete(from);
       }
     });
-    const loads = [this.own, ...[...this.zoneLoads.values()].map(({ value }) => value)];
+    const loads = [this.ownLoad, ...[...this.daemonLoads.values()].map(({ value }) => value)];
     const version = (this.reports.get(availabilityZone)?.value.version ?? 0) + 1;
-    this.set({ availabilityZone, version, daemons: loads.length, services: addUp(loads) });
+    this.acceptReport({
+      availabilityZone,
+      version,
+      daemons: loads.length,
+      services: sumLoads(loads),
+    });
   }
 
-  private set(report: ZoneLoadReport): void {
-    const at = this.parts.context.clock.now();
+  private acceptReport(report: ZoneLoadReport): void {
+    const at = this.settings.context.clock.now();
     this.reports.set(report.availabilityZone, { value: report, at });
-    this.parts.tell({ kind: 'zone-load', report });
+    this.settings.announce({ kind: 'zone-load', report });
   }
 
   private getInterval(): Milliseconds {
-    const { context, getZoneSize } = this.parts;
-    return Math.max(context.options.loadInterval, getZoneSize() * INTERVAL_PER_DAEMON);
+    const { context, getZoneSize } = this.settings;
+    return Math.max(context.options.minLoadInterval, getZoneSize() * INTERVAL_PER_DAEMON);
   }
 
-  private getKeptSpan(): Milliseconds {
-    return KEPT_INTERVALS * this.getInterval();
+  private getRetention(): Milliseconds {
+    return RETENTION_INTERVALS * this.getInterval();
   }
 }
--- a/packages/cluster/src/lib/ManifestHistory/ManifestHistory.ts
+++ b/packages/cluster/src/lib/ManifestHistory/ManifestHistory.ts
@@ -1,76 +1,79 @@
 import type { Manifest, PartReference } from '@apricotrill/configuration';
 import { getPartsHash } from '@apricotrill/configuration';
-import type { ManifestTransfer, PartsDelta, PartStep } from '../messages.js';
+import type { ManifestTransfer, PartsDelta, PartsDeltaStep } from '../messages.js';
 
-/** So many generations back a peer is told the difference only. */
-const KEPT_GENERATIONS = 32;
+/** A peer that holds one of this many latest generations is sent a delta. */
+const MAX_GENERATIONS = 32;
 
 function getPartKey({ name, hash }: PartReference): string {
   return `${name} ${hash}`;
 }
 
-/** The steps that write the parts from the base's. */
-function getSteps(base: readonly PartReference[], parts: readonly PartReference[]): PartStep[] {
-  const places = new Map(base.map((part, index) => [getPartKey(part), index]));
-  const steps: PartStep[] = [];
+/** Creates the steps that derive the parts from those of the base. */
+function createDeltaSteps(
+  base: readonly PartReference[],
+  parts: readonly PartReference[],
+): PartsDeltaStep[] {
+  const baseIndexes = new Map(base.map((part, index) => [getPartKey(part), index]));
+  const steps: PartsDeltaStep[] = [];
   parts.forEach((part) => {
-    const place = places.get(getPartKey(part));
-    const last = steps[steps.length - 1];
-    if (place === undefined) {
+    const baseIndex = baseIndexes.get(getPartKey(part));
+    const lastStep = steps[steps.length - 1];
+    if (baseIndex === undefined) {
       steps.push({ kind: 'add', part });
-    } else if (last?.kind === 'keep' && last.start + last.count === place) {
-      steps[steps.length - 1] = { ...last, count: last.count + 1 };
+    } else if (lastStep?.kind === 'keep' && lastStep.start + lastStep.count === baseIndex) {
+      steps[steps.length - 1] = { ...lastStep, count: lastStep.count + 1 };
     } else {
-      steps.push({ kind: 'keep', start: place, count: 1 });
+      steps.push({ kind: 'keep', start: baseIndex, count: 1 });
     }
   });
   return steps;
 }
 
 /**
- * The manifests of the last generations in force here. At full size a manifest names hundreds of
- * parts and an edit changes one, so peers tell each other the difference. What only those who
- * apply changes need (`recent`) stays at the store.
+ * The part lists of the latest generations that were active here. At full size a manifest names
+ * hundreds of parts and an edit changes one of them, so peers send each other deltas. The field
+ * `recent`, which is needed only to apply changes, is not sent.
  */
 export class ManifestHistory {
-  private readonly parts = new Map<number, readonly PartReference[]>();
+  private readonly partsByGeneration = new Map<number, readonly PartReference[]>();
 
-  /** Keeps a generation that came in force. */
+  /** Adds a generation that has become active. */
   add(manifest: Manifest): void {
-    this.parts.set(manifest.generation, manifest.parts);
-    if (this.parts.size > KEPT_GENERATIONS) {
-      this.parts.delete(this.parts.keys().next().value!);
+    this.partsByGeneration.set(manifest.generation, manifest.parts);
+    if (this.partsByGeneration.size > MAX_GENERATIONS) {
+      this.partsByGeneration.delete(this.partsByGeneration.keys().next().value!);
     }
   }
 
-  /** The manifest for a peer that holds a generation. */
+  /** Creates the transfer of a manifest to a peer that holds a generation. */
   getTransfer(manifest: Manifest, heldGeneration: number): ManifestTransfer {
-    const base = this.parts.get(heldGeneration);
+    const base = this.partsByGeneration.get(heldGeneration);
     if (base === undefined) {
       return { kind: 'whole', manifest: { ...manifest, recent: [] } };
     }
-    const { parts, recent, ...head } = manifest;
-    const delta = { baseGeneration: heldGeneration, steps: getSteps(base, parts) };
-    return { kind: 'delta', head, delta };
+    const { parts, recent, ...header } = manifest;
+    const delta = { baseGeneration: heldGeneration, steps: createDeltaSteps(base, parts) };
+    return { kind: 'delta', header, delta };
   }
 
   /**
-   * The manifest that a peer sent.
+   * Restores the manifest that a peer sent.
    *
-   * @returns undefined when it cannot be put together, or isn't the one it claims to be
+   * @returns undefined if the base of a delta is unknown, or if the content hash does not match
    */
-  getManifest(transfer: ManifestTransfer): Manifest | undefined {
+  resolveTransfer(transfer: ManifestTransfer): Manifest | undefined {
     if (transfer.kind === 'whole') {
       return transfer.manifest;
     }
     const parts = this.applyDelta(transfer.delta);
-    return parts !== undefined && getPartsHash(parts) === transfer.head.contentHash
-      ? { ...transfer.head, parts, recent: [] }
+    return parts !== undefined && getPartsHash(parts) === transfer.header.contentHash
+      ? { ...transfer.header, parts, recent: [] }
       : undefined;
   }
 
   private applyDelta({ baseGeneration, steps }: PartsDelta): PartReference[] | undefined {
-    const base = this.parts.get(baseGeneration);
+    const base = this.partsByGeneration.get(baseGeneration);
     return (
       base &&
       steps.flatMap((step) =>
--- a/packages/cluster/src/lib/Member.ts
+++ b/packages/cluster/src/lib/Member.ts
@@ -1,17 +1,17 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** What the daemons agree on about one of them. */
+/** The state of a member, as agreed on through gossip. */
 export enum MemberState {
   Alive = 'alive',
-  /** Somebody could not reach it; it has time to refute. */
+  /** A peer could not reach it; it has until the suspicion times out to refute. */
   Suspect = 'suspect',
-  /** It announced that it is shutting down: it still answers and gets no new duties. */
+  /** It announced that it is shutting down: it still responds but is given no new duties. */
   Leaving = 'leaving',
   Dead = 'dead',
 }
 
 /**
- * Who and where a daemon is.
+ * The identity of a daemon, and the addresses that it listens on.
  *
  * @public
  */
@@ -19,81 +19,84 @@
   id: string;
   region: string;
   availabilityZone: string;
-  /** The IP number of all its ports. */
+  /** The IP address that all its ports are bound to. */
   host: string;
-  /** For callers. */
+  /** The port for requests of callers. */
   port: number;
   meshPort: number;
   adminPort: number;
 }
 
 /**
- * What travels about a daemon. Of two records of the same daemon the one with the higher
- * incarnation, then refutation, then state (in the order of {@link MemberState}) holds.
+ * What daemons send each other about a member. Of two records of the same daemon, the one with the
+ * higher incarnation wins, then the higher refutation, then the later state in the order of
+ * {@link MemberState}.
  *
  * @public
  */
 export interface MemberRecord extends DaemonIdentity {
-  /** Grows with each start of the process. */
+  /** Increases with each start of the process. */
   incarnation: number;
-  /** Grows each time the process contradicts a wrong word about itself. */
+  /** Increases each time the process refutes a wrong claim about itself. */
   refutation: number;
   state: MemberState;
 }
 
 /**
- * A daemon as this one sees it.
+ * A member as this daemon sees it.
  *
  * @public
  */
 export interface Member extends DaemonIdentity {
-  /** Grows with each start of the process: an older incarnation of the same id has ended. */
+  /** Increases with each start of the process: older incarnations of the same id have ended. */
   incarnation: number;
   state: MemberState;
-  /** Where the mesh reaches it, as `host:port`. */
+  /** Its mesh address, as `host:port`. */
   address: string;
-  /** The configuration generation it last told this daemon; 0 when it never told. */
+  /**
+   * The active configuration generation that it last reported to this daemon; 0 if it never did.
+   */
   generation: number;
-  /** False while the member's region cannot be reached from here; its last known state is kept. */
+  /** False while its region cannot be reached from here; its last known state is kept. */
   isReachable: boolean;
-  /** True while it goes and comes back too often. */
+  /** True while it is suppressed for flapping: leaving and returning too often. */
   isDamped: boolean;
-  /** Whether duties may be given to it: alive, reachable and not damped. */
+  /** Whether it may be given duties: it is alive, reachable and not damped. */
   isEligible: boolean;
-  /** By this daemon's clock. */
+  /** When it entered its state, by this daemon's clock. */
   stateSince: Milliseconds;
 }
 
-const STATE_RANKS: Record<MemberState, number> = {
+const STATE_PRECEDENCE: Record<MemberState, number> = {
   [MemberState.Alive]: 0,
   [MemberState.Suspect]: 1,
   [MemberState.Leaving]: 2,
   [MemberState.Dead]: 3,
 };
 
-/** What decides between two records of a daemon. */
+/** The fields that decide which of two records of a daemon wins. */
 export type RecordVersion = Pick<MemberRecord, 'incarnation' | 'refutation' | 'state'>;
 
-/** Whether the first record holds against the second. */
+/** Whether the first record supersedes the second. */
 export function isNewerRecord(record: RecordVersion, other: RecordVersion): boolean {
   const difference =
     record.incarnation - other.incarnation ||
     record.refutation - other.refutation ||
-    STATE_RANKS[record.state] - STATE_RANKS[other.state];
+    STATE_PRECEDENCE[record.state] - STATE_PRECEDENCE[other.state];
   return difference > 0;
 }
 
-/** Whether the process is there, as far as is known; not for an unknown member. */
+/** Whether the process is presumed to be running; false for an unknown member. */
 export function isRunning(state: MemberState | undefined): boolean {
   return state !== undefined && state !== MemberState.Dead;
 }
 
-/** An IP number and a port as one text. */
+/** Formats an IP address and a port as `host:port`. */
 export function getAddress(host: string, port: number): string {
   return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
 }
 
-/** Where the mesh reaches a daemon. */
+/** The mesh address of a daemon. */
 export function getMeshAddress({ host, meshPort }: DaemonIdentity): string {
   return getAddress(host, meshPort);
 }
--- a/packages/cluster/src/lib/PauseDetector/PauseDetector.ts
+++ b/packages/cluster/src/lib/PauseDetector/PauseDetector.ts
@@ -2,43 +2,43 @@
 import type { CoreContext } from '../CoreContext.js';
 import { decide } from '../CoreContext.js';
 
-/** A pause this many probe intervals long counts. */
-const NOTICED_INTERVALS = 2;
+/** Minimum length of a pause, in probe intervals. */
+const MIN_PAUSE_INTERVALS = 2;
 
 /**
- * Notices that this process did not run for a while: stopped, swapped out, or its event loop
- * blocked. When it goes on, the answers to its probes are long overdue and every timer of a
- * suspicion has run out at once; without this check it would declare its healthy peers dead.
+ * Detects that this process did not run for a while: it was stopped or swapped out, or its event
+ * loop was blocked. When it resumes, the responses to its probes are overdue and all suspicion
+ * timers have expired; without this check it would declare healthy peers dead.
  */
 export class PauseDetector {
-  private lastSeen: Milliseconds;
+  private lastCheckAt: Milliseconds;
 
-  private resumed: Milliseconds = Number.NEGATIVE_INFINITY;
+  private lastResumedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly context: CoreContext) {
-    this.lastSeen = context.clock.now();
+    this.lastCheckAt = context.clock.now();
   }
 
-  /** The end of the last pause. What was begun before it proves nothing about peers. */
+  /** The end of the last pause. Calls started before it prove nothing about peers. */
   get resumedAt(): Milliseconds {
-    return this.resumed;
+    return this.lastResumedAt;
   }
 
   /**
-   * To be called at least once a probe interval, and before anything is concluded from a timer.
+   * Must be called at least once per probe interval, and before conclusions are drawn from a timer.
    *
    * @returns whether a pause has just ended
    */
   check(): boolean {
     const { clock, options } = this.context;
     const now = clock.now();
-    const span = now - this.lastSeen;
-    this.lastSeen = now;
-    if (span <= NOTICED_INTERVALS * options.probeInterval) {
+    const pauseDuration = now - this.lastCheckAt;
+    this.lastCheckAt = now;
+    if (pauseDuration <= MIN_PAUSE_INTERVALS * options.probeInterval) {
       return false;
     }
-    this.resumed = now;
-    decide(this.context, { kind: 'pause-noticed', span });
+    this.lastResumedAt = now;
+    decide(this.context, { kind: 'pause-noticed', span: pauseDuration });
     return true;
   }
 }
--- a/packages/cluster/src/lib/PeerCalls/PeerCalls.ts
+++ b/packages/cluster/src/lib/PeerCalls/PeerCalls.ts
@@ -2,38 +2,38 @@
 import type { EmitEffect } from '../coreMessages.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 
-/** Takes a call's answer, or undefined when none came. */
-export type OnOutcome = (answer: PeerAnswer | undefined) => void;
+/** Called with the response, or undefined if the call failed. */
+export type ResponseListener = (response: PeerAnswer | undefined) => void;
 
-/** The core's calls to peers that are on their way. */
+/** Tracks the core's calls to peers that are in flight. */
 export class PeerCalls {
   private lastId = 0;
 
-  private readonly pending = new Map<number, OnOutcome>();
+  private readonly pendingCalls = new Map<number, ResponseListener>();
 
   constructor(private readonly emit: EmitEffect) {}
 
-  /** Asks for a call; its outcome comes later, exactly once. */
+  /** Starts a call. The listener is called at most once, with its result. */
   call(
     address: string,
     request: PeerRequest,
     timeout: Milliseconds,
-    onOutcome: OnOutcome = () => {},
+    onResponse: ResponseListener = () => {},
   ): void {
     this.lastId += 1;
     const callId = this.lastId;
-    this.pending.set(callId, onOutcome);
+    this.pendingCalls.set(callId, onResponse);
     this.emit({ kind: 'call', callId, address, request, timeout });
   }
 
-  /** Hands in an outcome; a second one for the same call is dropped. */
-  settle(callId: number, answer: PeerAnswer | undefined): void {
-    const onOutcome = this.pending.get(callId);
-    this.pending.delete(callId);
-    onOutcome?.(answer);
+  /** Completes a call. A second result for the same call is dropped. */
+  settle(callId: number, response: PeerAnswer | undefined): void {
+    const onResponse = this.pendingCalls.get(callId);
+    this.pendingCalls.delete(callId);
+    onResponse?.(response);
   }
 
   dispose(): void {
-    this.pending.clear();
+    this.pendingCalls.clear();
   }
 }
--- a/packages/cluster/src/lib/RegionReachability/RegionReachability.test.ts
+++ b/packages/cluster/src/lib/RegionReachability/RegionReachability.test.ts
@@ -7,21 +7,20 @@
   const cluster = new TestCluster({ zones });
   cluster.run(20_000);
   const getRegion = (id: string) => cluster.get(id)?.host.self.region;
-  const cutRegions = () => {
+  const partitionRegions = () => {
     cluster.faults.canPass = (from, to) => getRegion(from) === getRegion(to);
   };
-  return { cluster, cutRegions };
+  return { cluster, partitionRegions };
 }
 
-describe('RegionReach', () => {
-  it('keeps the daemons of a region that is lost, as unreachable, until it is found again', () => {
-    // Symptom: when two regions lose each other for minutes, all daemons of the other are dropped
-    // one by one and taken back one by one, and every duty moves twice.
-    // Sequence: nothing passes between the regions for five minutes.
-    // Cause: each daemon is judged alone, and silence across regions counts against it.
-    const { cluster, cutRegions } = createCluster();
+describe('RegionReachability', () => {
+  it('keeps the daemons of an unreachable region, marked unreachable, until it is reachable again', () => {
+    // Guards against a partition of two regions for five minutes in which each side drops all
+    // daemons of the other one by one and adds them again later, which moves every duty twice,
+    // because silence across regions is held against each daemon.
+    const { cluster, partitionRegions } = createCluster();
     cluster.daemons.forEach(({ decisions }) => decisions.splice(0));
-    cutRegions();
+    partitionRegions();
     cluster.run(300_000);
     cluster.daemons.forEach((daemon) => {
       const members = daemon.host.core.getMembers();
@@ -32,37 +31,35 @@
       expect(getDecided(daemon, 'member-suspected')).toEqual([]);
     });
     cluster.heal();
-    const isWhole = () =>
+    const areAllEligible = () =>
       cluster.daemons.every(({ host }) =>
         host.core.getMembers().every(({ isEligible }) => isEligible),
       );
-    expect(cluster.runUntil(isWhole, 15_000)).toBe(true);
+    expect(cluster.runUntil(areAllEligible, 15_000)).toBe(true);
     cluster.dispose();
   });
 
-  it('holds a suspicion from a region that has given no sign of life since', () => {
-    // Symptom: a healthy daemon of another region is dropped as the regions lose each other.
-    // Sequence: it stops for a moment and is suspected in its region; the word crosses; the regions
-    // are cut; it refutes, in its region; the suspicion's time runs out in the other one, before
-    // the region counts as unreachable there.
-    // Cause: the time to refute goes on while no refutation can come.
-    const { cluster, cutRegions } = createCluster();
+  it('keeps a suspicion pending if nothing was received from its region since', () => {
+    // Guards against a paused daemon that is suspected in its region and dropped in another: the
+    // suspicion crosses before the regions are partitioned, the refutation does not, and the
+    // suspicion times out before the region counts as unreachable.
+    const { cluster, partitionRegions } = createCluster();
     const paused = cluster.daemons[11]!;
-    const far = cluster.daemons[0]!;
+    const remote = cluster.daemons[0]!;
     paused.clock.freeze();
-    const isSuspected = () => getView(far, paused.id)?.state === MemberState.Suspect;
+    const isSuspected = () => getView(remote, paused.id)?.state === MemberState.Suspect;
     expect(cluster.runUntil(isSuspected, 10_000)).toBe(true);
-    cutRegions();
+    partitionRegions();
     paused.clock.thaw();
     cluster.run(60_000);
-    expect(getView(far, paused.id)?.state).toBe(MemberState.Suspect);
+    expect(getView(remote, paused.id)?.state).toBe(MemberState.Suspect);
     expect(getView(cluster.daemons[10]!, paused.id)?.state).toBe(MemberState.Alive);
     cluster.dispose();
   });
 
-  it('drops daemons of a lost region once the platform no longer lists them', () => {
-    const { cluster, cutRegions } = createCluster();
-    cutRegions();
+  it('drops daemons of an unreachable region once the platform no longer lists them', () => {
+    const { cluster, partitionRegions } = createCluster();
+    partitionRegions();
     cluster.run(60_000);
     const gone = cluster.daemons[9]!;
     cluster.crash(gone);
@@ -73,10 +70,9 @@
     cluster.dispose();
   });
 
-  it('notices a crash in a region of two', () => {
-    // Symptom: a dead daemon of a small region stays in the view.
-    // Sequence: one of two daemons of a region crashes; its instance is still listed.
-    // Cause: the other one, whose only neighbour is silent, takes itself for cut off.
+  it('detects a crash in a region of two daemons', () => {
+    // Guards against a crashed daemon that stays in the view: it is still listed, and the only
+    // other daemon of its region considers itself cut off, because its only neighbour is silent.
     const { cluster } = createCluster({ 'fi/a': 6, 'se/b': 2 });
     const gone = cluster.daemons[6]!;
     cluster.crash(gone, true);
@@ -85,12 +81,11 @@
     cluster.dispose();
   });
 
-  it('keeps the daemons of a small region that is lost', () => {
-    // Symptom: a region of two daemons is dropped whenever it is cut off.
-    // Sequence: nothing passes between it and the larger one for two minutes.
-    // Cause: its daemons are judged from outside by their silence, or take each other for dead.
-    const { cluster, cutRegions } = createCluster({ 'fi/a': 6, 'se/b': 2 });
-    cutRegions();
+  it('keeps the daemons of a small unreachable region', () => {
+    // Guards against a region of two daemons that is dropped when it is partitioned from the larger
+    // one for two minutes, because its daemons are declared dead from outside, or by each other.
+    const { cluster, partitionRegions } = createCluster({ 'fi/a': 6, 'se/b': 2 });
+    partitionRegions();
     cluster.run(120_000);
     const counts = cluster.daemons.map(({ host }) => host.core.memberCount);
     expect(counts).toEqual(Array(8).fill(8));
--- a/packages/cluster/src/lib/RegionReachability/RegionReachability.ts
+++ b/packages/cluster/src/lib/RegionReachability/RegionReachability.ts
@@ -3,48 +3,47 @@
 import { decide, jitter } from '../CoreContext.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 
-/** So many links into a region must have failed before it counts as unreachable. */
-const TELLING_FAILURES = 2;
+/** This many links into a region must have failed in a row before it counts as unreachable. */
+const MIN_FAILED_LINKS = 2;
 
-/** A daemon of a smaller region is linked to from so many daemons at the usual interval. */
-const LINKS_PER_DAEMON = 4;
+/** With more links to each daemon of a smaller region than this, the probe interval is extended. */
+const MAX_LINKS_PER_DAEMON = 4;
 
 interface RegionState {
-  heardAt: Milliseconds;
-  probedAt: Milliseconds;
-  /** Links tried in a row without an answer. */
-  failures: number;
+  lastContactAt: Milliseconds;
+  lastProbeAt: Milliseconds;
+  consecutiveFailures: number;
   isReachable: boolean;
 }
 
-interface RegionReachParts {
+interface RegionReachabilitySettings {
   context: CoreContext;
   ownRegion: string;
   targets: ProbeTargets;
   probe: (member: string, onResult: (succeeded: boolean) => void) => void;
-  /** Told when a region is lost or found again. */
+  /** Called when a region becomes unreachable, or reachable again. */
   onChange: (region: string) => void;
 }
 
 /**
- * Keeps one link into each other region, and notices when a region as a whole can no longer be
- * reached. Its members then stay in the view as they were, marked unreachable: regions lose each
- * other for minutes, and dropping hundreds of healthy daemons one by one, to take them back later,
- * would move every duty twice.
+ * Probes one link into each other region, and detects that a region as a whole is unreachable. Its
+ * members then keep their last state and are marked unreachable: regions lose contact for minutes
+ * at a time, and dropping hundreds of healthy daemons one by one and adding them again later would
+ * move every duty twice.
  */
-export class RegionReach {
+export class RegionReachability {
   private readonly regions = new Map<string, RegionState>();
 
   private timer: Timer | undefined;
 
-  constructor(private readonly parts: RegionReachParts) {}
+  constructor(private readonly settings: RegionReachabilitySettings) {}
 
   start(): void {
-    const { context } = this.parts;
+    const { context } = this.settings;
     const delay = jitter(context, context.options.probeInterval);
     this.timer = context.clock.setTimer(delay, () => {
       this.start();
-      this.tick();
+      this.probeRegions();
     });
   }
 
@@ -52,18 +51,18 @@
     return this.regions.get(region)?.isReachable ?? true;
   }
 
-  /** A daemon of the region was heard. */
-  hear(region: string): void {
+  /** Records that a message of a daemon of the region was received. */
+  recordContact(region: string): void {
     const state = this.regions.get(region);
     if (state === undefined) {
       return;
     }
-    state.heardAt = this.parts.context.clock.now();
-    state.failures = 0;
+    state.lastContactAt = this.settings.context.clock.now();
+    state.consecutiveFailures = 0;
     if (!state.isReachable) {
       state.isReachable = true;
-      decide(this.parts.context, { kind: 'region-reachable', region });
-      this.parts.onChange(region);
+      decide(this.settings.context, { kind: 'region-reachable', region });
+      this.settings.onChange(region);
     }
   }
 
@@ -71,47 +70,47 @@
     this.timer?.cancel();
   }
 
-  private tick(): void {
-    const { targets, ownRegion } = this.parts;
+  private probeRegions(): void {
+    const { targets, ownRegion } = this.settings;
     targets.getRegions().forEach((_, region) => {
       if (region !== ownRegion) {
-        this.tickRegion(region);
+        this.updateRegion(region);
       }
     });
   }
 
-  private tickRegion(region: string): void {
-    const { context, targets } = this.parts;
+  private updateRegion(region: string): void {
+    const { context, targets } = this.settings;
     const now = context.clock.now();
     const state = this.getState(region);
-    if (now - state.probedAt >= this.getInterval(region)) {
-      state.probedAt = now;
-      const link = targets.getLink(region, state.failures);
+    if (now - state.lastProbeAt >= this.getProbeInterval(region)) {
+      state.lastProbeAt = now;
+      const link = targets.getLink(region, state.consecutiveFailures);
       if (link !== undefined) {
-        this.parts.probe(link, (succeeded) => this.settle(region, succeeded));
+        this.settings.probe(link, (succeeded) => this.recordProbeResult(region, succeeded));
       }
     }
-    const isSilent = now - state.heardAt > context.options.regionSilence;
-    if (state.isReachable && isSilent && state.failures >= TELLING_FAILURES) {
+    const isSilent = now - state.lastContactAt > context.options.regionTimeout;
+    if (state.isReachable && isSilent && state.consecutiveFailures >= MIN_FAILED_LINKS) {
       state.isReachable = false;
       decide(context, { kind: 'region-unreachable', region });
-      this.parts.onChange(region);
+      this.settings.onChange(region);
     }
   }
 
-  private settle(region: string, succeeded: boolean): void {
+  private recordProbeResult(region: string, succeeded: boolean): void {
     if (succeeded) {
-      this.hear(region);
+      this.recordContact(region);
     } else {
-      this.getState(region).failures += 1;
+      this.getState(region).consecutiveFailures += 1;
     }
   }
 
-  /** Longer towards a region much smaller than the own one, so that it isn't overrun. */
-  private getInterval(region: string): Milliseconds {
-    const { context, targets, ownRegion } = this.parts;
-    const share = targets.getRegionSize(ownRegion) / targets.getRegionSize(region);
-    return context.options.crossRegionInterval * Math.max(1, share / LINKS_PER_DAEMON);
+  /** The probe interval is longer for a much smaller region, so that it isn't overloaded. */
+  private getProbeInterval(region: string): Milliseconds {
+    const { context, targets, ownRegion } = this.settings;
+    const sizeRatio = targets.getRegionSize(ownRegion) / targets.getRegionSize(region);
+    return context.options.crossRegionProbeInterval * Math.max(1, sizeRatio / MAX_LINKS_PER_DAEMON);
   }
 
   private getState(region: string): RegionState {
@@ -119,11 +118,11 @@
     if (known !== undefined) {
       return known;
     }
-    const now = this.parts.context.clock.now();
+    const now = this.settings.context.clock.now();
     const state = {
-      heardAt: now,
-      probedAt: Number.NEGATIVE_INFINITY,
-      failures: 0,
+      lastContactAt: now,
+      lastProbeAt: Number.NEGATIVE_INFINITY,
+      consecutiveFailures: 0,
       isReachable: true,
     };
     this.regions.set(region, state);
--- a/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
+++ b/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
@@ -6,30 +6,30 @@
 import type { CoreContext } from '../CoreContext.js';
 import { decide, jitter } from '../CoreContext.js';
 
-interface StoreWatcherParts {
+interface StoreWatcherSettings {
   context: CoreContext;
   onManifest: (manifest: Manifest) => void;
 }
 
 /**
- * Learns of new generations at the store while this daemon is one of its zone's watchers. It holds
- * a watch, and reads the manifest now and then beside it: a watch that went silent looks like one
- * with nothing to tell, and changes would stay unnoticed for good.
+ * Detects new generations in the store while this daemon is one of its availability zone's
+ * watchers. It keeps a watch open and also polls the manifest: a watch that has gone silent is
+ * indistinguishable from one without changes, which would then stay unnoticed.
  */
 export class StoreWatcher {
-  private isOn = false;
+  private isEnabled = false;
 
-  /** The highest version of the store seen. */
-  private version = 0;
+  /** The highest store version seen. */
+  private highestVersion = 0;
 
-  /** The manifest read last and its version: the same text is not parsed twice. */
-  private read: { manifest: Manifest; version: number } | undefined;
+  /** The latest manifest and its store version, so that the same text is not parsed twice. */
+  private lastManifest: { manifest: Manifest; version: number } | undefined;
 
   private watchId = 0;
 
-  private watchedAt: Milliseconds = 0;
+  private watchStartedAt: Milliseconds = 0;
 
-  private failures = 0;
+  private consecutiveFailures = 0;
 
   private watchTimer: Timer | undefined;
 
@@ -37,72 +37,79 @@
 
   private pollTimer: Timer | undefined;
 
-  constructor(private readonly parts: StoreWatcherParts) {}
+  constructor(private readonly settings: StoreWatcherSettings) {}
 
-  /** Whether this daemon watches now. */
   get isWatching(): boolean {
-    return this.isOn;
+    return this.isEnabled;
   }
 
-  /** Starts or ends the duty. */
-  setDuty(isOn: boolean, rank: number): void {
-    if (isOn === this.isOn) {
+  /**
+   * Starts or stops watching.
+   *
+   * @param rank - this daemon's rank among the watchers, for the log
+   */
+  setEnabled(isEnabled: boolean, rank: number): void {
+    if (isEnabled === this.isEnabled) {
       return;
     }
-    this.isOn = isOn;
-    if (isOn) {
-      decide(this.parts.context, { kind: 'watch-started', rank });
+    this.isEnabled = isEnabled;
+    if (isEnabled) {
+      decide(this.settings.context, { kind: 'watch-started', rank });
       this.poll();
-      this.watch();
+      this.startWatch();
     } else {
-      decide(this.parts.context, { kind: 'watch-ended' });
+      decide(this.settings.context, { kind: 'watch-ended' });
       this.stop();
     }
   }
 
-  /** What the store holds, or undefined when it holds no manifest. */
-  hearManifest(text: string | undefined, version: number): void {
-    this.failures = 0;
-    if (text !== undefined && version !== this.read?.version) {
-      this.parse(text, version);
+  /**
+   * Handles a read of the manifest.
+   *
+   * @param text - undefined if the store holds no manifest
+   */
+  handleManifest(text: string | undefined, version: number): void {
+    this.consecutiveFailures = 0;
+    if (text !== undefined && version !== this.lastManifest?.version) {
+      this.parseText(text, version);
     }
-    if (this.read !== undefined) {
-      this.parts.onManifest(this.read.manifest);
+    if (this.lastManifest !== undefined) {
+      this.settings.onManifest(this.lastManifest.manifest);
     }
   }
 
-  hearChanges(watchId: number, changes: readonly StoreChange[]): void {
-    if (watchId !== this.watchId || !this.isOn) {
+  handleChanges(watchId: number, changes: readonly StoreChange[]): void {
+    if (watchId !== this.watchId || !this.isEnabled) {
       return;
     }
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     changes.forEach(({ key, value, version }) => {
-      this.version = Math.max(this.version, version);
+      this.highestVersion = Math.max(this.highestVersion, version);
       if (key === MANIFEST_KEY) {
-        this.hearManifest(value, version);
+        this.handleManifest(value, version);
       }
     });
-    this.watchAgain(changes.length > 0);
+    this.restartWatch(changes.length > 0);
   }
 
-  hearWatchFailure(watchId: number): void {
-    if (watchId === this.watchId && this.isOn) {
-      this.failures += 1;
-      this.watchIn(this.getBackoff());
+  handleWatchFailure(watchId: number): void {
+    if (watchId === this.watchId && this.isEnabled) {
+      this.consecutiveFailures += 1;
+      this.scheduleWatch(this.getBackoff());
     }
   }
 
   dispose(): void {
     this.stop();
-    this.isOn = false;
+    this.isEnabled = false;
   }
 
-  private parse(text: string, version: number): void {
+  private parseText(text: string, version: number): void {
     const manifest = parseManifest(text);
     if (manifest.ok) {
-      this.read = { manifest: manifest.value, version };
+      this.lastManifest = { manifest: manifest.value, version };
     } else {
-      decide(this.parts.context, {
+      decide(this.settings.context, {
         kind: 'configuration-refused',
         generation: 0,
         reason: manifest.error,
@@ -112,7 +119,7 @@
   }
 
   private poll(): void {
-    const { context } = this.parts;
+    const { context } = this.settings;
     context.counters.manifestReads += 1;
     context.emit({ kind: 'read-manifest' });
     this.pollTimer = context.clock.setTimer(jitter(context, context.options.pollInterval), () =>
@@ -120,47 +127,51 @@
     );
   }
 
-  private watch(): void {
-    const { context } = this.parts;
+  private startWatch(): void {
+    const { context } = this.settings;
     this.cancelWatchTimers();
     this.watchId += 1;
-    this.watchedAt = context.clock.now();
+    this.watchStartedAt = context.clock.now();
     context.counters.watches += 1;
-    context.emit({ kind: 'start-watch', watchId: this.watchId, afterVersion: this.version });
-    this.renewalTimer = context.clock.setTimer(context.options.watchRenewal, () => this.renew());
+    context.emit({ kind: 'start-watch', watchId: this.watchId, afterVersion: this.highestVersion });
+    this.renewalTimer = context.clock.setTimer(context.options.watchRenewalInterval, () =>
+      this.renewWatch(),
+    );
   }
 
-  /** A connection that something lost track of stays open and silent; a new watch gets a new one. */
-  private renew(): void {
-    this.parts.context.emit({ kind: 'end-watch', watchId: this.watchId });
-    this.watch();
+  /** Replaces the watch: its connection may be dead without having been closed. */
+  private renewWatch(): void {
+    this.settings.context.emit({ kind: 'end-watch', watchId: this.watchId });
+    this.startWatch();
   }
 
-  /** A watch that ends at once without a change would otherwise be asked for in a tight loop. */
-  private watchAgain(broughtChanges: boolean): void {
-    const { clock, options } = this.parts.context;
-    const isEarly = clock.now() - this.watchedAt < options.storeBackoff;
-    if (isEarly && !broughtChanges) {
-      this.watchIn(options.storeBackoff);
+  /**
+   * Delays the next watch if this one returned immediately without a change, to avoid a tight loop.
+   */
+  private restartWatch(hasChanges: boolean): void {
+    const { clock, options } = this.settings.context;
+    const isEarly = clock.now() - this.watchStartedAt < options.minStoreBackoff;
+    if (isEarly && !hasChanges) {
+      this.scheduleWatch(options.minStoreBackoff);
     } else {
-      this.watch();
+      this.startWatch();
     }
   }
 
-  private watchIn(delay: Milliseconds): void {
+  private scheduleWatch(delay: Milliseconds): void {
     this.cancelWatchTimers();
-    this.watchTimer = this.parts.context.clock.setTimer(delay, () => this.watch());
+    this.watchTimer = this.settings.context.clock.setTimer(delay, () => this.startWatch());
   }
 
   private getBackoff(): Milliseconds {
-    const { context } = this.parts;
-    const { storeBackoff, storeBackoffLimit } = context.options;
-    const delay = Math.min(storeBackoffLimit, storeBackoff * 2 ** (this.failures - 1));
+    const { context } = this.settings;
+    const { minStoreBackoff, maxStoreBackoff } = context.options;
+    const delay = Math.min(maxStoreBackoff, minStoreBackoff * 2 ** (this.consecutiveFailures - 1));
     return jitter(context, delay);
   }
 
   private stop(): void {
-    this.parts.context.emit({ kind: 'end-watch', watchId: this.watchId });
+    this.settings.context.emit({ kind: 'end-watch', watchId: this.watchId });
     this.watchId += 1;
     this.cancelWatchTimers();
     this.pollTimer?.cancel();
--- a/packages/cluster/src/lib/clusterOptions.ts
+++ b/packages/cluster/src/lib/clusterOptions.ts
@@ -1,83 +1,87 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * What can be tuned about membership and the spread of configuration.
+ * Tuning of membership and of the distribution of configuration.
  *
  * @public
  */
 export interface ClusterOptions {
-  /** Time between two probes by one daemon; each probes its neighbours in turn. */
+  /** Time between two probes of a daemon, which probes its neighbours in turn. */
   probeInterval: Milliseconds;
-  /** How long a probed peer may take to answer. */
+  /** Timeout of a direct probe. */
   probeTimeout: Milliseconds;
-  /** How long other peers may take to reach it on our behalf. */
+  /** Timeout of an indirect probe at the peer that sends it on our behalf. */
   indirectTimeout: Milliseconds;
-  /** How many other peers are asked to reach it. */
+  /** How many peers are asked for an indirect probe. */
   indirectProbes: number;
-  /** How many neighbours a daemon probes, and how many probe it. */
+  /** How many neighbours a daemon probes, and how many probe it: one in each ring. */
   probeRings: number;
-  /** Time between two probes into another region. */
-  crossRegionInterval: Milliseconds;
-  /** In a region of fewer daemons, those of other regions count as well for the own network. */
+  /** Time between two probes of another region. */
+  crossRegionProbeInterval: Milliseconds;
+  /** In a region with fewer daemons, probes of other regions also count towards local health. */
   smallRegion: number;
-  /** A region of which nothing was heard for so long counts as unreachable. */
-  regionSilence: Milliseconds;
-  /** How long a suspected peer has to refute before it is taken for dead. */
+  /** A region from which nothing was received for this long counts as unreachable. */
+  regionTimeout: Milliseconds;
+  /** How long a suspected peer has to refute before it is declared dead. */
   suspicionSpan: Milliseconds;
-  /** How far back own failures and successes count when a daemon judges its own network. */
-  experienceWindow: Milliseconds;
-  /** How long a dead peer is remembered, so that late messages cannot bring it back. */
+  /** How long the results of contacting peers count when a daemon assesses its own network. */
+  localHealthWindow: Milliseconds;
+  /** How long a dead peer is remembered, so that late messages cannot resurrect it. */
   tombstoneSpan: Milliseconds;
-  /** Each return from the dead adds 1 to a peer's penalty, each refuted suspicion 0.5; halved in this time. */
+  /**
+   * Half-life of a peer's flap penalty. Each return from the dead adds 1 to it, each refuted
+   * suspicion 0.5.
+   */
   flapHalfLife: Milliseconds;
-  /** A peer whose penalty rises above this gets no duties... */
+  /** A peer whose penalty exceeds this is suppressed: it is given no duties. */
   flapSuppress: number;
-  /** ...until the penalty has fallen below this. */
+  /** A suppressed peer is given duties again once its penalty has decayed below this. */
   flapReuse: number;
-  /** Time between two gossip messages while there is something to tell. */
+  /** Time between two gossip rounds while rumours are queued. */
   gossipInterval: Milliseconds;
-  /** How many peers one round of gossip goes to. */
+  /** How many peers a gossip round is sent to. */
   gossipFanout: number;
-  /** A rumour is sent this many times the number of digits of the member count. */
+  /** A rumour is sent this many times the number of decimal digits of the member count. */
   rumourRepeats: number;
-  /** How many bytes of rumours one message carries at most. */
+  /** Maximum bytes of rumours in one message. */
   rumourBytes: number;
-  /** How many bytes of gossip a daemon starts a second, averaged; bounds bursts. */
+  /** Average bytes of rumours per second that a daemon may send; bounds bursts. */
   gossipBytesPerSecond: number;
-  /** Time between two comparisons of the whole view with a random peer. */
+  /** Time between two anti-entropy syncs with a random peer. */
   syncInterval: Milliseconds;
-  /** How many bytes of records one answer to a comparison carries. */
+  /** Maximum bytes of records in one sync response; the last bucket may exceed it. */
   syncPageBytes: number;
-  /** How long a comparison, a fetch or a load message may take. */
+  /** Timeout of a sync, a gossip message, a fetch or a load message. */
   callTimeout: Milliseconds;
-  /** How long a daemon that starts looks for its peers before it takes duties. */
-  joinGrace: Milliseconds;
-  /** How many peers are told at once of a new generation. */
-  newsFanout: number;
-  /** How many daemons of an availability zone hold a watch at the store. */
+  /** How long a starting daemon looks for peers before it takes on duties alone. */
+  joinGracePeriod: Milliseconds;
+  /** How many peers are notified immediately of a newly active generation. */
+  generationFanout: number;
+  /** How many daemons of an availability zone watch the store. */
   watchersPerZone: number;
-  /** How often a watcher reads the manifest beside its watch, which may be silent. */
+  /** How often a watcher also polls the manifest, since its watch may have gone silent. */
   pollInterval: Milliseconds;
-  /** A watch that brought nothing for so long is replaced. */
-  watchRenewal: Milliseconds;
-  /** First and longest delay before a failed store call is made again. */
-  storeBackoff: Milliseconds;
-  storeBackoffLimit: Milliseconds;
-  /** How many bytes of parts, uncompressed, one answer carries. */
+  /** A watch that returned nothing for this long is replaced. */
+  watchRenewalInterval: Milliseconds;
+  /** Minimum delay before a failed watch is restarted; doubles with each failure. */
+  minStoreBackoff: Milliseconds;
+  /** Maximum delay before a failed watch is restarted. */
+  maxStoreBackoff: Milliseconds;
+  /** Maximum bytes of parts, uncompressed, in one response; the first part may exceed it. */
   partPageBytes: number;
-  /** How long a word that a backend server is leaving holds. */
+  /** How long a notice that a backend server is leaving stays valid. */
   replicaNoticeSpan: Milliseconds;
-  /** Least time between two reads of the platform's list by its reader. */
-  listInterval: Milliseconds;
-  /** A longer list is read less often, so that its reader stays under this. */
-  listBytesPerSecond: number;
-  /** Least time between two load messages of one daemon; grows with its zone. */
-  loadInterval: Milliseconds;
+  /** Minimum time between two reads of the platform's instance list by its reader. */
+  minListInterval: Milliseconds;
+  /** A longer list is read less often, so that its reader stays below this rate. */
+  maxListBytesPerSecond: number;
+  /** Minimum time between two load messages of a daemon; longer in a large zone. */
+  minLoadInterval: Milliseconds;
 }
 
 /**
- * The documented defaults: a crash is suspected within about 2 s and declared within 7 s; a silent
- * watch delays a change by at most 4 s.
+ * The documented defaults: a crashed daemon is suspected within about 2 s and declared dead within
+ * 7 s; a silent watch delays a change by at most 4 s.
  *
  * @public
  */
@@ -87,11 +91,11 @@
   indirectTimeout: 800,
   indirectProbes: 3,
   probeRings: 4,
-  crossRegionInterval: 4000,
+  crossRegionProbeInterval: 4000,
   smallRegion: 4,
-  regionSilence: 15_000,
+  regionTimeout: 15_000,
   suspicionSpan: 5000,
-  experienceWindow: 20_000,
+  localHealthWindow: 20_000,
   tombstoneSpan: 3_600_000,
   flapHalfLife: 30_000,
   flapSuppress: 2.5,
@@ -104,16 +108,16 @@
   syncInterval: 10_000,
   syncPageBytes: 16_384,
   callTimeout: 2000,
-  joinGrace: 2000,
-  newsFanout: 4,
+  joinGracePeriod: 2000,
+  generationFanout: 4,
   watchersPerZone: 2,
   pollInterval: 4000,
-  watchRenewal: 30_000,
-  storeBackoff: 250,
-  storeBackoffLimit: 4000,
+  watchRenewalInterval: 30_000,
+  minStoreBackoff: 250,
+  maxStoreBackoff: 4000,
   partPageBytes: 131_072,
   replicaNoticeSpan: 60_000,
-  listInterval: 5000,
-  listBytesPerSecond: 4000,
-  loadInterval: 2000,
+  minListInterval: 5000,
+  maxListBytesPerSecond: 4000,
+  minLoadInterval: 2000,
 };
