--- a/packages/cluster/src/lib/codec/messageCodec.test.ts
+++ b/packages/cluster/src/lib/codec/messageCodec.test.ts
@@ -7,127 +7,155 @@
 import type { PeerAnswer, PeerRequest, Rumour, Verdict } from '../messages.js';
 import { decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from './messageCodec.js';
 
-const name = fc.string({ minLength: 1, maxLength: 20 });
-const count = fc.nat();
-const port = fc.nat({ max: 65_535 });
+const nameArbitrary = fc.string({ minLength: 1, maxLength: 20 });
+const countArbitrary = fc.nat();
+const portArbitrary = fc.nat({ max: 65_535 });
 
-const record: fc.Arbitrary<MemberRecord> = fc.record({
-  id: name,
+const recordArbitrary: fc.Arbitrary<MemberRecord> = fc.record({
+  id: nameArbitrary,
   incarnation: fc.nat({ max: Number.MAX_SAFE_INTEGER }),
-  refutation: count,
+  refutation: countArbitrary,
   state: fc.constantFrom(...Object.values(MemberState)),
-  region: name,
-  availabilityZone: name,
-  host: name,
-  port,
-  meshPort: port,
-  adminPort: port,
+  region: nameArbitrary,
+  availabilityZone: nameArbitrary,
+  host: nameArbitrary,
+  port: portArbitrary,
+  meshPort: portArbitrary,
+  adminPort: portArbitrary,
 });
 
-const verdictState = fc.constantFrom<Verdict['state'][]>(MemberState.Suspect, MemberState.Dead);
+const updatedStateArbitrary = fc.constantFrom<Verdict['state'][]>(
+  MemberState.Suspect,
+  MemberState.Dead,
+);
 
-const notice = fc.record({ replica: name, remaining: count });
+const noticeArbitrary = fc.record({ replica: nameArbitrary, remaining: countArbitrary });
 
-const services = fc.array(
-  fc.record({ service: name, running: count, waiting: count, refused: count }),
+const servicesArbitrary = fc.array(
+  fc.record({
+    service: nameArbitrary,
+    running: countArbitrary,
+    waiting: countArbitrary,
+    refused: countArbitrary,
+  }),
 );
 
-const rumours = fc.array(
+const rumoursArbitrary = fc.array(
   fc.oneof<fc.Arbitrary<Rumour>[]>(
-    record.map((member) => ({ kind: 'member', record: member })),
+    recordArbitrary.map((member) => ({ kind: 'member', record: member })),
     fc
-      .record({ id: name, incarnation: count, refutation: count, state: verdictState })
+      .record({
+        id: nameArbitrary,
+        incarnation: countArbitrary,
+        refutation: countArbitrary,
+        state: updatedStateArbitrary,
+      })
       .map((verdict) => ({ kind: 'verdict', verdict })),
-    notice.map((value) => ({ kind: 'replica-leaving', notice: value })),
+    noticeArbitrary.map((value) => ({ kind: 'replica-leaving', notice: value })),
     fc
-      .record({ availabilityZone: name, version: count, daemons: count, services })
+      .record({
+        availabilityZone: nameArbitrary,
+        version: countArbitrary,
+        daemons: countArbitrary,
+        services: servicesArbitrary,
+      })
       .map((report) => ({ kind: 'zone-load', report })),
   ),
 );
 
-const requests = fc.oneof<fc.Arbitrary<PeerRequest>[]>(
-  fc.record({ kind: fc.constant('gossip'), generation: count, rumours }),
-  fc.record({ kind: fc.constant('ping'), generation: count, rumours, member: name }),
+const requestArbitrary = fc.oneof<fc.Arbitrary<PeerRequest>[]>(
+  fc.record({ kind: fc.constant('gossip'), generation: countArbitrary, rumours: rumoursArbitrary }),
+  fc.record({
+    kind: fc.constant('ping'),
+    generation: countArbitrary,
+    rumours: rumoursArbitrary,
+    member: nameArbitrary,
+  }),
   fc.record({
     kind: fc.constant('ping-through'),
-    generation: count,
-    rumours,
-    member: name,
-    address: name,
+    generation: countArbitrary,
+    rumours: rumoursArbitrary,
+    member: nameArbitrary,
+    address: nameArbitrary,
   }),
   fc.record({
     kind: fc.constant('sync'),
-    generation: count,
-    self: record,
-    start: fc.nat({ max: 63 }),
-    buckets: fc.uint8Array({ minLength: 256, maxLength: 256 }),
+    generation: countArbitrary,
+    sender: recordArbitrary,
+    startBucket: fc.nat({ max: 63 }),
+    bucketHashes: fc.uint8Array({ minLength: 256, maxLength: 256 }),
+  }),
+  fc.record({ kind: fc.constant('fetch-manifest'), generation: countArbitrary }),
+  fc.record({
+    kind: fc.constant('fetch-parts'),
+    generation: countArbitrary,
+    hashes: fc.array(nameArbitrary),
   }),
-  fc.record({ kind: fc.constant('fetch-manifest'), generation: count }),
-  fc.record({ kind: fc.constant('fetch-parts'), generation: count, hashes: fc.array(name) }),
-  fc.record({ kind: fc.constant('load'), generation: count, services }),
+  fc.record({ kind: fc.constant('load'), generation: countArbitrary, services: servicesArbitrary }),
 );
 
-const texts = fc.array(fc.tuple(name, fc.string())).map((pairs) => new Map(pairs));
+const partTextsArbitrary = fc
+  .array(fc.tuple(nameArbitrary, fc.string()))
+  .map((pairs) => new Map(pairs));
 
-const answers = fc.oneof<fc.Arbitrary<PeerAnswer>[]>(
-  fc.record({ kind: fc.constant('ack'), generation: count, rumours }),
-  fc.record({ kind: fc.constant('nothing'), generation: count }),
+const responseArbitrary = fc.oneof<fc.Arbitrary<PeerAnswer>[]>(
+  fc.record({ kind: fc.constant('ack'), generation: countArbitrary, rumours: rumoursArbitrary }),
+  fc.record({ kind: fc.constant('nack'), generation: countArbitrary }),
   fc.record({
     kind: fc.constant('sync-page'),
-    generation: count,
-    records: fc.array(record),
-    notices: fc.array(notice),
-    next: fc.integer({ min: -1, max: 63 }),
+    generation: countArbitrary,
+    records: fc.array(recordArbitrary),
+    notices: fc.array(noticeArbitrary),
+    nextBucket: fc.integer({ min: -1, max: 63 }),
   }),
-  fc.record({ kind: fc.constant('parts'), generation: count, parts: texts }),
+  fc.record({ kind: fc.constant('parts'), generation: countArbitrary, parts: partTextsArbitrary }),
 );
 
 const SEED = 7;
 
 describe('messageCodec', () => {
-  it('gives back every message as it was', () => {
+  it('decodes every message to what was encoded', () => {
     fc.assert(
-      fc.property(requests, answers, (request, answer) => {
+      fc.property(requestArbitrary, responseArbitrary, (request, response) => {
         expect(decodeRequest(encodeRequest(request), 'peer')).toEqual(request);
-        expect(decodeAnswer(encodeAnswer(answer), 'peer')).toEqual(answer);
+        expect(decodeAnswer(encodeAnswer(response), 'peer')).toEqual(response);
       }),
       { seed: SEED },
     );
   });
 
-  it('gives back manifests, whole and as a difference that is far smaller', () => {
+  it('decodes manifests to what was encoded, whole and as a much smaller delta', () => {
     const history = new ManifestHistory();
     const [before, after] = [createManifest(1, 20_000), createManifest(2, 20_000)];
-    const carry = (held: number) => {
-      const transfer = history.getTransfer(after.manifest, held);
+    const getTransferSize = (heldGeneration: number) => {
+      const transfer = history.getTransfer(after.manifest, heldGeneration);
       const parts = new Map<string, string>();
       const encoded = encodeAnswer({ kind: 'manifest', generation: 2, transfer, parts });
       const decoded = decodeAnswer(encoded, 'peer');
       expect(decoded).toMatchObject({ kind: 'manifest', transfer: { kind: transfer.kind } });
-      const manifest = decoded.kind === 'manifest' && history.getManifest(decoded.transfer);
+      const manifest = decoded.kind === 'manifest' && history.resolveTransfer(decoded.transfer);
       expect(manifest).toEqual(after.manifest);
       return JSON.stringify(transfer).length;
     };
-    const whole = carry(1);
+    const wholeSize = getTransferSize(1);
     history.add(before.manifest);
-    expect(carry(1)).toBeLessThan(whole / 3);
+    expect(getTransferSize(1)).toBeLessThan(wholeSize / 3);
   });
 
-  it('refuses a difference whose result is not the manifest it claims to be', () => {
-    // Symptom: daemons of one generation hold different configurations.
-    // Sequence: a peer's difference was made against another base of the same generation.
-    // Cause: the result is taken without a check.
-    const [here, there] = [new ManifestHistory(), new ManifestHistory()];
-    here.add(createManifest(1, 500).manifest);
-    there.add(createManifest(1, 2000).manifest);
-    const transfer = there.getTransfer(createManifest(2, 2000).manifest, 1);
-    expect(here.getManifest(transfer)).toBeUndefined();
+  it('rejects a delta whose result does not match the content hash', () => {
+    // Guards against daemons that hold different configurations of one generation, because a peer's
+    // delta was made from a different base of the same generation and its result is not verified.
+    const [local, remote] = [new ManifestHistory(), new ManifestHistory()];
+    local.add(createManifest(1, 500).manifest);
+    remote.add(createManifest(1, 2000).manifest);
+    const transfer = remote.getTransfer(createManifest(2, 2000).manifest, 1);
+    expect(local.resolveTransfer(transfer)).toBeUndefined();
   });
 
-  it('refuses anything else with an error that names the peer', () => {
-    const bomb = [4, 1, [['hash', new Uint8Array([1, 2, 3])]]];
+  it('rejects anything else with a StepError', () => {
+    const invalidCompressedText = [4, 1, [['hash', new Uint8Array([1, 2, 3])]]];
     fc.assert(
-      fc.property(fc.oneof(fc.anything(), fc.constant(bomb)), (message) => {
+      fc.property(fc.oneof(fc.anything(), fc.constant(invalidCompressedText)), (message) => {
         expect(() => decodeRequest(message, 'peer')).toThrow(StepError);
         expect(() => decodeAnswer(message, 'peer')).toThrow(StepError);
       }),
--- a/packages/cluster/src/lib/codec/messageCodec.ts
+++ b/packages/cluster/src/lib/codec/messageCodec.ts
@@ -3,7 +3,7 @@
 import { BUCKETS } from '../MemberTable/MemberTable.js';
 import type { PeerAnswer, PeerRequest } from '../messages.js';
 import {
-  count,
+  countSchema,
   encodeNotice,
   encodeRecord,
   encodeRumour,
@@ -17,13 +17,14 @@
 import { encodeTransfer, transferSchema } from './transferCodec.js';
 
 /**
- * Requests and answers as arrays: a tag, the sender's generation, the rest. What comes from another
- * process is checked here, whole, before anything acts on it. The tags are part of the protocol.
+ * Encodes requests and responses as arrays: a tag, the sender's active generation, and the other
+ * fields. Messages of other processes are validated completely when they are decoded. The tags are
+ * part of the protocol.
  */
 
 enum RequestTag {
   Ping = 0,
-  PingThrough = 1,
+  IndirectPing = 1,
   Gossip = 2,
   Sync = 3,
   FetchManifest = 4,
@@ -31,9 +32,9 @@
   Load = 6,
 }
 
-enum AnswerTag {
+enum ResponseTag {
   Ack = 0,
-  Nothing = 1,
+  Nack = 1,
   SyncPage = 2,
   Manifest = 3,
   Parts = 4,
@@ -41,20 +42,22 @@
 
 const HASH_BYTES = 4;
 
-const hashes = z.instanceof(Uint8Array).refine(({ length }) => length === BUCKETS * HASH_BYTES);
-const bucket = count.max(BUCKETS - 1);
+const bucketHashesSchema = z
+  .instanceof(Uint8Array)
+  .refine(({ length }) => length === BUCKETS * HASH_BYTES);
+const bucketSchema = countSchema.max(BUCKETS - 1);
 
 const requestSchemas: Record<RequestTag, z.ZodType<PeerRequest>> = {
   [RequestTag.Ping]: z
-    .tuple([z.number(), count, rumoursSchema, z.string()])
+    .tuple([z.number(), countSchema, rumoursSchema, z.string()])
     .transform(([, generation, rumours, member]) => ({
       kind: 'ping',
       generation,
       rumours,
       member,
     })),
-  [RequestTag.PingThrough]: z
-    .tuple([z.number(), count, rumoursSchema, z.string(), z.string()])
+  [RequestTag.IndirectPing]: z
+    .tuple([z.number(), countSchema, rumoursSchema, z.string(), z.string()])
     .transform(([, generation, rumours, member, address]) => ({
       kind: 'ping-through',
       generation,
@@ -63,54 +66,54 @@
       address,
     })),
   [RequestTag.Gossip]: z
-    .tuple([z.number(), count, rumoursSchema])
+    .tuple([z.number(), countSchema, rumoursSchema])
     .transform(([, generation, rumours]) => ({ kind: 'gossip', generation, rumours })),
   [RequestTag.Sync]: z
-    .tuple([z.number(), count, recordSchema, bucket, hashes])
-    .transform(([, generation, self, start, buckets]) => ({
+    .tuple([z.number(), countSchema, recordSchema, bucketSchema, bucketHashesSchema])
+    .transform(([, generation, sender, startBucket, bucketHashes]) => ({
       kind: 'sync',
       generation,
-      self,
-      start,
-      buckets,
+      sender,
+      startBucket,
+      bucketHashes,
     })),
   [RequestTag.FetchManifest]: z
-    .tuple([z.number(), count])
+    .tuple([z.number(), countSchema])
     .transform(([, generation]) => ({ kind: 'fetch-manifest', generation })),
   [RequestTag.FetchParts]: z
-    .tuple([z.number(), count, z.array(z.string())])
-    .transform(([, generation, names]) => ({ kind: 'fetch-parts', generation, hashes: names })),
+    .tuple([z.number(), countSchema, z.array(z.string())])
+    .transform(([, generation, hashes]) => ({ kind: 'fetch-parts', generation, hashes })),
   [RequestTag.Load]: z
-    .tuple([z.number(), count, servicesSchema])
+    .tuple([z.number(), countSchema, servicesSchema])
     .transform(([, generation, services]) => ({ kind: 'load', generation, services })),
 };
 
-const answerSchemas: Record<AnswerTag, z.ZodType<PeerAnswer>> = {
-  [AnswerTag.Ack]: z
-    .tuple([z.number(), count, rumoursSchema])
+const responseSchemas: Record<ResponseTag, z.ZodType<PeerAnswer>> = {
+  [ResponseTag.Ack]: z
+    .tuple([z.number(), countSchema, rumoursSchema])
     .transform(([, generation, rumours]) => ({ kind: 'ack', generation, rumours })),
-  [AnswerTag.Nothing]: z
-    .tuple([z.number(), count])
-    .transform(([, generation]) => ({ kind: 'nothing', generation })),
-  [AnswerTag.SyncPage]: z
-    .tuple([z.number(), count, z.array(recordSchema), z.array(noticeSchema), z.int().min(-1)])
-    .transform(([, generation, records, notices, next]) => ({
+  [ResponseTag.Nack]: z
+    .tuple([z.number(), countSchema])
+    .transform(([, generation]) => ({ kind: 'nack', generation })),
+  [ResponseTag.SyncPage]: z
+    .tuple([z.number(), countSchema, z.array(recordSchema), z.array(noticeSchema), z.int().min(-1)])
+    .transform(([, generation, records, notices, nextBucket]) => ({
       kind: 'sync-page',
       generation,
       records,
       notices,
-      next,
+      nextBucket,
     })),
-  [AnswerTag.Manifest]: z
-    .tuple([z.number(), count, transferSchema, partsSchema])
+  [ResponseTag.Manifest]: z
+    .tuple([z.number(), countSchema, transferSchema, partsSchema])
     .transform(([, generation, transfer, parts]) => ({
       kind: 'manifest',
       generation,
       transfer,
       parts,
     })),
-  [AnswerTag.Parts]: z
-    .tuple([z.number(), count, partsSchema])
+  [ResponseTag.Parts]: z
+    .tuple([z.number(), countSchema, partsSchema])
     .transform(([, generation, parts]) => ({ kind: 'parts', generation, parts })),
 };
 
@@ -121,13 +124,13 @@
       return [RequestTag.Ping, generation, request.rumours.map(encodeRumour), request.member];
     case 'ping-through': {
       const rumours = request.rumours.map(encodeRumour);
-      return [RequestTag.PingThrough, generation, rumours, request.member, request.address];
+      return [RequestTag.IndirectPing, generation, rumours, request.member, request.address];
     }
     case 'gossip':
       return [RequestTag.Gossip, generation, request.rumours.map(encodeRumour)];
     case 'sync': {
-      const self = encodeRecord(request.self);
-      return [RequestTag.Sync, generation, self, request.start, request.buckets];
+      const sender = encodeRecord(request.sender);
+      return [RequestTag.Sync, generation, sender, request.startBucket, request.bucketHashes];
     }
     case 'fetch-manifest':
       return [RequestTag.FetchManifest, generation];
@@ -140,26 +143,26 @@
   }
 }
 
-export function encodeAnswer(answer: PeerAnswer): unknown[] {
-  const { generation } = answer;
-  switch (answer.kind) {
+export function encodeAnswer(response: PeerAnswer): unknown[] {
+  const { generation } = response;
+  switch (response.kind) {
     case 'ack':
-      return [AnswerTag.Ack, generation, answer.rumours.map(encodeRumour)];
-    case 'nothing':
-      return [AnswerTag.Nothing, generation];
+      return [ResponseTag.Ack, generation, response.rumours.map(encodeRumour)];
+    case 'nack':
+      return [ResponseTag.Nack, generation];
     case 'sync-page': {
-      const records = answer.records.map(encodeRecord);
-      const notices = answer.notices.map(encodeNotice);
-      return [AnswerTag.SyncPage, generation, records, notices, answer.next];
+      const records = response.records.map(encodeRecord);
+      const notices = response.notices.map(encodeNotice);
+      return [ResponseTag.SyncPage, generation, records, notices, response.nextBucket];
     }
     case 'manifest': {
-      const transfer = encodeTransfer(answer.transfer);
-      return [AnswerTag.Manifest, generation, transfer, encodeParts(answer.parts)];
+      const transfer = encodeTransfer(response.transfer);
+      return [ResponseTag.Manifest, generation, transfer, encodeParts(response.parts)];
     }
     case 'parts':
-      return [AnswerTag.Parts, generation, encodeParts(answer.parts)];
+      return [ResponseTag.Parts, generation, encodeParts(response.parts)];
     default:
-      throw exhaustiveSwitchError(answer);
+      throw exhaustiveSwitchError(response);
   }
 }
 
@@ -177,15 +180,15 @@
   return parsed.data;
 }
 
-const requestTags = z.enum(RequestTag);
-const answerTags = z.enum(AnswerTag);
+const requestTagSchema = z.enum(RequestTag);
+const responseTagSchema = z.enum(ResponseTag);
 
-/** @throws StepError when it is no request */
+/** @throws StepError if the message is not a valid request */
 export function decodeRequest(message: unknown, peer: string): PeerRequest {
-  return decode(requestTags, requestSchemas, message, { step: 'cluster-request', peer });
+  return decode(requestTagSchema, requestSchemas, message, { step: 'cluster-request', peer });
 }
 
-/** @throws StepError when it is no answer */
+/** @throws StepError if the message is not a valid response */
 export function decodeAnswer(message: unknown, peer: string): PeerAnswer {
-  return decode(answerTags, answerSchemas, message, { step: 'cluster-answer', peer });
+  return decode(responseTagSchema, responseSchemas, message, { step: 'cluster-answer', peer });
 }
--- a/packages/cluster/src/lib/codec/rumourCodec.ts
+++ b/packages/cluster/src/lib/codec/rumourCodec.ts
@@ -5,64 +5,80 @@
 import type { ReplicaNotice, Rumour, ServiceLoad } from '../messages.js';
 
 /**
- * Rumours as arrays: the names of their fields would take more bytes than what they say. The place
- * in {@link STATES} and the numbers in {@link RumourTag} are part of the protocol.
+ * Encodes rumours as arrays: field names would take more bytes than the values. The order of
+ * {@link STATES_BY_INDEX} and the numbers of {@link RumourTag} are part of the protocol.
  */
 
-const STATES = [MemberState.Alive, MemberState.Suspect, MemberState.Leaving, MemberState.Dead];
+const STATES_BY_INDEX = [
+  MemberState.Alive,
+  MemberState.Suspect,
+  MemberState.Leaving,
+  MemberState.Dead,
+];
 
 enum RumourTag {
   Member = 0,
-  Verdict = 1,
+  MemberStateUpdate = 1,
   ReplicaLeaving = 2,
   ZoneLoad = 3,
 }
 
-const MAX_NAME = 256;
+const MAX_NAME_LENGTH = 256;
 const MAX_PORT = 65535;
 
-const name = z.string().min(1).max(MAX_NAME);
-export const count = z.int().min(0);
-const port = count.max(MAX_PORT);
-const state = z
+const nameSchema = z.string().min(1).max(MAX_NAME_LENGTH);
+export const countSchema = z.int().min(0);
+const portSchema = countSchema.max(MAX_PORT);
+const stateSchema = z
   .int()
   .min(0)
-  .max(STATES.length - 1)
-  .transform((index) => STATES[index]!);
+  .max(STATES_BY_INDEX.length - 1)
+  .transform((index) => STATES_BY_INDEX[index]!);
 
 export const recordSchema = z
-  .tuple([name, count, count, state, name, name, name, port, port, port])
+  .tuple([
+    nameSchema,
+    countSchema,
+    countSchema,
+    stateSchema,
+    nameSchema,
+    nameSchema,
+    nameSchema,
+    portSchema,
+    portSchema,
+    portSchema,
+  ])
   .transform(
     ([id, incarnation, refutation, memberState, region, availabilityZone, host, ...ports]) => {
       const [callerPort, meshPort, adminPort] = ports;
-      const place = { region, availabilityZone, host, port: callerPort, meshPort, adminPort };
-      return { id, incarnation, refutation, state: memberState, ...place };
+      const location = { region, availabilityZone, host, port: callerPort, meshPort, adminPort };
+      return { id, incarnation, refutation, state: memberState, ...location };
     },
   );
 
-const verdictState = state.pipe(z.enum([MemberState.Suspect, MemberState.Dead]));
+const stateUpdateStateSchema = stateSchema.pipe(z.enum([MemberState.Suspect, MemberState.Dead]));
 
-const verdictSchema = z
-  .tuple([name, count, count, verdictState])
-  .transform(([id, incarnation, refutation, verdict]) => ({
+const stateUpdateSchema = z
+  .tuple([nameSchema, countSchema, countSchema, stateUpdateStateSchema])
+  .transform(([id, incarnation, refutation, memberState]) => ({
     id,
     incarnation,
     refutation,
-    state: verdict,
+    state: memberState,
   }));
 
 export const noticeSchema = z
-  .tuple([name, count])
+  .tuple([nameSchema, countSchema])
   .transform(([replica, remaining]) => ({ replica, remaining }));
 
 export const servicesSchema = z.array(
   z
-    .tuple([name, count, count, count])
+    .tuple([nameSchema, countSchema, countSchema, countSchema])
     .transform(([service, running, waiting, refused]) => ({ service, running, waiting, refused })),
 );
 
-const reportSchema = z
-  .tuple([name, count, count, servicesSchema])
+const zoneLoadSchema = z
+  .tuple([nameSchema, countSchema, countSchema, servicesSchema])
   .transform(([availabilityZone, version, daemons, services]) => ({
     availabilityZone,
     version,
@@ -75,13 +91,13 @@
     .tuple([z.literal(RumourTag.Member), recordSchema])
     .transform(([, record]) => ({ kind: 'member' as const, record })),
   z
-    .tuple([z.literal(RumourTag.Verdict), verdictSchema])
+    .tuple([z.literal(RumourTag.MemberStateUpdate), stateUpdateSchema])
     .transform(([, verdict]) => ({ kind: 'verdict' as const, verdict })),
   z
     .tuple([z.literal(RumourTag.ReplicaLeaving), noticeSchema])
     .transform(([, notice]) => ({ kind: 'replica-leaving' as const, notice })),
   z
-    .tuple([z.literal(RumourTag.ZoneLoad), reportSchema])
+    .tuple([z.literal(RumourTag.ZoneLoad), zoneLoadSchema])
     .transform(([, report]) => ({ kind: 'zone-load' as const, report })),
 ]);
 
@@ -89,8 +105,8 @@
 
 export function encodeRecord(record: MemberRecord): unknown[] {
   const { id, incarnation, refutation, region, availabilityZone, host } = record;
-  const place = [region, availabilityZone, host, record.port, record.meshPort, record.adminPort];
-  return [id, incarnation, refutation, STATES.indexOf(record.state), ...place];
+  const location = [region, availabilityZone, host, record.port, record.meshPort, record.adminPort];
+  return [id, incarnation, refutation, STATES_BY_INDEX.indexOf(record.state), ...location];
 }
 
 export function encodeNotice({ replica, remaining }: ReplicaNotice): unknown[] {
@@ -112,8 +128,8 @@
       return [RumourTag.Member, encodeRecord(rumour.record)];
     case 'verdict': {
       const { id, incarnation, refutation } = rumour.verdict;
-      const stateIndex = STATES.indexOf(rumour.verdict.state);
-      return [RumourTag.Verdict, [id, incarnation, refutation, stateIndex]];
+      const stateIndex = STATES_BY_INDEX.indexOf(rumour.verdict.state);
+      return [RumourTag.MemberStateUpdate, [id, incarnation, refutation, stateIndex]];
     }
     case 'replica-leaving':
       return [RumourTag.ReplicaLeaving, encodeNotice(rumour.notice)];
--- a/packages/cluster/src/lib/codec/textCodec.ts
+++ b/packages/cluster/src/lib/codec/textCodec.ts
@@ -2,37 +2,35 @@
 import { z } from 'zod';
 import type { PartTexts } from '../messages.js';
 
-/** Above what the store takes as one value: nothing larger can be a part or a manifest. */
+/** Larger than the store's limit for a value, so no part or manifest exceeds it. */
 const MAX_TEXT_BYTES = 2 * 1024 * 1024;
 
-/** Compressed texts kept: a new part is asked for by several peers within a second. */
-const KEPT_TEXTS = 16;
+/** Size of the cache of compressed parts: several peers fetch a new part within a second. */
+const MAX_CACHED_TEXTS = 16;
 
-const kept = new Map<string, { text: string; compressed: Uint8Array }>();
+const compressedParts = new Map<string, { text: string; compressed: Uint8Array }>();
 
 export function compressText(text: string): Uint8Array {
   return deflateRawSync(text);
 }
 
 /**
- * Unpacks a text.
- *
- * @throws RangeError when it is larger than any text can be, so that a few bytes cannot fill the
- *   memory
+ * @throws RangeError if the text is larger than any valid text, so that a small compressed message
+ *   cannot exhaust the memory
  */
 function decompressText(compressed: Uint8Array): string {
   return inflateRawSync(compressed, { maxOutputLength: MAX_TEXT_BYTES }).toString('utf8');
 }
 
 function compressPart(hash: string, text: string): Uint8Array {
-  const known = kept.get(hash);
-  if (known?.text === text) {
-    return known.compressed;
+  const cached = compressedParts.get(hash);
+  if (cached?.text === text) {
+    return cached.compressed;
   }
   const compressed = compressText(text);
-  kept.set(hash, { text, compressed });
-  if (kept.size > KEPT_TEXTS) {
-    kept.delete(kept.keys().next().value!);
+  compressedParts.set(hash, { text, compressed });
+  if (compressedParts.size > MAX_CACHED_TEXTS) {
+    compressedParts.delete(compressedParts.keys().next().value!);
   }
   return compressed;
 }
@@ -41,7 +39,7 @@
   return [...parts].map(([hash, text]) => [hash, compressPart(hash, text)]);
 }
 
-/** A compressed text; bytes that are none fail the check instead of throwing. */
+/** A compressed text. Bytes that cannot be decompressed fail validation instead of throwing. */
 export const textSchema = z.instanceof(Uint8Array).transform((compressed, context): string => {
   try {
     return decompressText(compressed);
@@ -51,7 +49,7 @@
   }
 });
 
-/** Part texts by the hash under which they were sent; whether they have it is checked later. */
+/** Part texts by the hash under which they were sent. The hashes are verified later. */
 export const partsSchema = z
   .array(z.tuple([z.string(), textSchema]))
   .transform((parts): PartTexts => new Map(parts));
--- a/packages/cluster/src/lib/codec/transferCodec.ts
+++ b/packages/cluster/src/lib/codec/transferCodec.ts
@@ -1,11 +1,11 @@
 import { parseManifest } from '@apricotrill/configuration';
 import type { Manifest } from '@apricotrill/configuration';
 import { z } from 'zod';
-import type { ManifestTransfer, PartStep } from '../messages.js';
-import { count } from './rumourCodec.js';
+import type { ManifestTransfer, PartsDeltaStep } from '../messages.js';
+import { countSchema } from './rumourCodec.js';
 import { compressText, textSchema } from './textCodec.js';
 
-/** Manifests as compressed JSON, which is how they are checked when they come from the store. */
+/** Encodes manifests as compressed JSON, so that they are validated like those from the store. */
 
 const manifestSchema = textSchema.transform((text, context): Manifest => {
   const parsed = parseManifest(text);
@@ -18,11 +18,14 @@
 
 const stepSchema = z.union([
   z
-    .tuple([count, count])
-    .transform(([start, length]): PartStep => ({ kind: 'keep', start, count: length })),
+    .tuple([countSchema, countSchema])
+    .transform(([start, length]): PartsDeltaStep => ({ kind: 'keep', start, count: length })),
   z
-    .tuple([z.string(), z.string(), count])
-    .transform(([name, hash, size]): PartStep => ({ kind: 'add', part: { name, hash, size } })),
+    .tuple([z.string(), z.string(), countSchema])
+    .transform(([name, hash, size]): PartsDeltaStep => ({
+      kind: 'add',
+      part: { name, hash, size },
+    })),
 ]);
 
 export const transferSchema = z.union([
@@ -30,14 +33,14 @@
     .tuple([manifestSchema])
     .transform(([manifest]): ManifestTransfer => ({ kind: 'whole', manifest })),
   z
-    .tuple([manifestSchema, count, z.array(stepSchema)])
+    .tuple([manifestSchema, countSchema, z.array(stepSchema)])
     .transform(([manifest, baseGeneration, steps]): ManifestTransfer => {
-      const { parts, recent, ...head } = manifest;
-      return { kind: 'delta', head, delta: { baseGeneration, steps } };
+      const { parts, recent, ...header } = manifest;
+      return { kind: 'delta', header, delta: { baseGeneration, steps } };
     }),
 ]);
 
-function encodeStep(step: PartStep): unknown[] {
+function encodeStep(step: PartsDeltaStep): unknown[] {
   return step.kind === 'keep'
     ? [step.start, step.count]
     : [step.part.name, step.part.hash, step.part.size];
@@ -47,7 +50,11 @@
   if (transfer.kind === 'whole') {
     return [compressText(JSON.stringify(transfer.manifest))];
   }
-  const { head, delta } = transfer;
-  const empty: Manifest = { ...head, parts: [], recent: [] };
-  return [compressText(JSON.stringify(empty)), delta.baseGeneration, delta.steps.map(encodeStep)];
+  const { header, delta } = transfer;
+  const manifestWithoutParts: Manifest = { ...header, parts: [], recent: [] };
+  return [
+    compressText(JSON.stringify(manifestWithoutParts)),
+    delta.baseGeneration,
+    delta.steps.map(encodeStep),
+  ];
 }
--- a/packages/cluster/src/lib/coreMessages.ts
+++ b/packages/cluster/src/lib/coreMessages.ts
@@ -4,14 +4,14 @@
 import type { ClusterEvent } from './ClusterEvent.js';
 import type { PeerAnswer, PeerRequest, ServiceLoad } from './messages.js';
 
-/** What happens around the core. */
+/** Input of the core: messages from peers, results of its calls, and requests of its host. */
 export type CoreMessage =
   | { kind: 'request'; requestId: number; from: string; request: PeerRequest }
   | { kind: 'answer'; callId: number; answer: PeerAnswer }
   | { kind: 'call-failed'; callId: number }
   | { kind: 'watch-answered'; watchId: number; changes: StoreChange[] }
   | { kind: 'watch-failed'; watchId: number }
-  /** `text` is undefined when the store holds no manifest. */
+  /** `text` is undefined if the store holds no manifest. */
   | { kind: 'manifest-read'; text: string | undefined; version: number }
   | { kind: 'manifest-read-failed' }
   | { kind: 'parts-read'; readId: number; parts: ReadonlyMap<string, string> }
@@ -22,7 +22,7 @@
   | { kind: 'tell-replica-leaving'; replica: string }
   | { kind: 'publish-load'; services: readonly ServiceLoad[] };
 
-/** What the core wants done. */
+/** Output of the core: what its host is to carry out. */
 export type CoreEffect =
   | {
       kind: 'call';
@@ -37,11 +37,11 @@
   | { kind: 'read-manifest' }
   | { kind: 'read-parts'; readId: number; hashes: string[] }
   | { kind: 'read-instances' }
-  /** The view of the members changed. */
+  /** The member list has changed. */
   | { kind: 'members' }
   | { kind: 'configuration'; inForce: ConfigurationSnapshot }
   | { kind: 'replica-leaving'; replica: string; remaining: Milliseconds }
   | { kind: 'decision'; decision: ClusterEvent };
 
-/** Takes what the core wants done. */
+/** Receives the effects that the core emits. */
 export type EmitEffect = (effect: CoreEffect) => void;
--- a/packages/cluster/src/lib/messages.ts
+++ b/packages/cluster/src/lib/messages.ts
@@ -2,24 +2,24 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { MemberRecord, MemberState } from './Member.js';
 
-/** The messages between daemons. `codec/` gives them their compact form on the wire. */
+/** The messages between daemons. `codec/` encodes them compactly for the wire. */
 
 /**
- * What one daemon's, or one zone's, work at a service comes to.
+ * The load of a daemon, or of a whole availability zone, for one service.
  *
  * @public
  */
 export interface ServiceLoad {
   service: string;
-  /** Requests running at backend servers. */
+  /** Requests in flight at backend servers. */
   running: number;
   /** Requests waiting for admission. */
   waiting: number;
-  /** Requests refused since the last digest. */
+  /** Requests rejected since the last load message. */
   refused: number;
 }
 
-/** A member's state in a few bytes, for peers that know the rest. */
+/** A new state of a member without the rest of its record, for peers that know it. */
 export interface Verdict {
   id: string;
   incarnation: number;
@@ -27,51 +27,52 @@
   state: MemberState.Suspect | MemberState.Dead;
 }
 
-/** Word that a backend server is leaving. */
+/** A notice that a backend server is leaving. */
 export interface ReplicaNotice {
   replica: string;
-  /** How long the word still holds; relative, since the daemons' clocks differ. */
+  /** How long the notice is still valid; relative, since the clocks of daemons differ. */
   remaining: Milliseconds;
 }
 
 /** The summed load of an availability zone. */
 export interface ZoneLoadReport {
   availabilityZone: string;
-  /** Grows with each report, also when another daemon takes over reporting. */
+  /** Increases with each report, including when another daemon takes over reporting. */
   version: number;
+  /** How many daemons' loads are in the sum. */
   daemons: number;
   services: readonly ServiceLoad[];
 }
 
-/** A piece of news that passes from daemon to daemon. */
+/** An update that is gossiped from daemon to daemon. */
 export type Rumour =
   | { kind: 'member'; record: MemberRecord }
   | { kind: 'verdict'; verdict: Verdict }
   | { kind: 'replica-leaving'; notice: ReplicaNotice }
   | { kind: 'zone-load'; report: ZoneLoadReport };
 
-/** One step in writing a manifest's list of parts from a base's. */
-export type PartStep =
-  /** Takes `count` parts of the base from `start` on. */
+/** A step that derives a manifest's list of parts from that of a base generation. */
+export type PartsDeltaStep =
+  /** Copies `count` parts of the base, beginning at index `start`. */
   { kind: 'keep'; start: number; count: number } | { kind: 'add'; part: PartReference };
 
-/** A manifest's list of parts, against one the receiver holds. Its order counts. */
+/** A manifest's list of parts as a delta to one that the receiver holds. The order matters. */
 export interface PartsDelta {
   baseGeneration: number;
-  steps: PartStep[];
+  steps: PartsDeltaStep[];
 }
 
-/** A manifest as it passes between daemons: whole, or against what the receiver holds. */
+/** A manifest as sent between daemons: whole, or as a delta to one that the receiver holds. */
 export type ManifestTransfer =
   | { kind: 'whole'; manifest: Manifest }
-  | { kind: 'delta'; head: Omit<Manifest, 'parts' | 'recent'>; delta: PartsDelta };
+  | { kind: 'delta'; header: Omit<Manifest, 'parts' | 'recent'>; delta: PartsDelta };
 
-/** The texts of parts. */
+/** The texts of configuration parts by their hash. */
 export type PartTexts = ReadonlyMap<string, string>;
 
-/** What one daemon asks another. Every request carries the sender's generation in force. */
+/** A request to a peer. Every request carries the sender's active generation. */
 export type PeerRequest =
-  /** Another daemon may have the address by now, so the request names whom it is for. */
+  /** Names the member that it is for, since another daemon may have taken over the address. */
   | { kind: 'ping'; generation: number; member: string; rumours: readonly Rumour[] }
   | {
       kind: 'ping-through';
@@ -81,29 +82,35 @@
       rumours: readonly Rumour[];
     }
   | { kind: 'gossip'; generation: number; rumours: readonly Rumour[] }
-  /** Compare views: hashes of the sender's records by bucket; answer from bucket `start` on. */
-  | { kind: 'sync'; generation: number; self: MemberRecord; start: number; buckets: Uint8Array }
+  /** Anti-entropy: the sender's record hashes by bucket; the response begins at `startBucket`. */
+  | {
+      kind: 'sync';
+      generation: number;
+      sender: MemberRecord;
+      startBucket: number;
+      bucketHashes: Uint8Array;
+    }
   | { kind: 'fetch-manifest'; generation: number }
   | { kind: 'fetch-parts'; generation: number; hashes: readonly string[] }
   | { kind: 'load'; generation: number; services: readonly ServiceLoad[] };
 
-/** What a daemon answers. */
+/** A response to a peer. Every response carries the sender's active generation. */
 export type PeerAnswer =
-  /** To `ping`, `gossip` and `load`; to `ping-through` when the target answered. */
+  /** To `ping`, `gossip` and `load`; to an indirect ping if the target responded. */
   | { kind: 'ack'; generation: number; rumours: readonly Rumour[] }
   /**
-   * To a ping for somebody else, to `ping-through` when the member did not answer, to a fetch when
-   * there is nothing to give.
+   * To a ping that is meant for another member, to an indirect ping if the target did not respond,
+   * and to a manifest fetch if there is no higher generation.
    */
-  | { kind: 'nothing'; generation: number }
+  | { kind: 'nack'; generation: number }
   | {
       kind: 'sync-page';
       generation: number;
-      /** All records of the buckets that differ, from `start` up to `next`. */
+      /** All records of the differing buckets, from `startBucket` up to `nextBucket`. */
       records: readonly MemberRecord[];
       notices: readonly ReplicaNotice[];
-      /** Where to go on; -1 when all buckets were compared. */
-      next: number;
+      /** The bucket to resume from; -1 if all buckets were compared. */
+      nextBucket: number;
     }
   | { kind: 'manifest'; generation: number; transfer: ManifestTransfer; parts: PartTexts }
   | { kind: 'parts'; generation: number; parts: PartTexts };
