--- a/packages/experiment/src/lib/relay/EngineSimulation.ts
+++ b/packages/experiment/src/lib/relay/EngineSimulation.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { CacheChange, LoadReport, Prompt } from '@apricotrill/relay';
 import type { EngineTraits } from './RelayDeployment.js';
-import { PartCache } from './PartCache.js';
+import { PrefixCache } from './PrefixCache.js';
 
 /** A request at an engine, and who hears of it. */
 export interface EngineRun {
@@ -40,7 +40,7 @@
  * events of several tokens, copies of kept parts between engines.
  */
 export class EngineSimulation {
-  readonly cache: PartCache;
+  readonly cache: PrefixCache;
 
   readonly counts: EngineCounts = { read: 0, copied: 0, preempted: 0 };
 
@@ -65,7 +65,7 @@
     private readonly factor: number,
     onChange: (change: CacheChange) => void,
   ) {
-    this.cache = new PartCache(onChange);
+    this.cache = new PrefixCache(onChange);
   }
 
   get load(): LoadReport {
--- a/packages/experiment/src/lib/relay/PartCache.ts
+++ b/packages/experiment/src/lib/relay/PrefixCache.ts
@@ -10,7 +10,7 @@
 }
 
 /** What a model engine keeps of prompts, the least recently used given up first. */
-export class PartCache {
+export class PrefixCache {
   private readonly parts = new Map<string, KeptPart>();
 
   private held = 0;
@@ -71,7 +71,7 @@
   }
 
   /** Takes over what another engine keeps of the prompt's head. */
-  copy(prompt: Prompt, source: PartCache, now: Milliseconds): void {
+  copy(prompt: Prompt, source: PrefixCache, now: Milliseconds): void {
     const known = prompt.parts.filter(({ id }) => source.parts.get(id)?.isRead === true);
     this.noteRead({ ...prompt, parts: known }, now);
   }
