--- a/packages/experiment/src/lib/relay/ApplicationSimulation.ts
+++ b/packages/experiment/src/lib/relay/ApplicationSimulation.ts
@@ -1,21 +1,21 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { LoadReport } from '@apricotrill/relay';
 
-/** A plain request at a replica, and who hears of its end. */
-export interface ApplicationRun {
+/** A plain request sent to a replica, with the callback for its end. */
+export interface ApplicationRequest {
   key: string;
-  work: Milliseconds;
+  serviceTime: Milliseconds;
   onEnd: () => void;
 }
 
-/** Requests that wait for each slot at most; more are refused. */
-const QUEUED_PER_SLOT = 4;
+/** Further requests are refused. */
+const MAX_WAITING_PER_SLOT = 4;
 
-/** A replica of a plain service on a virtual clock: slots, and a queue before them. */
+/** Simulates a replica of a plain service on a virtual clock: a fixed number of slots and a queue. */
 export class ApplicationSimulation {
   private readonly running = new Set<string>();
 
-  private waiting: ApplicationRun[] = [];
+  private waiting: ApplicationRequest[] = [];
 
   constructor(
     private readonly clock: Clock,
@@ -26,31 +26,31 @@
     return { running: this.running.size, waiting: this.waiting.length, slots: this.slots };
   }
 
-  /** @returns false when it is full */
-  submit(run: ApplicationRun): boolean {
-    if (this.waiting.length >= this.slots * QUEUED_PER_SLOT) {
+  /** @returns false when the queue is full */
+  submit(request: ApplicationRequest): boolean {
+    if (this.waiting.length >= this.slots * MAX_WAITING_PER_SLOT) {
       return false;
     }
-    this.waiting.push(run);
-    this.fill();
+    this.waiting.push(request);
+    this.startWaiting();
     return true;
   }
 
   cancel(key: string): void {
-    this.waiting = this.waiting.filter((run) => run.key !== key);
+    this.waiting = this.waiting.filter((request) => request.key !== key);
     if (this.running.delete(key)) {
-      this.fill();
+      this.startWaiting();
     }
   }
 
-  private fill(): void {
+  private startWaiting(): void {
     while (this.running.size < this.slots && this.waiting.length > 0) {
-      const run = this.waiting.shift()!;
-      this.running.add(run.key);
-      this.clock.setTimer(run.work, () => {
-        if (this.running.delete(run.key)) {
-          run.onEnd();
-          this.fill();
+      const request = this.waiting.shift()!;
+      this.running.add(request.key);
+      this.clock.setTimer(request.serviceTime, () => {
+        if (this.running.delete(request.key)) {
+          request.onEnd();
+          this.startWaiting();
         }
       });
     }
--- a/packages/experiment/src/lib/relay/DaemonSimulation.ts
+++ b/packages/experiment/src/lib/relay/DaemonSimulation.ts
@@ -12,31 +12,31 @@
 import type { EngineSimulation } from './EngineSimulation.js';
 import type { SimulatedCall } from './SimulatedCall.js';
 
-/** What a daemon sees of the world around it. */
-export interface DaemonWorld {
+/** The simulated network, engines and applications that a daemon talks to. */
+export interface DaemonEnvironment {
   getDelay(zone: string, replica: RelayReplica): Milliseconds;
-  noteSent(zone: string, replica: RelayReplica, call: SimulatedCall): void;
+  recordSend(zone: string, replica: RelayReplica, call: SimulatedCall): void;
   findEngine(id: string): EngineSimulation | undefined;
   findApplication(id: string): ApplicationSimulation | undefined;
 }
 
-/** What a daemon is made of. */
-export interface DaemonParts {
+/** Settings of a simulated daemon. */
+export interface DaemonSettings {
   clock: ManualClock;
   zone: string;
-  world: DaemonWorld;
+  environment: DaemonEnvironment;
   createCore: (emit: (effect: PlacementEffect) => void) => PlacementCore;
-  /** Tells one daemon, or all where none is named. */
-  tellOthers: (news: PlacementUpdate, to: string | undefined) => void;
+  /** Sends an update to one peer, or to all when `to` is undefined. */
+  sendUpdate: (update: PlacementUpdate, to: string | undefined) => void;
 }
 
-type Send = Extract<PlacementEffect, { kind: 'send' }>;
+type SendEffect = Extract<PlacementEffect, { kind: 'send' }>;
 
-/** How often callers come back after a refusal. */
-const RETURNS = 1;
+/** How often a caller submits a request again after a refusal. */
+const MAX_RESUBMISSIONS = 1;
 
-/** What an engine takes to say that it lives. */
-const QUESTION_TIME: Milliseconds = 5;
+/** Time in which an engine answers a liveness check. */
+const LIVENESS_CHECK_TIME: Milliseconds = 5;
 
 function getRouteKind(call: SimulatedCall): RouteKind {
   if (call.prompt !== undefined) {
@@ -49,45 +49,45 @@
   return `${id}/${attempt}`;
 }
 
-/** One daemon: its placement core, and in place of sockets the models of what it talks to. */
+/** Simulates one daemon: a real placement core, with simulated engines and applications for sockets. */
 export class DaemonSimulation {
   private readonly core: PlacementCore;
 
   private readonly calls = new Map<string, SimulatedCall>();
 
-  /** Engines whose cache events it reads; undefined for all. */
-  private followed: ReadonlySet<string> | undefined;
+  /** Engines whose cache events the daemon follows; undefined for all. */
+  private followedEngines: ReadonlySet<string> | undefined;
 
-  private readonly returns = new Map<string, number>();
+  private readonly resubmissions = new Map<string, number>();
 
-  /** The attempt of each open call whose events still count. */
-  private readonly current = new Map<string, number>();
+  /** The current attempt of each open call; events of earlier attempts are ignored. */
+  private readonly currentAttempts = new Map<string, number>();
 
-  /** Where each attempt that was sent runs. */
-  private readonly replicaOf = new Map<string, string>();
+  /** The replica that each attempt was sent to, by the key of the attempt. */
+  private readonly replicaByAttempt = new Map<string, string>();
 
-  constructor(private readonly parts: DaemonParts) {
-    this.core = parts.createCore((effect) => this.perform(effect));
+  constructor(private readonly settings: DaemonSettings) {
+    this.core = settings.createCore((effect) => this.applyEffect(effect));
   }
 
   handle(message: PlacementMessage): void {
     this.core.handle(message);
   }
 
-  /** Whether it reads an engine's cache events. */
+  /** Whether the daemon follows the cache events of an engine. */
   isFollowing(engine: string): boolean {
-    return this.followed === undefined || this.followed.has(engine);
+    return this.followedEngines === undefined || this.followedEngines.has(engine);
   }
 
-  /** All that it has under way, for one of the others. */
+  /** The attempts in flight to announce to a peer, without their prompts. */
   getSharedAttempts(peer: string): SharedAttempt[] {
     const shared = this.core.getSharedAttempts();
     const attempts = shared.get(peer) ?? shared.get(undefined) ?? [];
     return attempts.map((attempt) => ({ ...attempt, prompt: undefined }));
   }
 
-  hear(peer: string, news: PlacementUpdate): void {
-    this.core.handle({ kind: 'peer-update', peer, update: news });
+  handlePeerUpdate(peer: string, update: PlacementUpdate): void {
+    this.core.handle({ kind: 'peer-update', peer, update });
   }
 
   submit(call: SimulatedCall): void {
@@ -107,14 +107,14 @@
         maxAttempts: kind.maxAttempts,
         latencyTarget: kind.latencyTarget,
         pauseTarget: kind.pauseTarget,
-        deadline: call.arrived + kind.timeout,
-        arrivedAt: call.arrived,
+        deadline: call.arrivedAt + kind.timeout,
+        arrivedAt: call.arrivedAt,
         prompt,
       },
     });
   }
 
-  private perform(effect: PlacementEffect): void {
+  private applyEffect(effect: PlacementEffect): void {
     switch (effect.kind) {
       case 'send':
         this.send(effect);
@@ -123,16 +123,16 @@
         this.cancel(effect);
         break;
       case 'give-up':
-        this.giveUp(effect.id, effect.outcome, effect.retryAfter);
+        this.handleGiveUp(effect.id, effect.outcome, effect.retryAfter);
         break;
       case 'settle':
         this.calls.delete(effect.id);
         break;
       case 'share':
-        this.parts.tellOthers(effect.update, effect.to);
+        this.settings.sendUpdate(effect.update, effect.to);
         break;
       case 'check-liveness':
-        this.answerQuestion(effect.replica.id);
+        this.answerLivenessCheck(effect.replica.id);
         break;
       case 'suspect':
       case 'mark-healthy':
@@ -150,85 +150,90 @@
         this.answerProbe(effect.replica.id);
         break;
       case 'follow-caches':
-        this.followed = effect.engines;
+        this.followedEngines = effect.engines;
         break;
       default:
         effect satisfies never;
     }
   }
 
-  private send(effect: Send): void {
-    const { clock, world, zone } = this.parts;
+  private send(effect: SendEffect): void {
+    const { clock, environment, zone } = this.settings;
     const { id, attempt, replica, choice } = effect;
     const call = this.calls.get(id)!;
-    this.current.set(id, attempt);
+    this.currentAttempts.set(id, attempt);
     call.attempts += 1;
-    call.expected ??= choice.expected;
-    world.noteSent(zone, replica, call);
-    this.replicaOf.set(getKey(effect), replica.id);
-    const delay = world.getDelay(zone, replica);
+    call.predictedFirstEvent ??= choice.expected;
+    environment.recordSend(zone, replica, call);
+    this.replicaByAttempt.set(getKey(effect), replica.id);
+    const delay = environment.getDelay(zone, replica);
     clock.setTimer(delay, () => {
-      if (this.current.get(id) !== attempt) {
+      if (this.currentAttempts.get(id) !== attempt) {
         return;
       }
-      const isTaken =
-        call.prompt === undefined ? this.runPlain(effect, call) : this.runStream(effect, call);
-      if (!isTaken) {
-        this.endLater(effect, AttemptEnd.Refused);
+      const isAccepted =
+        call.prompt === undefined ? this.startPlain(effect, call) : this.startStream(effect, call);
+      if (!isAccepted) {
+        this.endAfterNetworkDelay(effect, AttemptEnd.Refused);
       }
     });
   }
 
-  private runPlain(effect: Send, call: SimulatedCall): boolean {
-    const replica = this.parts.world.findApplication(effect.replica.id)!;
+  private startPlain(effect: SendEffect, call: SimulatedCall): boolean {
+    const replica = this.settings.environment.findApplication(effect.replica.id)!;
     return replica.submit({
       key: getKey(effect),
-      work: call.work,
+      serviceTime: call.serviceTime,
       onEnd: () =>
-        this.later(effect, () => {
-          this.noteEvent(effect, call, replica.load);
+        this.afterNetworkDelay(effect, () => {
+          this.recordEvent(effect, call, replica.load);
           this.endAttempt(effect, call, true);
         }),
     });
   }
 
-  private runStream(effect: Send, call: SimulatedCall): boolean {
-    const { world } = this.parts;
-    const engine = world.findEngine(effect.replica.id)!;
+  private startStream(effect: SendEffect, call: SimulatedCall): boolean {
+    const { environment } = this.settings;
+    const engine = environment.findEngine(effect.replica.id)!;
     if (engine.isDown) {
-      this.endLater(effect, AttemptEnd.NotSent);
+      this.endAfterNetworkDelay(effect, AttemptEnd.NotSent);
       return true;
     }
     const { fetchFrom } = effect.choice;
-    const run = {
+    const request = {
       key: getKey(effect),
       rank: call.kind.rank,
       prompt: call.prompt!,
       outputTokens: call.outputTokens,
-      onEvent: () => this.later(effect, () => this.noteEvent(effect, call, engine.load)),
-      onEnd: (isWhole: boolean) => this.later(effect, () => this.endAttempt(effect, call, isWhole)),
+      onEvent: () =>
+        this.afterNetworkDelay(effect, () => this.recordEvent(effect, call, engine.load)),
+      onEnd: (isComplete: boolean) =>
+        this.afterNetworkDelay(effect, () => this.endAttempt(effect, call, isComplete)),
     };
-    return engine.submit(run, fetchFrom === undefined ? undefined : world.findEngine(fetchFrom.id));
+    return engine.submit(
+      request,
+      fetchFrom === undefined ? undefined : environment.findEngine(fetchFrom.id),
+    );
   }
 
-  /** Acts once the word of the replica has reached the daemon, unless the attempt is over by then. */
-  private later({ id, attempt, replica }: Send, act: () => void): void {
-    const { clock, world, zone } = this.parts;
-    clock.setTimer(world.getDelay(zone, replica), () => {
-      if (this.current.get(id) === attempt) {
-        act();
+  /** Runs the callback after the network delay from the replica, unless the attempt is over by then. */
+  private afterNetworkDelay({ id, attempt, replica }: SendEffect, callback: () => void): void {
+    const { clock, environment, zone } = this.settings;
+    clock.setTimer(environment.getDelay(zone, replica), () => {
+      if (this.currentAttempts.get(id) === attempt) {
+        callback();
       }
     });
   }
 
-  private noteEvent(
-    { id, attempt, replica }: Send,
+  private recordEvent(
+    { id, attempt, replica }: SendEffect,
     call: SimulatedCall,
     report: EngineSimulation['load'],
   ) {
-    const now = this.parts.clock.now();
+    const now = this.settings.clock.now();
     if (call.firstEvent === undefined) {
-      Object.assign(call, { firstEvent: now - call.arrived });
+      Object.assign(call, { firstEvent: now - call.arrivedAt });
       this.core.handle({ kind: 'load', replica: replica.id, report });
       this.core.handle({ kind: 'first-byte-received', id, attempt });
     } else {
@@ -238,25 +243,25 @@
     Object.assign(call, { lastEvent: now });
   }
 
-  private endAttempt(effect: Send, call: SimulatedCall, isWhole: boolean): void {
-    Object.assign(call, { isWhole });
-    this.end(effect, isWhole ? AttemptEnd.Completed : AttemptEnd.Broken);
+  private endAttempt(effect: SendEffect, call: SimulatedCall, isComplete: boolean): void {
+    Object.assign(call, { isComplete });
+    this.reportAttemptEnd(effect, isComplete ? AttemptEnd.Completed : AttemptEnd.Broken);
   }
 
-  private endLater(effect: Send, end: AttemptEnd): void {
-    this.later(effect, () => this.end(effect, end));
+  private endAfterNetworkDelay(effect: SendEffect, end: AttemptEnd): void {
+    this.afterNetworkDelay(effect, () => this.reportAttemptEnd(effect, end));
   }
 
-  private end({ id, attempt }: Send, end: AttemptEnd): void {
-    this.current.delete(id);
-    this.replicaOf.delete(getKey({ id, attempt }));
+  private reportAttemptEnd({ id, attempt }: SendEffect, end: AttemptEnd): void {
+    this.currentAttempts.delete(id);
+    this.replicaByAttempt.delete(getKey({ id, attempt }));
     this.core.handle({ kind: 'attempt-ended', id, attempt, end });
   }
 
   private cancel({ id, attempt, reason }: Extract<PlacementEffect, { kind: 'cancel' }>): void {
-    const { clock } = this.parts;
-    this.current.delete(id);
-    this.stop(getKey({ id, attempt }));
+    const { clock } = this.settings;
+    this.currentAttempts.delete(id);
+    this.cancelAtReplica(getKey({ id, attempt }));
     if (reason === CancelReason.Silent) {
       clock.setTimer(0, () =>
         this.core.handle({ kind: 'attempt-ended', id, attempt, end: AttemptEnd.Cancelled }),
@@ -264,40 +269,40 @@
     }
   }
 
-  private answerQuestion(replica: string): void {
-    const { clock, world } = this.parts;
-    clock.setTimer(QUESTION_TIME, () => {
-      const isAlive = world.findEngine(replica)?.isDown === false;
+  private answerLivenessCheck(replica: string): void {
+    const { clock, environment } = this.settings;
+    clock.setTimer(LIVENESS_CHECK_TIME, () => {
+      const isAlive = environment.findEngine(replica)?.isDown === false;
       this.core.handle({ kind: 'liveness-checked', replica, isAlive });
     });
   }
 
   private answerProbe(replica: string): void {
-    const { clock, world } = this.parts;
-    clock.setTimer(QUESTION_TIME, () => {
-      const isUp = world.findEngine(replica)?.isDown === false;
+    const { clock, environment } = this.settings;
+    clock.setTimer(LIVENESS_CHECK_TIME, () => {
+      const isUp = environment.findEngine(replica)?.isDown === false;
       this.core.handle({ kind: 'probed', replica, isUp });
     });
   }
 
-  /** The replica drops what is cancelled. */
-  private stop(key: string): void {
-    const { world } = this.parts;
-    const replica = this.replicaOf.get(key);
+  /** Removes a cancelled attempt from its replica. */
+  private cancelAtReplica(key: string): void {
+    const { environment } = this.settings;
+    const replica = this.replicaByAttempt.get(key);
     if (replica !== undefined) {
-      world.findEngine(replica)?.cancel(key);
-      world.findApplication(replica)?.cancel(key);
-      this.replicaOf.delete(key);
+      environment.findEngine(replica)?.cancel(key);
+      environment.findApplication(replica)?.cancel(key);
+      this.replicaByAttempt.delete(key);
     }
   }
 
-  private giveUp(id: string, outcome: Outcome, retryAfter: Milliseconds | undefined): void {
+  private handleGiveUp(id: string, outcome: Outcome, retryAfter: Milliseconds | undefined): void {
     const call = this.calls.get(id);
     this.calls.delete(id);
-    const returns = this.returns.get(id) ?? 0;
-    if (call !== undefined && outcome === Outcome.NotRun && returns < RETURNS) {
-      this.returns.set(id, returns + 1);
-      this.parts.clock.setTimer(retryAfter ?? 0, () => this.submit(call));
+    const resubmissions = this.resubmissions.get(id) ?? 0;
+    if (call !== undefined && outcome === Outcome.NotRun && resubmissions < MAX_RESUBMISSIONS) {
+      this.resubmissions.set(id, resubmissions + 1);
+      this.settings.clock.setTimer(retryAfter ?? 0, () => this.submit(call));
     }
   }
 }
--- a/packages/experiment/src/lib/relay/EngineSimulation.ts
+++ b/packages/experiment/src/lib/relay/EngineSimulation.ts
@@ -1,249 +1,273 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { CacheChange, LoadReport, Prompt } from '@apricotrill/relay';
-import type { EngineTraits } from './RelayDeployment.js';
+import type { EngineParameters } from './RelayDeployment.js';
 import { PrefixCache } from './PrefixCache.js';
 
-/** A request at an engine, and who hears of it. */
-export interface EngineRun {
+/** A request sent to an engine, with the callbacks for its events. */
+export interface EngineRequest {
   key: string;
   rank: number;
   prompt: Prompt;
-  /** Tokens that the answer will have. */
+  /** Length of the response; the engine stops after it. */
   outputTokens: number;
   onEvent: () => void;
-  onEnd: (isWhole: boolean) => void;
+  onEnd: (isComplete: boolean) => void;
 }
 
-interface ActiveRun extends EngineRun {
-  order: number;
-  /** Prompt tokens that are read or were kept. */
-  read: number;
-  made: number;
+interface ActiveRequest extends EngineRequest {
+  /** Order of submission. */
+  sequence: number;
+  /** Prompt tokens that were prefilled or found in the cache. */
+  prefilled: number;
+  /** Output tokens generated so far. */
+  generated: number;
 }
 
-/** What an engine has done, for the summary. */
+/** Totals of an engine, for the summary. */
 export interface EngineCounts {
-  read: number;
-  copied: number;
-  preempted: number;
+  prefilledTokens: number;
+  copiedTokens: number;
+  preemptions: number;
 }
 
 const TOKENS_PER_THOUSAND = 1_000;
 const PAIRS_PER_MILLION = 1_000_000;
 
-/** Requests that are taken but have no slot. */
-const QUEUE = 100;
+/** Maximum number of accepted requests without a slot; further requests are refused. */
+const MAX_WAITING = 100;
 
 /**
- * A model engine on a virtual clock: continuous batching with prompts read in chunks between the
- * tokens of running answers, kept prompt parts, one memory for both, preemption by rank, answers in
- * events of several tokens, copies of kept parts between engines.
+ * Simulates a model engine on a virtual clock: continuous batching with chunked prefill, a prefix
+ * cache that shares its memory with the running requests, preemption by rank, responses in events of
+ * several tokens, and copies of cached prefixes between engines.
  */
 export class EngineSimulation {
   readonly cache: PrefixCache;
 
-  readonly counts: EngineCounts = { read: 0, copied: 0, preempted: 0 };
+  readonly counts: EngineCounts = { prefilledTokens: 0, copiedTokens: 0, preemptions: 0 };
 
   isDown = false;
 
-  private waiting: ActiveRun[] = [];
+  private waiting: ActiveRequest[] = [];
 
-  private running: ActiveRun[] = [];
+  private running: ActiveRequest[] = [];
 
   private isStepping = false;
 
-  private order = 0;
+  private sequence = 0;
 
   private linkFreeAt: Milliseconds = 0;
 
-  /** Counts the engine's lives: what an earlier one has set up must not run in the next. */
-  private life = 0;
+  /** Incremented by each crash, so that timers set before the crash have no effect after it. */
+  private generation = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly traits: EngineTraits,
-    private readonly factor: number,
+    private readonly parameters: EngineParameters,
+    private readonly slowdown: number,
     onChange: (change: CacheChange) => void,
   ) {
     this.cache = new PrefixCache(onChange);
   }
 
   get load(): LoadReport {
-    const { running, waiting, traits } = this;
-    return { running: running.length, waiting: waiting.length, slots: traits.slots };
+    const { running, waiting, parameters } = this;
+    return { running: running.length, waiting: waiting.length, slots: parameters.slots };
   }
 
-  /** @returns false when it is full */
-  submit(run: EngineRun, source: EngineSimulation | undefined): boolean {
-    const isTooLarge = run.prompt.inputTokens + run.outputTokens > this.traits.memoryTokens;
-    if (isTooLarge || this.waiting.length >= QUEUE) {
+  /** @returns false when the request is too large or the queue is full */
+  submit(request: EngineRequest, source: EngineSimulation | undefined): boolean {
+    const isTooLarge =
+      request.prompt.inputTokens + request.outputTokens > this.parameters.memoryTokens;
+    if (isTooLarge || this.waiting.length >= MAX_WAITING) {
       return false;
     }
-    const { life } = this;
-    const fetched = source === undefined ? 0 : this.fetch(run.prompt, source);
-    this.order += 1;
-    const active = { ...run, order: this.order, read: 0, made: 0 };
-    this.clock.setTimer(this.traits.setup + fetched, () => {
-      if (life === this.life) {
+    const { generation } = this;
+    const fetchTime = source === undefined ? 0 : this.fetchPrefix(request.prompt, source);
+    this.sequence += 1;
+    const active = { ...request, sequence: this.sequence, prefilled: 0, generated: 0 };
+    this.clock.setTimer(this.parameters.setupTime + fetchTime, () => {
+      if (generation === this.generation) {
         this.waiting.push(active);
-        this.waiting.sort((left, right) => left.rank - right.rank || left.order - right.order);
-        this.begin();
+        this.waiting.sort(
+          (left, right) => left.rank - right.rank || left.sequence - right.sequence,
+        );
+        this.startStep();
       }
     });
     return true;
   }
 
   cancel(key: string): void {
-    this.waiting = this.waiting.filter((run) => run.key !== key);
+    this.waiting = this.waiting.filter((request) => request.key !== key);
     this.running
-      .filter((run) => run.key === key)
-      .forEach((run) => this.cache.release(run.prompt, run.key));
-    this.running = this.running.filter((run) => run.key !== key);
+      .filter((request) => request.key === key)
+      .forEach((request) => this.cache.unpin(request.prompt, request.key));
+    this.running = this.running.filter((request) => request.key !== key);
   }
 
-  /** Ends everything, and forgets what it kept. */
+  /** Ends all requests and clears the cache. */
   crash(): void {
     const all = [...this.running, ...this.waiting];
-    this.life += 1;
+    this.generation += 1;
     this.isDown = true;
     this.running = [];
     this.waiting = [];
     this.isStepping = false;
     this.cache.clear();
-    all.forEach((run) => run.onEnd(false));
+    all.forEach((request) => request.onEnd(false));
   }
 
-  /** @returns how long it takes until the copy is there */
-  private fetch(prompt: Prompt, source: EngineSimulation): Milliseconds {
-    const { copySetup, copyTime } = this.traits;
-    const tokens = source.cache.getKept(prompt) - this.cache.getKept(prompt);
+  /**
+   * Copies the prompt's cached parts from another engine.
+   *
+   * @returns the time until the copy is complete
+   */
+  private fetchPrefix(prompt: Prompt, source: EngineSimulation): Milliseconds {
+    const { copySetupTime, copyTime } = this.parameters;
+    const tokens = source.cache.getCachedTokens(prompt) - this.cache.getCachedTokens(prompt);
     if (tokens <= 0 || source.isDown) {
       return 0;
     }
     const now = this.clock.now();
-    this.linkFreeAt = Math.max(now, this.linkFreeAt) + copySetup + tokens * copyTime;
-    this.counts.copied += tokens;
-    this.cache.copy(prompt, source.cache, now);
+    this.linkFreeAt = Math.max(now, this.linkFreeAt) + copySetupTime + tokens * copyTime;
+    this.counts.copiedTokens += tokens;
+    this.cache.copyFrom(prompt, source.cache, now);
     return this.linkFreeAt - now;
   }
 
-  private begin(): void {
+  private startStep(): void {
     if (this.isStepping || this.isDown) {
       return;
     }
-    this.admit();
+    this.admitWaiting();
     if (this.running.length === 0) {
       return;
     }
     this.isStepping = true;
-    const reads = this.planReads();
-    const { life } = this;
-    this.clock.setTimer(this.getStep(reads), () => {
-      if (life === this.life) {
-        this.finishStep(reads);
+    const prefill = this.planPrefill();
+    const { generation } = this;
+    this.clock.setTimer(this.getStepTime(prefill), () => {
+      if (generation === this.generation) {
+        this.finishStep(prefill);
       }
     });
   }
 
-  private admit(): void {
-    while (this.waiting.length > 0 && this.running.length < this.traits.slots) {
-      const run = this.waiting[0]!;
-      const needed = run.prompt.inputTokens - this.cache.getKept(run.prompt) + run.made;
-      if (!this.makeRoom(needed)) {
+  private admitWaiting(): void {
+    while (this.waiting.length > 0 && this.running.length < this.parameters.slots) {
+      const request = this.waiting[0]!;
+      const needed =
+        request.prompt.inputTokens - this.cache.getCachedTokens(request.prompt) + request.generated;
+      if (!this.ensureFreeMemory(needed)) {
         return;
       }
       this.waiting.shift();
-      run.read = Math.min(this.cache.getKept(run.prompt), run.prompt.inputTokens - 1);
-      this.cache.hold(run.prompt, run.key);
-      this.running.push(run);
+      request.prefilled = Math.min(
+        this.cache.getCachedTokens(request.prompt),
+        request.prompt.inputTokens - 1,
+      );
+      this.cache.pin(request.prompt, request.key);
+      this.running.push(request);
     }
   }
 
-  private get used(): number {
-    const made = this.running.reduce((sum, run) => sum + run.made, 0);
-    return made + this.cache.heldTokens;
+  private get usedTokens(): number {
+    const generated = this.running.reduce((sum, request) => sum + request.generated, 0);
+    return generated + this.cache.pinnedTokens;
   }
 
-  /** @returns false when running requests hold too much */
-  private makeRoom(tokens: number): boolean {
-    if (this.used + tokens > this.traits.memoryTokens) {
+  /**
+   * Evicts unpinned parts until the tokens fit.
+   *
+   * @returns false when the running requests leave too little memory
+   */
+  private ensureFreeMemory(tokens: number): boolean {
+    if (this.usedTokens + tokens > this.parameters.memoryTokens) {
       return false;
     }
-    this.cache.shrink(this.traits.memoryTokens - this.used - tokens);
+    this.cache.evictUnpinned(this.parameters.memoryTokens - this.usedTokens - tokens);
     return true;
   }
 
-  /** Prompt tokens of each running request that the next step reads, the most urgent first. */
-  private planReads(): Map<ActiveRun, number> {
-    let left = this.traits.chunkTokens;
-    const reads = new Map<ActiveRun, number>();
+  /** Splits the prefill tokens of the next step among the running requests, the most urgent first. */
+  private planPrefill(): Map<ActiveRequest, number> {
+    let remainingTokens = this.parameters.prefillChunkTokens;
+    const prefill = new Map<ActiveRequest, number>();
     [...this.running]
-      .filter(({ read, prompt }) => read < prompt.inputTokens)
-      .sort((one, other) => one.rank - other.rank || one.order - other.order)
-      .forEach((run) => {
-        const tokens = Math.min(left, run.prompt.inputTokens - run.read);
+      .filter(({ prefilled, prompt }) => prefilled < prompt.inputTokens)
+      .sort((one, other) => one.rank - other.rank || one.sequence - other.sequence)
+      .forEach((request) => {
+        const tokens = Math.min(remainingTokens, request.prompt.inputTokens - request.prefilled);
         if (tokens > 0) {
-          reads.set(run, tokens);
-          left -= tokens;
+          prefill.set(request, tokens);
+          remainingTokens -= tokens;
         }
       });
-    return reads;
+    return prefill;
   }
 
-  private getStep(reads: ReadonlyMap<ActiveRun, number>): Milliseconds {
-    const { step, stepPerThousand, readRate, pairTime } = this.traits;
-    const context = this.running.reduce((sum, { read, made }) => sum + read + made, 0);
-    let span = step + (stepPerThousand * context) / TOKENS_PER_THOUSAND;
-    reads.forEach((tokens, { read }) => {
-      const pairs = tokens * (read + tokens / 2);
-      span += tokens / readRate + (pairTime * pairs) / PAIRS_PER_MILLION;
+  private getStepTime(prefill: ReadonlyMap<ActiveRequest, number>): Milliseconds {
+    const { baseStepTime, stepTimePerThousandTokens, prefillRate, attentionTimePerMillionPairs } =
+      this.parameters;
+    const context = this.running.reduce(
+      (sum, { prefilled, generated }) => sum + prefilled + generated,
+      0,
+    );
+    let stepTime = baseStepTime + (stepTimePerThousandTokens * context) / TOKENS_PER_THOUSAND;
+    prefill.forEach((tokens, { prefilled }) => {
+      const pairs = tokens * (prefilled + tokens / 2);
+      stepTime += tokens / prefillRate + (attentionTimePerMillionPairs * pairs) / PAIRS_PER_MILLION;
     });
-    return span * this.factor;
+    return stepTime * this.slowdown;
   }
 
-  private finishStep(reads: ReadonlyMap<ActiveRun, number>): void {
+  private finishStep(prefill: ReadonlyMap<ActiveRequest, number>): void {
     this.isStepping = false;
-    const making = this.running.filter((run) => {
-      const tokens = reads.get(run) ?? 0;
-      Object.assign(run, { read: run.read + tokens });
-      this.counts.read += tokens;
-      return run.read >= run.prompt.inputTokens;
+    const decoding = this.running.filter((request) => {
+      const tokens = prefill.get(request) ?? 0;
+      Object.assign(request, { prefilled: request.prefilled + tokens });
+      this.counts.prefilledTokens += tokens;
+      return request.prefilled >= request.prompt.inputTokens;
     });
-    making.forEach((run) => this.makeToken(run));
+    decoding.forEach((request) => this.generateToken(request));
     this.preempt();
-    this.begin();
+    this.startStep();
   }
 
-  private makeToken(run: ActiveRun): void {
-    if (!this.running.includes(run)) {
+  private generateToken(request: ActiveRequest): void {
+    if (!this.running.includes(request)) {
       return;
     }
-    if (run.made === 0) {
-      this.cache.noteRead(run.prompt, this.clock.now());
+    if (request.generated === 0) {
+      this.cache.recordComputed(request.prompt, this.clock.now());
     }
-    Object.assign(run, { made: run.made + 1 });
-    const isLast = run.made >= run.outputTokens;
-    if (isLast || run.made % this.traits.eventTokens === 1) {
-      run.onEvent();
+    Object.assign(request, { generated: request.generated + 1 });
+    const isLast = request.generated >= request.outputTokens;
+    if (isLast || request.generated % this.parameters.eventTokens === 1) {
+      request.onEvent();
     }
-    if (isLast && this.running.includes(run)) {
-      this.running = this.running.filter((other) => other !== run);
-      this.cache.release(run.prompt, run.key);
-      run.onEnd(true);
+    if (isLast && this.running.includes(request)) {
+      this.running = this.running.filter((other) => other !== request);
+      this.cache.unpin(request.prompt, request.key);
+      request.onEnd(true);
     }
   }
 
-  /** Out of memory, the last of the least urgent gives way, and is read again. */
+  /**
+   * While memory is short, moves the latest of the least urgent requests back to the queue; it is
+   * prefilled again later.
+   */
   private preempt(): void {
-    while (this.used > this.traits.memoryTokens && this.running.length > 1) {
+    while (this.usedTokens > this.parameters.memoryTokens && this.running.length > 1) {
       const victim = [...this.running].sort(
-        (one, other) => other.rank - one.rank || other.order - one.order,
+        (one, other) => other.rank - one.rank || other.sequence - one.sequence,
       )[0]!;
-      this.counts.preempted += 1;
-      this.running = this.running.filter((run) => run !== victim);
-      this.cache.release(victim.prompt, victim.key);
+      this.counts.preemptions += 1;
+      this.running = this.running.filter((request) => request !== victim);
+      this.cache.unpin(victim.prompt, victim.key);
       this.waiting.unshift(victim);
     }
-    this.cache.shrink(this.traits.memoryTokens - this.used);
+    this.cache.evictUnpinned(this.parameters.memoryTokens - this.usedTokens);
   }
 }
--- a/packages/experiment/src/lib/relay/FleetSimulation.ts
+++ b/packages/experiment/src/lib/relay/FleetSimulation.ts
@@ -17,24 +17,24 @@
 import type { SimulatedCall } from './SimulatedCall.js';
 import { createSimulatedCalls } from './createSimulatedCalls.js';
 
-/** Cache events reach the daemons in groups, this far apart. */
-const CACHE_INTERVAL: Milliseconds = 400;
+/** Cache events reach the daemons in batches, one per interval. */
+const CACHE_EVENT_INTERVAL: Milliseconds = 400;
 
-/** Listeners that one engine tells of its cache. */
+/** Number of daemons that follow the cache events of one engine. */
 const CACHE_LISTENERS = 12;
 
-/** How often a daemon tells the others of all that it has under way. */
-const REGULAR_MESSAGE: Milliseconds = 1_000;
+/** How often a daemon sends the list of its attempts in flight to its peers. */
+const ATTEMPT_LIST_INTERVAL: Milliseconds = 1_000;
 
-/** The time after the last arrival in which answers may still come. */
-const TAIL: Milliseconds = 12_000;
+/** Time after the last arrival in which responses may still complete. */
+const DRAIN_TIME: Milliseconds = 12_000;
 
-/** What a day came to. */
+/** Results of a simulated day. */
 export interface FleetResult {
   calls: SimulatedCall[];
   counts: EngineCounts;
-  /** Bytes of prompts that went to another zone. */
-  crossingBytes: number;
+  /** Prompt tokens that were sent to another availability zone. */
+  crossZoneTokens: number;
 }
 
 function getDaemonName(index: number): string {
@@ -45,7 +45,7 @@
   return `z${index % zones}`;
 }
 
-function createReplicas({ engineFactors, applications, availabilityZones }: RelayDeployment) {
+function createReplicas({ engineSlowdowns, applications, availabilityZones }: RelayDeployment) {
   const create = (service: string, index: number, slots: number): RelayReplica => ({
     id: `${service}-${index}`,
     name: `${service}-${index}`,
@@ -58,7 +58,7 @@
   });
   return {
     engines: (slots: number) =>
-      engineFactors.map((_factor, index) => create('engines', index, slots)),
+      engineSlowdowns.map((_slowdown, index) => create('engines', index, slots)),
     applications: Array.from({ length: applications.replicas }, (_item, index) =>
       create('application', index, applications.slots),
     ),
@@ -84,8 +84,8 @@
 }
 
 /**
- * Plays a day of a deployment on a virtual clock: the decisions are those of the daemons' own
- * placement core, one for each daemon; engines, services, callers and what lies between are models.
+ * Simulates a day of a deployment on a virtual clock. Each daemon runs the production placement core;
+ * the engines, services, callers and the network between them are models.
  *
  * @example
  * ```ts
@@ -105,7 +105,7 @@
 
   private readonly pendingChanges = new Map<string, CacheChange[]>();
 
-  private crossingBytes = 0;
+  private crossZoneTokens = 0;
 
   constructor(
     private readonly deployment: RelayDeployment,
@@ -114,37 +114,37 @@
   ) {}
 
   run(): FleetResult {
-    this.build();
+    this.createFleet();
     const calls = createSimulatedCalls(this.deployment, this.seed);
     calls.forEach((call) => {
-      this.clock.setTimer(call.arrived, () => this.daemons[call.daemon]!.submit(call));
+      this.clock.setTimer(call.arrivedAt, () => this.daemons[call.daemon]!.submit(call));
     });
-    this.deployment.crashes.forEach(({ at, span, engines }) => {
-      this.clock.setTimer(at, () => this.crash(engines, span));
+    this.deployment.crashes.forEach(({ startsAt, duration, engines }) => {
+      this.clock.setTimer(startsAt, () => this.crashEngines(engines, duration));
     });
-    this.tellCaches();
-    this.tellAll();
-    this.clock.advance(this.deployment.length + TAIL);
-    const counts = [...this.engines.values()].reduce(
-      (sum, { counts: of }) => ({
-        read: sum.read + of.read,
-        copied: sum.copied + of.copied,
-        preempted: sum.preempted + of.preempted,
+    this.scheduleCacheEvents();
+    this.scheduleAttemptLists();
+    this.clock.advance(this.deployment.duration + DRAIN_TIME);
+    const totals = [...this.engines.values()].reduce(
+      (sum, { counts }) => ({
+        prefilledTokens: sum.prefilledTokens + counts.prefilledTokens,
+        copiedTokens: sum.copiedTokens + counts.copiedTokens,
+        preemptions: sum.preemptions + counts.preemptions,
       }),
-      { read: 0, copied: 0, preempted: 0 },
+      { prefilledTokens: 0, copiedTokens: 0, preemptions: 0 },
     );
-    return { calls, counts, crossingBytes: this.crossingBytes };
+    return { calls, counts: totals, crossZoneTokens: this.crossZoneTokens };
   }
 
-  private build(): void {
+  private createFleet(): void {
     const { deployment, clock } = this;
-    const { engines: traits, engineFactors, applications, availabilityZones } = deployment;
+    const { engines: parameters, engineSlowdowns, applications, availabilityZones } = deployment;
     const replicas = createReplicas(deployment);
-    replicas.engines(traits.slots).forEach((replica, index) => {
+    replicas.engines(parameters.slots).forEach((replica, index) => {
       this.replicas.set(replica.id, replica);
-      const onChange = (change: CacheChange) => this.noteChange(replica.id, change);
-      const factor = engineFactors[index]!;
-      this.engines.set(replica.id, new EngineSimulation(clock, traits, factor, onChange));
+      const onChange = (change: CacheChange) => this.recordCacheChange(replica.id, change);
+      const slowdown = engineSlowdowns[index]!;
+      this.engines.set(replica.id, new EngineSimulation(clock, parameters, slowdown, onChange));
     });
     replicas.applications.forEach((replica) => {
       this.replicas.set(replica.id, replica);
@@ -156,14 +156,14 @@
       const daemon = new DaemonSimulation({
         clock,
         zone,
-        world: this,
+        environment: this,
         createCore: (emit: (effect: PlacementEffect) => void) =>
           new PlacementCore({
             clock,
             emit,
             options: { availabilityZone: zone, ...this.options },
           }),
-        tellOthers: (news, to) => this.tellOthers(index, news, to),
+        sendUpdate: (update, to) => this.sendUpdate(index, update, to),
       });
       daemon.handle({ kind: 'services', services });
       daemon.handle({ kind: 'replicas', replicas: [...this.replicas.values()] });
@@ -175,14 +175,14 @@
     );
   }
 
-  /** One way between a daemon and a replica. */
+  /** One-way network delay between a daemon and a replica. */
   getDelay(zone: string, { availabilityZone }: RelayReplica): Milliseconds {
-    return zone === availabilityZone ? 0.1 : this.deployment.crossing;
+    return zone === availabilityZone ? 0.1 : this.deployment.crossZoneDelay;
   }
 
-  noteSent(zone: string, { availabilityZone }: RelayReplica, call: SimulatedCall): void {
+  recordSend(zone: string, { availabilityZone }: RelayReplica, call: SimulatedCall): void {
     if (zone !== availabilityZone) {
-      this.crossingBytes += call.prompt?.inputTokens ?? 0;
+      this.crossZoneTokens += call.prompt?.inputTokens ?? 0;
     }
   }
 
@@ -194,41 +194,42 @@
     return this.applications.get(id);
   }
 
-  private tellOthers(from: number, news: PlacementUpdate, to: string | undefined): void {
-    this.clock.setTimer(this.deployment.crossing, () => {
+  private sendUpdate(from: number, update: PlacementUpdate, to: string | undefined): void {
+    this.clock.setTimer(this.deployment.crossZoneDelay, () => {
       this.daemons.forEach((daemon, index) => {
         if (index !== from && (to === undefined || to === getDaemonName(index))) {
-          daemon.hear(getDaemonName(from), news);
+          daemon.handlePeerUpdate(getDaemonName(from), update);
         }
       });
     });
   }
 
-  /** Tells all that each daemon has under way, again and again. */
-  private tellAll(): void {
-    this.clock.setTimer(REGULAR_MESSAGE, () => {
+  /** Sends each daemon's list of attempts in flight to its peers, once per interval. */
+  private scheduleAttemptLists(): void {
+    this.clock.setTimer(ATTEMPT_LIST_INTERVAL, () => {
       this.daemons.forEach((daemon, from) => {
         this.daemons.forEach((_other, index) => {
           const to = getDaemonName(index);
-          this.tellOthers(
+          this.sendUpdate(
             from,
             { kind: 'attempt-list', attempts: daemon.getSharedAttempts(to) },
             to,
           );
         });
       });
-      this.tellAll();
+      this.scheduleAttemptLists();
     });
   }
 
-  private noteChange(engine: string, change: CacheChange): void {
+  private recordCacheChange(engine: string, change: CacheChange): void {
     const changes = this.pendingChanges.get(engine) ?? [];
     changes.push(change);
     this.pendingChanges.set(engine, changes);
   }
 
-  private tellCaches(): void {
-    this.clock.setTimer(CACHE_INTERVAL, () => {
+  /** Delivers the pending cache events to the daemons that follow the engine, once per interval. */
+  private scheduleCacheEvents(): void {
+    this.clock.setTimer(CACHE_EVENT_INTERVAL, () => {
       this.engines.forEach((_engine, replica) => {
         const changes = this.pendingChanges.get(replica) ?? [];
         this.daemons
@@ -236,17 +237,17 @@
           .forEach((daemon) => daemon.handle({ kind: 'cache-changed', replica, changes }));
       });
       this.pendingChanges.clear();
-      this.tellCaches();
+      this.scheduleCacheEvents();
     });
   }
 
-  private crash(count: number, span: Milliseconds): void {
+  private crashEngines(count: number, duration: Milliseconds): void {
     const ids = [...this.engines.keys()].slice(0, count);
     ids.forEach((id) => {
       this.engines.get(id)!.crash();
       this.pendingChanges.delete(id);
       this.daemons.forEach((daemon) => daemon.handle({ kind: 'cache-lost', replica: id }));
-      this.clock.setTimer(span, () => {
+      this.clock.setTimer(duration, () => {
         Object.assign(this.engines.get(id)!, { isDown: false });
         this.daemons.forEach((daemon) =>
           daemon.handle({ kind: 'health', replica: id, isHealthy: true }),
--- a/packages/experiment/src/lib/relay/PrefixCache.ts
+++ b/packages/experiment/src/lib/relay/PrefixCache.ts
@@ -1,29 +1,30 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { CacheChange, Prompt } from '@apricotrill/relay';
 
-interface KeptPart {
+interface CachedPart {
   tokens: number;
   usedAt: Milliseconds;
-  /** Has been read, and can be used by others. */
-  isRead: boolean;
-  holders: Set<string>;
+  /** Prefill has finished, so other requests can use the part. */
+  isComputed: boolean;
+  /** Keys of the running requests that use the part. */
+  pinnedBy: Set<string>;
 }
 
-/** What a model engine keeps of prompts, the least recently used given up first. */
+/** The prompt parts that a simulated engine has cached, with least-recently-used eviction. */
 export class PrefixCache {
-  private readonly parts = new Map<string, KeptPart>();
+  private readonly parts = new Map<string, CachedPart>();
 
-  private held = 0;
+  private pinned = 0;
 
-  private kept = 0;
+  private total = 0;
 
   constructor(private readonly onChange: (change: CacheChange) => void) {}
 
-  /** Tokens of the prompt's head that need not be read. */
-  getKept(prompt: Prompt): number {
+  /** The number of tokens at the start of the prompt that need no prefill. */
+  getCachedTokens(prompt: Prompt): number {
     let sum = 0;
     for (const { id, tokens } of prompt.parts) {
-      if (this.parts.get(id)?.isRead !== true) {
+      if (this.parts.get(id)?.isComputed !== true) {
         break;
       }
       sum += tokens;
@@ -31,88 +32,90 @@
     return sum;
   }
 
-  /** Tokens of parts that running requests need. */
-  get heldTokens(): number {
-    return this.held;
+  /** Tokens of the parts that running requests use. */
+  get pinnedTokens(): number {
+    return this.pinned;
   }
 
-  /** A request runs: its parts can't be given up. */
-  hold(prompt: Prompt, holder: string): void {
+  /** Protects the parts of a running request from eviction. */
+  pin(prompt: Prompt, requestKey: string): void {
     prompt.parts.forEach(({ id, tokens }) => {
-      const part = this.get(id, tokens);
-      if (part.holders.size === 0) {
-        this.held += part.tokens;
+      const part = this.getOrCreate(id, tokens);
+      if (part.pinnedBy.size === 0) {
+        this.pinned += part.tokens;
       }
-      part.holders.add(holder);
+      part.pinnedBy.add(requestKey);
     });
   }
 
-  release(prompt: Prompt, holder: string): void {
+  /** Ends the request's pin; a part that nobody has computed by then is dropped. */
+  unpin(prompt: Prompt, requestKey: string): void {
     prompt.parts.forEach(({ id }) => {
       const part = this.parts.get(id);
-      if (part?.holders.delete(holder) === true && part.holders.size === 0) {
-        this.held -= part.tokens;
-        if (!part.isRead) {
-          this.drop(id, part);
+      if (part?.pinnedBy.delete(requestKey) === true && part.pinnedBy.size === 0) {
+        this.pinned -= part.tokens;
+        if (!part.isComputed) {
+          this.evict(id, part);
         }
       }
     });
   }
 
-  noteRead(prompt: Prompt, now: Milliseconds): void {
+  /** Records that all parts of the prompt have been computed. */
+  recordComputed(prompt: Prompt, now: Milliseconds): void {
     prompt.parts.forEach(({ id, tokens }) => {
-      const part = this.get(id, tokens);
+      const part = this.getOrCreate(id, tokens);
       part.usedAt = now;
-      if (!part.isRead) {
-        part.isRead = true;
+      if (!part.isComputed) {
+        part.isComputed = true;
         this.onChange({ kind: 'added', part: id, tokens, model: prompt.model });
       }
     });
   }
 
-  /** Takes over what another engine keeps of the prompt's head. */
-  copy(prompt: Prompt, source: PrefixCache, now: Milliseconds): void {
-    const known = prompt.parts.filter(({ id }) => source.parts.get(id)?.isRead === true);
-    this.noteRead({ ...prompt, parts: known }, now);
+  /** Copies the prompt's parts that another engine has cached. */
+  copyFrom(prompt: Prompt, source: PrefixCache, now: Milliseconds): void {
+    const known = prompt.parts.filter(({ id }) => source.parts.get(id)?.isComputed === true);
+    this.recordComputed({ ...prompt, parts: known }, now);
   }
 
-  /** Gives up what nobody needs until it is this small. */
-  shrink(tokens: number): void {
-    const free = this.kept - this.held;
-    if (free <= tokens) {
+  /** Evicts unpinned parts, least recently used first, until at most this many tokens are unpinned. */
+  evictUnpinned(maxTokens: number): void {
+    const unpinned = this.total - this.pinned;
+    if (unpinned <= maxTokens) {
       return;
     }
-    const idle = [...this.parts].filter(([, { holders }]) => holders.size === 0);
-    idle.sort(([, one], [, other]) => one.usedAt - other.usedAt);
-    for (const [id, part] of idle) {
-      if (this.kept - this.held <= tokens) {
+    const candidates = [...this.parts].filter(([, { pinnedBy }]) => pinnedBy.size === 0);
+    candidates.sort(([, one], [, other]) => one.usedAt - other.usedAt);
+    for (const [id, part] of candidates) {
+      if (this.total - this.pinned <= maxTokens) {
         return;
       }
-      this.drop(id, part);
+      this.evict(id, part);
     }
   }
 
   clear(): void {
     this.parts.clear();
-    this.held = 0;
-    this.kept = 0;
+    this.pinned = 0;
+    this.total = 0;
   }
 
-  private get(id: string, tokens: number): KeptPart {
+  private getOrCreate(id: string, tokens: number): CachedPart {
     const known = this.parts.get(id);
     if (known !== undefined) {
       return known;
     }
-    const part = { tokens, usedAt: 0, isRead: false, holders: new Set<string>() };
+    const part = { tokens, usedAt: 0, isComputed: false, pinnedBy: new Set<string>() };
     this.parts.set(id, part);
-    this.kept += tokens;
+    this.total += tokens;
     return part;
   }
 
-  private drop(id: string, part: KeptPart): void {
+  private evict(id: string, part: CachedPart): void {
     this.parts.delete(id);
-    this.kept -= part.tokens;
-    if (part.isRead) {
+    this.total -= part.tokens;
+    if (part.isComputed) {
       this.onChange({ kind: 'removed', part: id, tokens: 0, model: 'm' });
     }
   }
--- a/packages/experiment/src/lib/relay/RelayDeployment.ts
+++ b/packages/experiment/src/lib/relay/RelayDeployment.ts
@@ -1,93 +1,95 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** A part of a prompt that requests of one kind share. */
-export interface SharedPart {
-  /** Tokens of the part, on average. */
+/** A prompt part that requests of one kind share. */
+export interface SharedPromptPart {
+  /** Mean length of the part. */
   tokens: number;
-  /** How many different ones there are. */
+  /** Number of different texts that the part can have. */
   variants: number;
 }
 
-/** One kind of requests. */
+/** A kind of request, with its load, targets and sizes. */
 export interface RequestKind {
   name: string;
-  /** A second, over all daemons. */
+  /** Requests per second, summed over all daemons. */
   rate: number;
   service: 'engines' | 'application';
   /** 0 is the most urgent. */
   rank: number;
   latencyTarget: Milliseconds;
-  /** Absent for answers that are no streams. */
+  /** Longest acceptable inter-token pause; absent for responses that are not streamed. */
   pauseTarget?: Milliseconds;
   timeout: Milliseconds;
   maxAttempts: number;
   repeatable: boolean;
-  /** What an answer in time, and a late one, is worth. */
+  /** Value of a response that meets its targets, and of one that is late. */
   worth: number;
   lateWorth: number;
-  /** Of the prompt, from the first part on; empty for plain requests. */
-  parts: SharedPart[];
-  /** Prompt tokens of the request alone, on average; their spread is wide. */
-  ownTokens: number;
-  /** Tokens of the answer, on average. */
+  /** Shared prompt parts, in the order of the prompt; empty for plain requests. */
+  parts: SharedPromptPart[];
+  /** Mean number of prompt tokens that no other request shares; the actual numbers vary widely. */
+  uniqueTokens: number;
+  /** Mean number of output tokens. */
   outputTokens: number;
-  /** Time that a plain request takes at its replica. */
-  work: Milliseconds;
+  /** Mean time that a plain request occupies a slot of its replica. */
+  serviceTime: Milliseconds;
 }
 
-/** How an engine works. */
-export interface EngineTraits {
+/** Capacity and speed of a simulated engine. */
+export interface EngineParameters {
   slots: number;
   memoryTokens: number;
-  /** A step that reads nothing, of an empty engine. */
-  step: Milliseconds;
-  /** What a step takes longer for each thousand tokens of running requests. */
-  stepPerThousand: Milliseconds;
-  /** Prompt tokens read in a millisecond. */
-  readRate: number;
-  /** What reading takes longer for each million pairs of a token read and one before it. */
-  pairTime: Milliseconds;
-  /** Prompt tokens that one step reads at most. */
-  chunkTokens: number;
-  /** From the arrival of a request until the engine can begin with it. */
-  setup: Milliseconds;
+  /** Duration of a step of an idle engine, without prefill. */
+  baseStepTime: Milliseconds;
+  /** Added to each step per thousand tokens of context of the running requests. */
+  stepTimePerThousandTokens: Milliseconds;
+  /** Prefill speed, in tokens per millisecond. */
+  prefillRate: number;
+  /** Added prefill time per million pairs of a computed token and a token before it. */
+  attentionTimePerMillionPairs: Milliseconds;
+  /** Maximum number of prompt tokens that one step prefills. */
+  prefillChunkTokens: number;
+  /** Time from the arrival of a request until the engine can schedule it. */
+  setupTime: Milliseconds;
+  /** Output tokens in each event of the response stream. */
   eventTokens: number;
-  /** For a token copied from another engine. */
+  /** Time to copy the cache of one token from another engine. */
   copyTime: Milliseconds;
-  /** Before the first token of a copy. */
-  copySetup: Milliseconds;
+  /** Fixed time that each copy takes in addition. */
+  copySetupTime: Milliseconds;
 }
 
-/** A time in which more requests come. */
+/** A period in which more requests arrive. */
 export interface Burst {
-  at: Milliseconds;
-  span: Milliseconds;
-  /** Times the usual rate. */
-  factor: number;
-  /** Absent for all kinds. */
+  startsAt: Milliseconds;
+  duration: Milliseconds;
+  /** Multiplies the usual rate. */
+  rateFactor: number;
+  /** Name of the kind that it applies to; absent for all kinds. */
   kind?: string;
 }
 
-/** Engines that are down for a time, and lose what they hold. */
+/** A crash of several engines: they are down for a period and lose their requests and caches. */
 export interface Crash {
-  at: Milliseconds;
-  span: Milliseconds;
+  startsAt: Milliseconds;
+  duration: Milliseconds;
+  /** Number of engines that crash. */
   engines: number;
 }
 
-/** A deployment and a day on it, as the experiment plays it. */
+/** A deployment and the load of one simulated day. */
 export interface RelayDeployment {
   name: string;
   daemons: number;
   availabilityZones: number;
-  engines: EngineTraits;
-  /** How much longer each engine takes than the traits say: one entry an engine. */
-  engineFactors: number[];
+  engines: EngineParameters;
+  /** One entry per engine: the factor by which its steps take longer than the parameters say. */
+  engineSlowdowns: number[];
   applications: { replicas: number; slots: number };
   kinds: RequestKind[];
   bursts: Burst[];
   crashes: Crash[];
-  length: Milliseconds;
-  /** One way, between zones. */
-  crossing: Milliseconds;
+  duration: Milliseconds;
+  /** One-way network delay between availability zones. */
+  crossZoneDelay: Milliseconds;
 }
--- a/packages/experiment/src/lib/relay/SimulatedCall.ts
+++ b/packages/experiment/src/lib/relay/SimulatedCall.ts
@@ -2,32 +2,36 @@
 import type { Prompt } from '@apricotrill/relay';
 import type { RequestKind } from './RelayDeployment.js';
 
-/** A caller's request and what became of it. */
+/** A caller's request and its result. */
 export interface SimulatedCall {
   id: string;
   kind: RequestKind;
   daemon: number;
-  arrived: Milliseconds;
+  arrivedAt: Milliseconds;
   prompt: Prompt | undefined;
   outputTokens: number;
-  work: Milliseconds;
-  /** Against the mean of its kind: tokens read, and ten times those made. */
+  serviceTime: Milliseconds;
+  /**
+   * Input tokens plus ten times the output tokens, relative to the mean of its kind; 1 for plain
+   * requests.
+   */
   size: number;
-  /** After its arrival; absent while nothing came. */
+  /** Time from arrival to the first event of the response; absent until one arrives. */
   firstEvent?: Milliseconds;
+  /** Clock time of the latest event of the response. */
   lastEvent?: Milliseconds;
   longestPause: Milliseconds;
-  isWhole: boolean;
-  /** Sends to replicas. */
+  isComplete: boolean;
+  /** How often it was sent to a replica. */
   attempts: number;
-  /** From the choice, for the first attempt. */
-  expected?: Milliseconds;
+  /** Time to the first event that the placement core predicted for the first attempt. */
+  predictedFirstEvent?: Milliseconds;
 }
 
-/** Whether an answer came whole and in time. */
-export function isInTime({ kind, firstEvent, longestPause, isWhole }: SimulatedCall): boolean {
+/** Whether the response completed and met its latency and pause targets. */
+export function isInTime({ kind, firstEvent, longestPause, isComplete }: SimulatedCall): boolean {
   return (
-    isWhole &&
+    isComplete &&
     firstEvent !== undefined &&
     firstEvent <= kind.latencyTarget &&
     longestPause <= (kind.pauseTarget ?? Number.POSITIVE_INFINITY)
--- a/packages/experiment/src/lib/relay/createSimulatedCalls.ts
+++ b/packages/experiment/src/lib/relay/createSimulatedCalls.ts
@@ -4,40 +4,46 @@
 import type { RelayDeployment, RequestKind } from './RelayDeployment.js';
 import type { SimulatedCall } from './SimulatedCall.js';
 
-/** Spread of lengths in the logarithm, as lengths of prompts and answers have it. */
-const SPREAD = 0.7;
+/** Standard deviation of the logarithm of lengths; prompts and responses are log-normal in length. */
+const LOG_LENGTH_DEVIATION = 0.7;
 
-/** Sessions that are asked for more often than others: the n-th in proportion to n to minus this. */
-const SKEW = 0.3;
+/** Zipf exponent: the n-th variant is requested in proportion to n to the power of minus this. */
+const POPULARITY_SKEW = 0.3;
 
-const MOST_TIMES_MEAN = 4;
+/** Maximum length, as a multiple of the mean. */
+const MAX_LENGTH_FACTOR = 4;
 
 const MODEL = 'm';
 
-/** What a token made weighs against one read. */
+/** Weight of an output token relative to an input token. */
 const OUTPUT_WEIGHT = 10;
 
-/** A length around a mean, with a long tail. */
+/** Samples a log-normal length with the given mean. */
 function sampleLength(mean: number, random: Random): number {
   const normal =
     Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
-  const length = mean * Math.exp(SPREAD * normal - SPREAD ** 2 / 2);
-  return Math.max(1, Math.round(Math.min(length, mean * MOST_TIMES_MEAN)));
+  const length = mean * Math.exp(LOG_LENGTH_DEVIATION * normal - LOG_LENGTH_DEVIATION ** 2 / 2);
+  return Math.max(1, Math.round(Math.min(length, mean * MAX_LENGTH_FACTOR)));
 }
 
 function pickVariant(variants: number, random: Random): number {
-  return Math.floor(variants * random.next() ** (1 / (1 - SKEW)));
+  return Math.floor(variants * random.next() ** (1 / (1 - POPULARITY_SKEW)));
 }
 
-/** The length of a shared part is its own, whoever asks. */
+/** Returns the length of a variant of a shared part; it is the same for every request and seed. */
 function getSharedTokens(mean: number, kind: string, index: number, variant: number): number {
   const random = createRandom(getHash(`${kind}/${index}/${variant}`));
-  // The first numbers of a stream are alike for like seeds.
+  // Similar seeds give similar first numbers, so the first one is discarded.
   random.next();
   return sampleLength(mean, random);
 }
 
-function createPrompt(kind: RequestKind, id: string, outputs: number, random: Random): Prompt {
+function createPrompt(
+  kind: RequestKind,
+  id: string,
+  maxOutputTokens: number,
+  random: Random,
+): Prompt {
   const shared = kind.parts.map(({ tokens, variants }, index): PromptPart => {
     const variant = pickVariant(variants, random);
     return {
@@ -45,24 +51,30 @@
       tokens: getSharedTokens(tokens, kind.name, index, variant),
     };
   });
-  const parts = [...shared, { id, tokens: sampleLength(kind.ownTokens, random) }];
+  const parts = [...shared, { id, tokens: sampleLength(kind.uniqueTokens, random) }];
   const inputTokens = parts.reduce((sum, { tokens }) => sum + tokens, 0);
-  return { model: MODEL, inputTokens, outputTokens: outputs, parts };
+  return { model: MODEL, inputTokens, outputTokens: maxOutputTokens, parts };
 }
 
-function getMeanSize({ parts, ownTokens, outputTokens }: RequestKind): number {
-  const read = parts.reduce((sum, { tokens }) => sum + tokens, ownTokens);
-  return read + OUTPUT_WEIGHT * outputTokens;
+function getMeanSize({ parts, uniqueTokens, outputTokens }: RequestKind): number {
+  const inputTokens = parts.reduce((sum, { tokens }) => sum + tokens, uniqueTokens);
+  return inputTokens + OUTPUT_WEIGHT * outputTokens;
 }
 
-function getFactor({ bursts }: RelayDeployment, kind: string, at: number): number {
+function getRateFactor({ bursts }: RelayDeployment, kind: string, time: number): number {
   return bursts
-    .filter((burst) => at >= burst.at && at < burst.at + burst.span)
+    .filter((burst) => time >= burst.startsAt && time < burst.startsAt + burst.duration)
     .filter((burst) => burst.kind === undefined || burst.kind === kind)
-    .reduce((factor, burst) => factor * burst.factor, 1);
+    .reduce((factor, burst) => factor * burst.rateFactor, 1);
 }
 
-function createCall(kind: RequestKind, id: string, at: number, daemon: number, random: Random) {
+function createCall(
+  kind: RequestKind,
+  id: string,
+  arrivedAt: number,
+  daemon: number,
+  random: Random,
+) {
   const outputTokens = sampleLength(kind.outputTokens, random);
   const prompt =
     kind.service === 'engines' ? createPrompt(kind, id, outputTokens * 2, random) : undefined;
@@ -74,39 +86,42 @@
     id,
     kind,
     daemon,
-    arrived: at,
+    arrivedAt,
     prompt,
     outputTokens,
-    work: kind.work === 0 ? 0 : sampleLength(kind.work, random),
+    serviceTime: kind.serviceTime === 0 ? 0 : sampleLength(kind.serviceTime, random),
     size,
     longestPause: 0,
-    isWhole: false,
+    isComplete: false,
     attempts: 0,
   };
   return call;
 }
 
 /**
- * The calls of a day, in the order of their arrival. The same seed gives the same calls, whatever
- * policy serves them.
+ * Creates the calls of a day, in the order of their arrival. The same seed gives the same calls
+ * whichever policy serves them.
  */
 export function createSimulatedCalls(deployment: RelayDeployment, seed: number): SimulatedCall[] {
   const random = createRandom(seed);
   const calls = deployment.kinds.flatMap((kind) => {
-    const ofKind: SimulatedCall[] = [];
-    const most = Math.max(1, ...deployment.bursts.map(({ factor }) => factor)) ** 2 * kind.rate;
-    let at = 0;
+    const callsOfKind: SimulatedCall[] = [];
+    const maxRate =
+      Math.max(1, ...deployment.bursts.map(({ rateFactor }) => rateFactor)) ** 2 * kind.rate;
+    let time = 0;
     for (;;) {
-      at += (-Math.log(1 - random.next()) / most) * 1_000;
-      if (at >= deployment.length) {
-        return ofKind;
+      time += (-Math.log(1 - random.next()) / maxRate) * 1_000;
+      if (time >= deployment.duration) {
+        return callsOfKind;
       }
-      const isKept = random.next() < (getFactor(deployment, kind.name, at) * kind.rate) / most;
-      if (isKept) {
-        const id = `${kind.name}/${ofKind.length}`;
-        ofKind.push(createCall(kind, id, at, random.integer(deployment.daemons), random));
+      // Thinning: arrivals are drawn at the maximum rate and accepted in proportion to the current one.
+      const isAccepted =
+        random.next() < (getRateFactor(deployment, kind.name, time) * kind.rate) / maxRate;
+      if (isAccepted) {
+        const id = `${kind.name}/${callsOfKind.length}`;
+        callsOfKind.push(createCall(kind, id, time, random.integer(deployment.daemons), random));
       }
     }
   });
-  return calls.sort((left, right) => left.arrived - right.arrived);
+  return calls.sort((left, right) => left.arrivedAt - right.arrivedAt);
 }
--- a/packages/experiment/src/lib/relay/deployments.ts
+++ b/packages/experiment/src/lib/relay/deployments.ts
@@ -1,10 +1,10 @@
 import { createRandom } from '@apricotrill/utils';
 import type { Random } from '@apricotrill/utils';
-import type { EngineTraits, RelayDeployment, RequestKind } from './RelayDeployment.js';
+import type { EngineParameters, RelayDeployment, RequestKind } from './RelayDeployment.js';
 
 const SECOND = 1_000;
 
-const PLAIN: Omit<RequestKind, 'name' | 'rate' | 'repeatable'> = {
+const PLAIN_KIND: Omit<RequestKind, 'name' | 'rate' | 'repeatable'> = {
   service: 'application',
   rank: 0,
   latencyTarget: 150,
@@ -13,40 +13,40 @@
   worth: 1,
   lateWorth: 0.1,
   parts: [],
-  ownTokens: 0,
+  uniqueTokens: 0,
   outputTokens: 0,
-  work: 30,
+  serviceTime: 30,
 };
 
-const ENGINE: EngineTraits = {
+const ENGINE_PARAMETERS: EngineParameters = {
   slots: 48,
   memoryTokens: 450_000,
-  step: 3.5,
-  stepPerThousand: 0.03,
-  readRate: 90,
-  pairTime: 0.4,
-  chunkTokens: 2_048,
-  setup: 80,
+  baseStepTime: 3.5,
+  stepTimePerThousandTokens: 0.03,
+  prefillRate: 90,
+  attentionTimePerMillionPairs: 0.4,
+  prefillChunkTokens: 2_048,
+  setupTime: 80,
   eventTokens: 5,
   copyTime: 0.0015,
-  copySetup: 2.5,
+  copySetupTime: 2.5,
 };
 
 function createPlainKinds(rate: number): RequestKind[] {
   return [
-    { ...PLAIN, name: 'lodge', rate, repeatable: false },
-    { ...PLAIN, name: 'lookup', rate: rate * 0.6, repeatable: true },
+    { ...PLAIN_KIND, name: 'lodge', rate, repeatable: false },
+    { ...PLAIN_KIND, name: 'lookup', rate: rate * 0.6, repeatable: true },
   ];
 }
 
-/** Summaries of long papers beside questions that are answered while a student types. */
+/** Summaries of long papers, and questions that are answered while a student types. */
 function createPapers(): RelayDeployment {
   return {
     name: 'papers',
     daemons: 7,
     availabilityZones: 3,
-    engines: ENGINE,
-    engineFactors: [1, 1, 1.3, 1, 1, 1.3],
+    engines: ENGINE_PARAMETERS,
+    engineSlowdowns: [1, 1, 1.3, 1, 1, 1.3],
     applications: { replicas: 3, slots: 6 },
     kinds: [
       {
@@ -62,9 +62,9 @@
         worth: 2,
         lateWorth: 0.2,
         parts: [{ tokens: 13_000, variants: 90 }],
-        ownTokens: 3_500,
+        uniqueTokens: 3_500,
         outputTokens: 120,
-        work: 0,
+        serviceTime: 0,
       },
       {
         name: 'check',
@@ -82,9 +82,9 @@
           { tokens: 2_500, variants: 4 },
           { tokens: 4_000, variants: 30 },
         ],
-        ownTokens: 3_000,
+        uniqueTokens: 3_000,
         outputTokens: 50,
-        work: 0,
+        serviceTime: 0,
       },
       {
         name: 'help',
@@ -102,24 +102,24 @@
           { tokens: 200, variants: 20 },
           { tokens: 150, variants: 150 },
         ],
-        ownTokens: 1_000,
+        uniqueTokens: 1_000,
         outputTokens: 170,
-        work: 0,
+        serviceTime: 0,
       },
       ...createPlainKinds(7),
     ],
     bursts: [
-      { at: 500, span: 9 * SECOND, factor: 2.2, kind: 'summary' },
-      { at: 11 * SECOND, span: 5 * SECOND, factor: 1.9, kind: 'help' },
-      { at: 17.5 * SECOND, span: 4.5 * SECOND, factor: 2.2, kind: 'summary' },
+      { startsAt: 500, duration: 9 * SECOND, rateFactor: 2.2, kind: 'summary' },
+      { startsAt: 11 * SECOND, duration: 5 * SECOND, rateFactor: 1.9, kind: 'help' },
+      { startsAt: 17.5 * SECOND, duration: 4.5 * SECOND, rateFactor: 2.2, kind: 'summary' },
     ],
     crashes: [],
-    length: 30 * SECOND,
-    crossing: 0.9,
+    duration: 30 * SECOND,
+    crossZoneDelay: 0.9,
   };
 }
 
-/** The same at its highest load, with engines that crash in the middle of a burst. */
+/** The deployment of `createPapers` at its highest load, with engines that crash during a burst. */
 function createPressedPapers(): RelayDeployment {
   const papers = createPapers();
   return {
@@ -128,13 +128,13 @@
     kinds: papers.kinds.map((kind) => ({ ...kind, rate: kind.rate * 1.15 })),
     bursts: [
       ...papers.bursts,
-      { at: 7.9 * SECOND, span: 3.2 * SECOND, factor: 1.5, kind: 'summary' },
+      { startsAt: 7.9 * SECOND, duration: 3.2 * SECOND, rateFactor: 1.5, kind: 'summary' },
     ],
-    crashes: [{ at: 9.6 * SECOND, span: 4 * SECOND, engines: 2 }],
+    crashes: [{ startsAt: 9.6 * SECOND, duration: 4 * SECOND, engines: 2 }],
   };
 }
 
-/** Drafts from a shared catalogue beside short questions, on engines that read half as fast. */
+/** Drafts from a shared catalogue, and short questions, on engines with half the prefill speed. */
 function createDrafts(): RelayDeployment {
   return {
     ...createPapers(),
@@ -142,15 +142,15 @@
     daemons: 8,
     availabilityZones: 4,
     engines: {
-      ...ENGINE,
+      ...ENGINE_PARAMETERS,
       slots: 96,
       memoryTokens: 300_000,
-      step: 4.5,
-      readRate: 40,
+      baseStepTime: 4.5,
+      prefillRate: 40,
       eventTokens: 4,
       copyTime: 0.002,
     },
-    engineFactors: [1, 1, 1.3, 1, 1, 1.3, 1, 1],
+    engineSlowdowns: [1, 1, 1.3, 1, 1, 1.3, 1, 1],
     kinds: [
       {
         name: 'draft',
@@ -168,9 +168,9 @@
           { tokens: 2_500, variants: 4 },
           { tokens: 4_000, variants: 40 },
         ],
-        ownTokens: 3_000,
+        uniqueTokens: 3_000,
         outputTokens: 50,
-        work: 0,
+        serviceTime: 0,
       },
       {
         name: 'question',
@@ -188,23 +188,24 @@
           { tokens: 100, variants: 20 },
           { tokens: 100, variants: 100 },
         ],
-        ownTokens: 600,
+        uniqueTokens: 600,
         outputTokens: 280,
-        work: 0,
+        serviceTime: 0,
       },
       ...createPlainKinds(11),
     ],
     bursts: [
-      { at: 500, span: 9 * SECOND, factor: 1.6, kind: 'draft' },
-      { at: 11 * SECOND, span: 5 * SECOND, factor: 1.9, kind: 'question' },
-      { at: 17.5 * SECOND, span: 4.5 * SECOND, factor: 1.6, kind: 'draft' },
+      { startsAt: 500, duration: 9 * SECOND, rateFactor: 1.6, kind: 'draft' },
+      { startsAt: 11 * SECOND, duration: 5 * SECOND, rateFactor: 1.9, kind: 'question' },
+      { startsAt: 17.5 * SECOND, duration: 4.5 * SECOND, rateFactor: 1.6, kind: 'draft' },
     ],
   };
 }
 
 /**
- * Summaries of long histories beside short chats, before a large fleet: each daemon has five requests
- * a second, and none could hear of all. Prompts need half of all engines' time in the bursts.
+ * Summaries of long histories, and short chats, on a large fleet: each daemon handles five requests a
+ * second, and none can follow the requests of all others. During the bursts, prefill takes half of the
+ * time of all engines.
  */
 function createHistories(): RelayDeployment {
   const engines = 42;
@@ -214,18 +215,18 @@
     daemons: 64,
     availabilityZones: 4,
     engines: {
-      ...ENGINE,
+      ...ENGINE_PARAMETERS,
       slots: 64,
       memoryTokens: 240_000,
-      step: 5,
-      stepPerThousand: 0.01,
-      readRate: 50,
-      setup: 30,
+      baseStepTime: 5,
+      stepTimePerThousandTokens: 0.01,
+      prefillRate: 50,
+      setupTime: 30,
       eventTokens: 5,
       copyTime: 0.01,
-      copySetup: 4,
+      copySetupTime: 4,
     },
-    engineFactors: Array.from({ length: engines }, (_item, index) => (index % 3 === 2 ? 1.3 : 1)),
+    engineSlowdowns: Array.from({ length: engines }, (_item, index) => (index % 3 === 2 ? 1.3 : 1)),
     applications: { replicas: 4, slots: 6 },
     kinds: [
       {
@@ -244,9 +245,9 @@
           { tokens: 2_500, variants: 4 },
           { tokens: 4_000, variants: 1_000 },
         ],
-        ownTokens: 3_000,
+        uniqueTokens: 3_000,
         outputTokens: 50,
-        work: 0,
+        serviceTime: 0,
       },
       {
         name: 'chat',
@@ -264,80 +265,84 @@
           { tokens: 120, variants: 16 },
           { tokens: 80, variants: 1_600 },
         ],
-        ownTokens: 630,
+        uniqueTokens: 630,
         outputTokens: 290,
-        work: 0,
+        serviceTime: 0,
       },
       ...createPlainKinds(35),
     ],
     bursts: [
-      { at: 500, span: 9 * SECOND, factor: 2.8, kind: 'history' },
-      { at: 11 * SECOND, span: 5 * SECOND, factor: 2.6, kind: 'chat' },
-      { at: 17.5 * SECOND, span: 3.5 * SECOND, factor: 3, kind: 'history' },
+      { startsAt: 500, duration: 9 * SECOND, rateFactor: 2.8, kind: 'history' },
+      { startsAt: 11 * SECOND, duration: 5 * SECOND, rateFactor: 2.6, kind: 'chat' },
+      { startsAt: 17.5 * SECOND, duration: 3.5 * SECOND, rateFactor: 3, kind: 'history' },
     ],
   };
 }
 
-/** A value between two bounds, spread alike over its orders of magnitude. */
-function draw(random: Random, least: number, most: number): number {
-  return least * (most / least) ** random.next();
+/** Draws a log-uniformly distributed value between two bounds. */
+function drawLogUniform(random: Random, min: number, max: number): number {
+  return min * (max / min) ** random.next();
 }
 
 /**
- * A deployment that nobody has tuned anything for: speeds, sizes, targets and the mix are drawn by
- * the seed, and the load is what its engines can carry.
+ * Creates a deployment that no default was chosen for: speeds, sizes, targets and the mix of requests
+ * are drawn from the seed, and the load is within what its engines can serve.
  */
 export function drawDeployment(seed: number): RelayDeployment {
   const random = createRandom(seed);
   const base = createPapers();
-  const readRate = draw(random, 10, 300);
-  const engines = Math.round(draw(random, 3, 24));
-  const engineFactors = Array.from({ length: engines }, () => (random.next() < 0.3 ? 1.3 : 1));
-  const traits = {
-    ...ENGINE,
-    readRate,
-    step: draw(random, 2, 12),
-    slots: Math.round(draw(random, 16, 128)),
-    memoryTokens: Math.round(draw(random, 150_000, 900_000)),
+  const prefillRate = drawLogUniform(random, 10, 300);
+  const engines = Math.round(drawLogUniform(random, 3, 24));
+  const engineSlowdowns = Array.from({ length: engines }, () => (random.next() < 0.3 ? 1.3 : 1));
+  const parameters = {
+    ...ENGINE_PARAMETERS,
+    prefillRate,
+    baseStepTime: drawLogUniform(random, 2, 12),
+    slots: Math.round(drawLogUniform(random, 16, 128)),
+    memoryTokens: Math.round(drawLogUniform(random, 150_000, 900_000)),
     eventTokens: 1 + random.integer(6),
   };
-  const streams = base.kinds.filter(({ service }) => service === 'engines');
-  const scale = draw(random, 0.3, 1.2);
-  const kinds = streams.map((kind): RequestKind => {
-    const long = kind.parts.reduce((sum, { tokens }) => sum + tokens, kind.ownTokens) * scale;
-    const step = traits.step + traits.chunkTokens / readRate;
+  const engineKinds = base.kinds.filter(({ service }) => service === 'engines');
+  const lengthScale = drawLogUniform(random, 0.3, 1.2);
+  const kinds = engineKinds.map((kind): RequestKind => {
+    const promptTokens =
+      kind.parts.reduce((sum, { tokens }) => sum + tokens, kind.uniqueTokens) * lengthScale;
+    const stepTime = parameters.baseStepTime + parameters.prefillChunkTokens / prefillRate;
     return {
       ...kind,
-      parts: kind.parts.map((part) => ({ ...part, tokens: Math.round(part.tokens * scale) })),
-      ownTokens: Math.round(kind.ownTokens * scale),
-      latencyTarget: Math.round(draw(random, 1.5, 5) * (long / readRate) + 150),
-      pauseTarget: Math.round(draw(random, 0.8, 3) * step * traits.eventTokens),
+      parts: kind.parts.map((part) => ({ ...part, tokens: Math.round(part.tokens * lengthScale) })),
+      uniqueTokens: Math.round(kind.uniqueTokens * lengthScale),
+      latencyTarget: Math.round(
+        drawLogUniform(random, 1.5, 5) * (promptTokens / prefillRate) + 150,
+      ),
+      pauseTarget: Math.round(drawLogUniform(random, 0.8, 3) * stepTime * parameters.eventTokens),
       timeout: 20 * SECOND,
     };
   });
-  const tokens = kinds.reduce(
-    (sum, { rate, ownTokens, parts }) =>
-      sum + rate * (ownTokens + 0.3 * parts.reduce((all, part) => all + part.tokens, 0)),
+  const prefillTokens = kinds.reduce(
+    (sum, { rate, uniqueTokens, parts }) =>
+      sum + rate * (uniqueTokens + 0.3 * parts.reduce((all, part) => all + part.tokens, 0)),
     0,
   );
-  const making = kinds.reduce((sum, { rate, outputTokens }) => sum + rate * outputTokens, 0);
-  const use = tokens / SECOND / readRate + (making / SECOND) * (traits.step / 12);
-  const load = (draw(random, 0.2, 0.45) * engines) / use;
+  const outputRate = kinds.reduce((sum, { rate, outputTokens }) => sum + rate * outputTokens, 0);
+  const enginesNeeded =
+    prefillTokens / SECOND / prefillRate + (outputRate / SECOND) * (parameters.baseStepTime / 12);
+  const rateScale = (drawLogUniform(random, 0.2, 0.45) * engines) / enginesNeeded;
   return {
     ...base,
     name: `drawn-${seed}`,
-    daemons: Math.round(draw(random, 2, 16)),
+    daemons: Math.round(drawLogUniform(random, 2, 16)),
     availabilityZones: 1 + random.integer(4),
-    engines: traits,
-    engineFactors,
+    engines: parameters,
+    engineSlowdowns,
     kinds: [
-      ...kinds.map((kind) => ({ ...kind, rate: kind.rate * load })),
+      ...kinds.map((kind) => ({ ...kind, rate: kind.rate * rateScale })),
       ...base.kinds.filter(({ service }) => service !== 'engines'),
     ],
   };
 }
 
-/** The deployments that have names. */
+/** The fixed deployments, by name. */
 export const namedDeployments: Readonly<Record<string, () => RelayDeployment>> = {
   papers: createPapers,
   'papers-pressed': createPressedPapers,
--- a/packages/experiment/src/lib/relay/largeFleet.test.ts
+++ b/packages/experiment/src/lib/relay/largeFleet.test.ts
@@ -2,14 +2,14 @@
 import { FleetSimulation } from './FleetSimulation.js';
 import { summariseDay } from './summariseDay.js';
 
-// Short chats of a fleet of 64 daemons before 42 engines were late: 19 in 100 in time on this day, and
-// of the worth of chats on a real day 0.18 was earned. Each daemon sent five requests a second and heard
-// of the others' a second later, without their prompts. So it chose engines that others had just filled,
-// took the wait behind prompts that it didn't know of for slow reading ('readRate' fell from 40 to 9 where
-// engines read 52), took all engines but one for readers with it ('readers' 41 of 42), and sent chats
-// among the prompts; 97 in 100 of these had a pause over 250 ms.
-describe('a large fleet before engines that read half of the time', () => {
-  it('answers short chats in time beside bursts of long prompts', () => {
+// Guards against late chats in a fleet of 64 daemons and 42 engines, where each daemon sends five requests
+// a second and learns of its peers' requests a second later and without their prompts. It chose engines
+// that peers had just filled, mistook the wait behind unknown prompts for slow prefill ('readRate' fell
+// from 40 to 9 where engines prefill 52), reserved 41 of 42 engines for prefill ('readers') and sent chats
+// to them: 97 in 100 of these had a pause over 250 ms. Only 19 in 100 chats were in time on this day, and
+// on a real day chats earned 0.18 of their worth.
+describe('a large fleet whose engines spend half of the time on prefill', () => {
+  it('serves short chats in time during bursts of long prompts', () => {
     const deployment = namedDeployments.histories!();
     const { kinds } = summariseDay(new FleetSimulation(deployment, 1).run());
     const chat = kinds.find(({ name }) => name === 'chat')!;
--- a/packages/experiment/src/lib/relay/summariseDay.ts
+++ b/packages/experiment/src/lib/relay/summariseDay.ts
@@ -3,41 +3,47 @@
 import { isInTime } from './SimulatedCall.js';
 import type { SimulatedCall } from './SimulatedCall.js';
 
-/** The span by which the worst times of a day are found, in milliseconds. */
-const WINDOW = 2_000;
+/** Length of the windows among which the worst of a day are sought. */
+const WINDOW_MS = 2_000;
 
-const WORST_WINDOWS = 2;
+const WORST_WINDOW_COUNT = 2;
 
-/** Windows with fewer calls say little. */
-const LEAST_CALLS = 10;
+/** Windows with fewer calls are too noisy to count. */
+const MIN_CALLS = 10;
 
-/** What became of the calls of one kind. */
+/** Results of the calls of one kind. */
 export interface KindSummary {
   name: string;
   calls: number;
   inTime: number;
+  /** Completed calls whose first event came after the latency target. */
   lateFirst: number;
+  /** Completed calls whose first event came in time, but that had too long a pause. */
   latePause: number;
+  /** Calls without a complete response. */
   unserved: number;
   firstP50: number;
   firstP99: number;
   pauseP90: number;
 }
 
-/** What became of a day. */
+/** Results of a day. */
 export interface DaySummary {
-  /** Part of the worth that was earned. */
+  /** Earned share of the worth of all calls. */
   worth: number;
+  /** Mean share that was earned in the worst windows. */
   worstWindows: number;
+  /** Share that was earned by the worst kind. */
   worstKind: number;
   kinds: KindSummary[];
   readTokens: number;
   copiedTokens: number;
   preempted: number;
-  crossingBytes: number;
-  /** Between the expected and the true wait for the first event, over all streams. */
+  /** Prompt tokens that were sent to another availability zone. */
+  crossZoneTokens: number;
+  /** Correlation between the predicted and the actual time to the first event, over all streams. */
   correlation: number;
-  /** The median of the error of that expectation, as a part of the wait. */
+  /** Median error of that prediction, relative to the actual time. */
   predictionError: number;
 }
 
@@ -46,26 +52,26 @@
   return size * call.kind.worth;
 }
 
-function getEarned(call: SimulatedCall): number {
-  if (!call.isWhole) {
+function getEarnedWorth(call: SimulatedCall): number {
+  if (!call.isComplete) {
     return 0;
   }
-  const part = isInTime(call) ? 1 : call.kind.lateWorth / call.kind.worth;
-  return part * getWorth(call);
+  const share = isInTime(call) ? 1 : call.kind.lateWorth / call.kind.worth;
+  return share * getWorth(call);
 }
 
-function getShare(calls: readonly SimulatedCall[]): number {
-  const owed = calls.reduce((sum, call) => sum + getWorth(call), 0);
-  const earned = calls.reduce((sum, call) => sum + getEarned(call), 0);
-  return owed === 0 ? 1 : earned / owed;
+function getWorthShare(calls: readonly SimulatedCall[]): number {
+  const total = calls.reduce((sum, call) => sum + getWorth(call), 0);
+  const earned = calls.reduce((sum, call) => sum + getEarnedWorth(call), 0);
+  return total === 0 ? 1 : earned / total;
 }
 
-function getQuantile(values: number[], part: number): number {
+function getQuantile(values: number[], quantile: number): number {
   return values.length === 0
     ? 0
     : quantileSorted(
         values.sort((one, other) => one - other),
-        part,
+        quantile,
       );
 }
 
@@ -81,60 +87,65 @@
 function summariseKind(name: string, calls: SimulatedCall[]): KindSummary {
   const [{ kind }] = calls as [SimulatedCall];
   const firsts = calls.flatMap(({ firstEvent }) => (firstEvent === undefined ? [] : [firstEvent]));
-  const whole = calls.filter(({ isWhole }) => isWhole);
+  const completed = calls.filter(({ isComplete }) => isComplete);
   const isLateFirst = (call: SimulatedCall) => call.firstEvent! > kind.latencyTarget;
   return {
     name,
     calls: calls.length,
     inTime: calls.filter(isInTime).length,
-    lateFirst: whole.filter(isLateFirst).length,
-    latePause: whole.filter((call) => !isInTime(call) && !isLateFirst(call)).length,
-    unserved: calls.length - whole.length,
+    lateFirst: completed.filter(isLateFirst).length,
+    latePause: completed.filter((call) => !isInTime(call) && !isLateFirst(call)).length,
+    unserved: calls.length - completed.length,
     firstP50: getQuantile([...firsts], 0.5),
     firstP99: getQuantile([...firsts], 0.99),
     pauseP90: getQuantile(
-      whole.map(({ longestPause }) => longestPause),
+      completed.map(({ longestPause }) => longestPause),
       0.9,
     ),
   };
 }
 
-function getPrediction(calls: readonly SimulatedCall[]) {
-  const pairs = calls.flatMap(({ expected, firstEvent, attempts, prompt }) =>
-    prompt !== undefined && attempts === 1 && expected !== undefined && firstEvent !== undefined
-      ? [{ expected, firstEvent }]
+function getPredictionQuality(calls: readonly SimulatedCall[]) {
+  const pairs = calls.flatMap(({ predictedFirstEvent, firstEvent, attempts, prompt }) =>
+    prompt !== undefined &&
+    attempts === 1 &&
+    predictedFirstEvent !== undefined &&
+    firstEvent !== undefined
+      ? [{ predictedFirstEvent, firstEvent }]
       : [],
   );
-  if (pairs.length < LEAST_CALLS) {
+  if (pairs.length < MIN_CALLS) {
     return { correlation: 0, predictionError: 0 };
   }
-  const errors = pairs.map((pair) => Math.abs(pair.expected - pair.firstEvent) / pair.firstEvent);
+  const errors = pairs.map(
+    (pair) => Math.abs(pair.predictedFirstEvent - pair.firstEvent) / pair.firstEvent,
+  );
   return {
     correlation: sampleCorrelation(
-      pairs.map(({ expected }) => expected),
+      pairs.map(({ predictedFirstEvent }) => predictedFirstEvent),
       pairs.map(({ firstEvent }) => firstEvent),
     ),
     predictionError: getQuantile(errors, 0.5),
   };
 }
 
-/** Adds a day up. */
-export function summariseDay({ calls, counts, crossingBytes }: FleetResult): DaySummary {
+/** Summarises the results of a day. */
+export function summariseDay({ calls, counts, crossZoneTokens }: FleetResult): DaySummary {
   const kinds = groupBy(calls, ({ kind }) => kind.name);
-  const windows = [...groupBy(calls, ({ arrived }) => Math.floor(arrived / WINDOW)).values()]
-    .filter((group) => group.length >= LEAST_CALLS)
-    .map(getShare)
+  const windows = [...groupBy(calls, ({ arrivedAt }) => Math.floor(arrivedAt / WINDOW_MS)).values()]
+    .filter((group) => group.length >= MIN_CALLS)
+    .map(getWorthShare)
     .sort((one, other) => one - other)
-    .slice(0, WORST_WINDOWS);
+    .slice(0, WORST_WINDOW_COUNT);
   return {
-    worth: getShare(calls),
+    worth: getWorthShare(calls),
     worstWindows: windows.reduce((sum, share) => sum + share, 0) / Math.max(1, windows.length),
-    worstKind: Math.min(...[...kinds.values()].map(getShare)),
+    worstKind: Math.min(...[...kinds.values()].map(getWorthShare)),
     kinds: [...kinds].map(([name, group]) => summariseKind(name, group)),
-    readTokens: counts.read,
-    copiedTokens: counts.copied,
-    preempted: counts.preempted,
-    crossingBytes,
-    ...getPrediction(calls),
+    readTokens: counts.prefilledTokens,
+    copiedTokens: counts.copiedTokens,
+    preempted: counts.preemptions,
+    crossZoneTokens,
+    ...getPredictionQuality(calls),
   };
 }
