--- a/packages/model/src/lib/checks/checkRegister.ts
+++ b/packages/model/src/lib/checks/checkRegister.ts
@@ -2,7 +2,7 @@
 import { getChoice } from '../getSuggestion.js';
 import { ServiceKind } from '../Register.js';
 import type { Register, Replica, Service } from '../Register.js';
-import { getRepeats } from './getRepeats.js';
+import { getRepeats } from './getDuplicateFaults.js';
 
 /** The model in `model[:adapter]@version`. */
 function getPlacedModel(placement: string): string {
--- a/packages/model/src/lib/checks/checkRules.ts
+++ b/packages/model/src/lib/checks/checkRules.ts
@@ -2,7 +2,7 @@
 import { getChoice } from '../getSuggestion.js';
 import type { ClassRule, Rules, ServiceClass } from '../Register.js';
 import { isPathUnder } from '../ClassMatcher/normalizePath.js';
-import { getRepeats } from './getRepeats.js';
+import { getRepeats } from './getDuplicateFaults.js';
 
 /** Floors may hold back at most this share of a service from the order of the tiers. */
 const FLOOR_SUM_LIMIT = 0.5;
--- a/packages/model/src/lib/parseSettings.ts
+++ b/packages/model/src/lib/parseSettings.ts
@@ -1,6 +1,6 @@
 import { success } from '@apricotrill/utils';
 import type { Result } from '@apricotrill/utils';
-import { getRepeats } from './checks/getRepeats.js';
+import { getRepeats } from './checks/getDuplicateFaults.js';
 import type { Diagnostic } from './Diagnostic.js';
 import { parseText } from './parseText.js';
 import { settingsSchema } from './schemas/settingsSchema.js';
