--- a/packages/model/src/lib/ClassMatcher/ClassMatcher.test.ts
+++ b/packages/model/src/lib/ClassMatcher/ClassMatcher.test.ts
@@ -17,7 +17,7 @@
 }
 
 const classes = NAMES.map(createClass);
-/** Mostly absent, so that several rules match one request and their order decides. */
+/** Mostly undefined, so that several rules match the same request and their order matters. */
 const optional = <Value>(...values: Value[]) =>
   fc.oneof({ weight: 3, arbitrary: fc.constant(undefined) }, fc.constantFrom(...values));
 const rule: fc.Arbitrary<ClassRule> = fc.record({
@@ -29,7 +29,7 @@
   maxTokensAtMost: optional(10, 100),
   wishedClass: optional(...NAMES),
 });
-const facts: fc.Arbitrary<RequestAttributes> = fc.record({
+const attributes: fc.Arbitrary<RequestAttributes> = fc.record({
   service: fc.constantFrom('app', 'model', 'other'),
   workspace: fc.constantFrom('w1', 'w2', 'w3'),
   method: optional('GET', 'POST'),
@@ -39,21 +39,25 @@
 });
 
 describe('ClassMatcher', () => {
-  it('agrees with trying every rule in order', () => {
+  it('gives the same class as trying every rule in order', () => {
     fc.assert(
-      fc.property(fc.array(rule, { minLength: 2, maxLength: 8 }), facts, (classRules, request) => {
-        const rules: Rules = { classes, classRules };
-        const matcher = new ClassMatcher(rules);
-        const decided = matcher.explain(request).find(({ failed }) => failed === undefined);
-        expect(matcher.getClass(request)?.name).toBe(decided?.rule.class);
-      }),
+      fc.property(
+        fc.array(rule, { minLength: 2, maxLength: 8 }),
+        attributes,
+        (classRules, request) => {
+          const rules: Rules = { classes, classRules };
+          const matcher = new ClassMatcher(rules);
+          const decided = matcher.explain(request).find(({ failed }) => failed === undefined);
+          expect(matcher.getClass(request)?.name).toBe(decided?.rule.class);
+        },
+      ),
       { seed: 1, numRuns: 2000 },
     );
   });
 
-  // Symptom: a hold is run twice. Sequence: the caller writes the path of holds in another
-  // spelling, which the service takes for the same; the wide rule below gives it a class that may
-  // be repeated. Cause: the rule was held against the spelling in place of the path.
+  // Guards against a hold that is run twice: the caller spells the path of holds in another way that the
+  // service treats as the same. If rules were matched against the path as sent, the general rule would
+  // give the hold a class whose requests may be repeated.
   it.each([
     '/holds/7',
     '//holds/7',
@@ -64,7 +68,7 @@
     '/holds?now',
     '/holds;v=1/7',
     '\\holds',
-  ])('sees the holds in %s', (path) => {
+  ])('recognizes the path of holds in %s', (path) => {
     const classRules = [
       { service: 'app', pathPrefix: '/holds', class: 'hold' },
       { service: 'app', class: 'check' },
@@ -74,7 +78,7 @@
     expect(getClass({ classes, classRules }, { ...request, path: '/holdsx' })?.name).toBe('check');
   });
 
-  it('leaves a normal path as it is, and a path with a broken escape readable', () => {
+  it('leaves a normal path unchanged and accepts a malformed escape', () => {
     expect(normalizePath('/a/b')).toBe('/a/b');
     expect(normalizePath('/%zz/../a%')).toBe('/a%');
   });
--- a/packages/model/src/lib/ClassMatcher/ClassMatcher.ts
+++ b/packages/model/src/lib/ClassMatcher/ClassMatcher.ts
@@ -2,65 +2,65 @@
 import { normalizePath, isPathUnder } from './normalizePath.js';
 
 /**
- * What a request shows of itself before it is given a class.
+ * The attributes of a request that determine its class.
  *
  * @public
  */
 export interface RequestAttributes {
   service: string;
   workspace: string;
-  /** Upper case, as HTTP has it; absent for chat requests. */
+  /** HTTP method in upper case; absent for chat requests. */
   method?: string;
-  /** As the caller sent it; absent for chat requests. */
+  /** The path as the caller sent it; absent for chat requests. */
   path?: string;
-  /** The most tokens a chat request asks for; absent when it sets no limit. */
+  /** The token limit of a chat request; absent when it sets none. */
   maxTokens?: number;
-  /** The class the caller wishes for; a wish counts only where a rule says so. */
+  /** The class that the caller asks for; it only matters where a rule names it. */
   wishedClass?: string;
 }
 
-/** A condition of a rule. */
+/** Name of a condition of a rule. */
 export type ClassCondition =
   'service' | 'workspace' | 'method' | 'pathPrefix' | 'maxTokensAtMost' | 'wishedClass';
 
 /**
- * What became of one rule: the condition that failed, or none when it matched.
+ * The result of evaluating one rule: the condition that failed, or none when the rule matched.
  *
  * @public
  */
 export interface RuleEvaluation {
-  /** Its place in `classRules`. */
+  /** Index in `classRules`. */
   index: number;
   rule: ClassRule;
   failed: ClassCondition | undefined;
 }
 
-/** One rule with its class looked up and its place kept. */
+/** A rule with its class and its index in `classRules`. */
 interface IndexedRule {
   index: number;
   rule: ClassRule;
   serviceClass: ServiceClass;
 }
 
-/** The rules of one service; rules for one workspace are kept apart, since they can be thousands. */
+/** The rules of one service; those for a workspace are indexed by it, since there can be thousands. */
 interface ServiceRules {
   general: IndexedRule[];
   byWorkspace: Map<string, IndexedRule[]>;
 }
 
-/** The first condition that the request does not meet; `path` is normal. */
+/** Returns the first condition that the request does not meet; `path` is the normalized path. */
 function getFailedCondition(
   rule: ClassRule,
-  facts: RequestAttributes,
+  attributes: RequestAttributes,
   path: string | undefined,
 ): ClassCondition | undefined {
-  if (rule.service !== facts.service) {
+  if (rule.service !== attributes.service) {
     return 'service';
   }
-  if (rule.workspace !== undefined && rule.workspace !== facts.workspace) {
+  if (rule.workspace !== undefined && rule.workspace !== attributes.workspace) {
     return 'workspace';
   }
-  if (rule.method !== undefined && rule.method !== facts.method) {
+  if (rule.method !== undefined && rule.method !== attributes.method) {
     return 'method';
   }
   if (
@@ -71,22 +71,22 @@
   }
   if (
     rule.maxTokensAtMost !== undefined &&
-    (facts.maxTokens === undefined || facts.maxTokens > rule.maxTokensAtMost)
+    (attributes.maxTokens === undefined || attributes.maxTokens > rule.maxTokensAtMost)
   ) {
     return 'maxTokensAtMost';
   }
-  return rule.wishedClass !== undefined && rule.wishedClass !== facts.wishedClass
+  return rule.wishedClass !== undefined && rule.wishedClass !== attributes.wishedClass
     ? 'wishedClass'
     : undefined;
 }
 
-function getPath(facts: RequestAttributes): string | undefined {
-  return facts.path === undefined ? undefined : normalizePath(facts.path);
+function getNormalizedPath(attributes: RequestAttributes): string | undefined {
+  return attributes.path === undefined ? undefined : normalizePath(attributes.path);
 }
 
 /**
- * Finds the class of requests. One matcher is made for each configuration, so that a request is
- * held only against the rules of its own service and workspace.
+ * Determines the class of requests. A matcher is created once per configuration and indexes its rules,
+ * so that a request is only compared with the rules of its own service and workspace.
  *
  * @example
  * ```ts
@@ -104,40 +104,41 @@
     rules.classRules.forEach((rule, index) => {
       const serviceClass = classes.get(rule.class);
       if (serviceClass !== undefined) {
-        this.add({ index, rule, serviceClass });
+        this.addRule({ index, rule, serviceClass });
       }
     });
   }
 
-  /** The class of the first rule that matches, or undefined when none does. */
-  getClass(facts: RequestAttributes): ServiceClass | undefined {
-    const rules = this.services.get(facts.service);
+  /** Returns the class of the first rule that matches, or undefined when none does. */
+  getClass(attributes: RequestAttributes): ServiceClass | undefined {
+    const rules = this.services.get(attributes.service);
     if (rules === undefined) {
       return undefined;
     }
-    const path = getPath(facts);
-    const isMatch = ({ rule }: IndexedRule) => getFailedCondition(rule, facts, path) === undefined;
-    const own = rules.byWorkspace.get(facts.workspace)?.find(isMatch);
-    const general = rules.general.find(isMatch);
-    if (own === undefined || general === undefined) {
-      return (own ?? general)?.serviceClass;
+    const path = getNormalizedPath(attributes);
+    const matches = ({ rule }: IndexedRule) =>
+      getFailedCondition(rule, attributes, path) === undefined;
+    const workspaceRule = rules.byWorkspace.get(attributes.workspace)?.find(matches);
+    const general = rules.general.find(matches);
+    if (workspaceRule === undefined || general === undefined) {
+      return (workspaceRule ?? general)?.serviceClass;
     }
-    return own.index < general.index ? own.serviceClass : general.serviceClass;
+    return workspaceRule.index < general.index ? workspaceRule.serviceClass : general.serviceClass;
   }
 
-  /** Every rule up to the one that decides, with the condition that ruled it out. */
-  explain(facts: RequestAttributes): RuleEvaluation[] {
-    const path = getPath(facts);
-    const trials = this.rules.classRules.map((rule, index) => ({
+  /** Returns all rules up to the first that matches, each with the condition that failed. */
+  explain(attributes: RequestAttributes): RuleEvaluation[] {
+    const path = getNormalizedPath(attributes);
+    const evaluations = this.rules.classRules.map((rule, index) => ({
       index,
       rule,
-      failed: getFailedCondition(rule, facts, path),
+      failed: getFailedCondition(rule, attributes, path),
     }));
-    const decided = trials.findIndex(({ failed }) => failed === undefined);
-    return decided === -1 ? trials : trials.slice(0, decided + 1);
+    const decided = evaluations.findIndex(({ failed }) => failed === undefined);
+    return decided === -1 ? evaluations : evaluations.slice(0, decided + 1);
   }
 
-  private add(entry: IndexedRule): void {
+  private addRule(entry: IndexedRule): void {
     const { service, workspace } = entry.rule;
     const rules: ServiceRules = this.services.get(service) ?? {
       general: [],
@@ -148,14 +149,14 @@
       rules.general.push(entry);
       return;
     }
-    const own = rules.byWorkspace.get(workspace) ?? [];
-    rules.byWorkspace.set(workspace, own);
-    own.push(entry);
+    const workspaceRules = rules.byWorkspace.get(workspace) ?? [];
+    rules.byWorkspace.set(workspace, workspaceRules);
+    workspaceRules.push(entry);
   }
 }
 
 /**
- * The class of one request. Where many are asked for, make a {@link ClassMatcher} once.
+ * Returns the class of one request. For many requests, create a {@link ClassMatcher} once.
  *
  * @example
  * ```ts
@@ -163,6 +164,6 @@
  * ```
  * @public
  */
-export function getClass(rules: Rules, facts: RequestAttributes): ServiceClass | undefined {
-  return new ClassMatcher(rules).getClass(facts);
+export function getClass(rules: Rules, attributes: RequestAttributes): ServiceClass | undefined {
+  return new ClassMatcher(rules).getClass(attributes);
 }
--- a/packages/model/src/lib/ClassMatcher/normalizePath.ts
+++ b/packages/model/src/lib/ClassMatcher/normalizePath.ts
@@ -1,7 +1,7 @@
-/** Two slashes in a row, an escape, a dot segment or a query: paths without them are normal. */
-const NEEDS_WORK = /\/\/|[%?#;\\]|\/\.{1,2}(\/|$)/;
-/** The base only serves to parse the path; nothing is asked there. */
-const ANY_ORIGIN = 'http://host';
+/** Matches empty segments, escapes, parameters, dot segments and queries; other paths are normal. */
+const NOT_NORMAL = /\/\/|[%?#;\\]|\/\.{1,2}(\/|$)/;
+/** Base for parsing a path as a URL; no request is sent there. */
+const PLACEHOLDER_ORIGIN = 'http://host';
 
 function decodeSegment(segment: string): string {
   try {
@@ -12,23 +12,24 @@
 }
 
 /**
- * The one spelling of a path that rules are held against: no query, no `;` parameters, no empty or
- * dot segments, escapes decoded. Without it a caller who writes `/x/../holds` or `/%68olds` would reach the holds
- * of a service under another rule, and a hold could be given a class that may be repeated.
+ * Returns the canonical form of a path, which rules are matched against: without query, `;` parameters,
+ * empty segments and dot segments, and with escapes decoded. Otherwise a caller could reach `/holds`
+ * as `/x/../holds` or `/%68olds` under another rule, which could give a hold a class whose requests may
+ * be repeated.
  *
- * @param path - the path and query as the caller sent them
+ * @param path - the path and query, as sent by the caller
  * @example
  * ```ts
- * getNormalPath('/x/../holds//7?now'); // '/holds/7'
+ * normalizePath('/x/../holds//7?now'); // '/holds/7'
  * ```
  * @public
  */
 export function normalizePath(path: string): string {
-  if (!NEEDS_WORK.test(path)) {
+  if (!NOT_NORMAL.test(path)) {
     return path;
   }
-  const bare = path.split(/[?#]/)[0]!;
-  const decoded = bare
+  const pathOnly = path.split(/[?#]/)[0]!;
+  const decoded = pathOnly
     .split('/')
     .map(decodeSegment)
     .join('/')
@@ -37,10 +38,10 @@
     .split('/')
     .map((segment) => encodeURIComponent(segment.split(';')[0]!))
     .join('/');
-  return new URL(escaped, ANY_ORIGIN).pathname.split('/').map(decodeSegment).join('/');
+  return new URL(escaped, PLACEHOLDER_ORIGIN).pathname.split('/').map(decodeSegment).join('/');
 }
 
-/** Whether a normal path is the prefix itself or lies below it. */
+/** Whether a normalized path is the prefix itself or lies below it. */
 export function isPathUnder(path: string, prefix: string): boolean {
   const base = prefix.endsWith('/') ? prefix.slice(0, -1) : prefix;
   return path.startsWith(base) && (path.length === base.length || path[base.length] === '/');
--- a/packages/model/src/lib/Diagnostic.ts
+++ b/packages/model/src/lib/Diagnostic.ts
@@ -1,37 +1,37 @@
 /**
- * One fault in a text that operators wrote, with all they need to mend it.
+ * A fault in a configuration file, with what an operator needs to correct it.
  *
  * @public
  */
 export interface Diagnostic {
-  /** The file's name, as the caller gave it. */
+  /** The file name that was passed to the parser. */
   file: string;
   /** Counted from 1. */
   line: number;
   /** Counted from 1. */
   column: number;
-  /** Where in the value, such as `replicas[3].port`; empty for the whole text. */
+  /** Path of the faulty value, such as `replicas[3].port`; empty for the whole file. */
   path: string;
   /** What is wrong. */
   reason: string;
-  /** What would be right. */
+  /** What a valid value looks like. */
   expected: string;
 }
 
-/** A place in a parsed value: keys and indexes from the root. */
+/** Path to a value in the parsed file: keys and indexes, from the root. */
 export type ValuePath = readonly (string | number)[];
 
-/** A fault that is not tied to a line yet. */
+/** A fault whose line is not determined yet. */
 export interface Fault {
   path: ValuePath;
   reason: string;
   expected: string;
-  /** Points at the key in place of its value, for a key that should not be there. */
-  atKey?: boolean;
+  /** Report the position of the key instead of its value; set for unknown keys. */
+  isAtKey?: boolean;
 }
 
-/** Writes a path the way people write it in code: `replicas[3].port`. */
-export function getPathText(path: ValuePath): string {
+/** Formats a path as in code: `replicas[3].port`. */
+export function formatPath(path: ValuePath): string {
   return path
     .map((step) => (typeof step === 'number' ? `[${step}]` : `.${step}`))
     .join('')
@@ -39,7 +39,7 @@
 }
 
 /**
- * Writes a diagnostic on one line, in the form editors and terminals turn into a link.
+ * Formats a diagnostic on one line, in the form that editors and terminals turn into a link.
  *
  * @example
  * ```ts
--- a/packages/model/src/lib/Register.ts
+++ b/packages/model/src/lib/Register.ts
@@ -1,14 +1,14 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** What stands behind a service: a model engine, or a plain application service. */
+/** What a service runs on: model engines, or an application service. */
 export enum ServiceKind {
   Model = 'model',
   Plain = 'plain',
 }
 
 /**
- * A service that callers ask for by name: a model service speaks chat completions, a plain one is
- * reached by path.
+ * A service that callers address by name. A model service offers chat completions; requests to a plain
+ * service are forwarded by path.
  *
  * @public
  */
@@ -16,15 +16,15 @@
   name: string;
   kind: ServiceKind;
   region: string;
-  /** The models a model service serves; empty for a plain service. */
+  /** The models that a model service offers; empty for a plain service. */
   models: string[];
-  /** What 1,000 generated tokens cost, in the operators' currency. */
+  /** Cost of 1,000 generated tokens, in the operators' currency. */
   costPerThousandTokens: number;
-  /** What one call costs, in the operators' currency. */
+  /** Cost of one request, in the operators' currency. */
   costPerRequest: number;
 }
 
-/** Which part of a request an engine works on. */
+/** The phase of a request that an engine handles: prefill, decode or both. */
 export enum EngineRole {
   Mixed = 'mixed',
   Prefill = 'prefill',
@@ -32,7 +32,7 @@
 }
 
 /**
- * One copy of a service at an address: a model engine or a process of a plain service.
+ * One running copy of a service with its address: a model engine or a process of a plain service.
  *
  * @public
  */
@@ -42,18 +42,18 @@
   availabilityZone: string;
   host: string;
   port: number;
-  /** How many requests the replica runs at once at full speed. */
+  /** Number of requests that the replica can run concurrently at full speed. */
   slots: number;
-  /** Whether its engine refuses an order that carries an old fencing number. */
+  /** Whether the engine rejects commands that carry an outdated fencing token. */
   checksFencing: boolean;
-  /** The models, adapters and versions placement should keep loaded here, as `model[:adapter]@version`. */
+  /** The models, adapters and versions to keep loaded on the engine, as `model[:adapter]@version`. */
   placement: string[];
-  /** The role placement should give its engine; left as it is when absent. */
+  /** The role to assign to the engine; when absent, its role is left unchanged. */
   role?: EngineRole;
 }
 
 /**
- * A customer of the operators: a print shop, a self-storage business.
+ * A customer of the operators, such as a print shop or a self-storage business.
  *
  * @public
  */
@@ -61,12 +61,12 @@
   name: string;
   /** SHA-256 of each valid API key, in hexadecimal. */
   apiKeyHashes: string[];
-  /** Its share against other workspaces of the same tier. */
+  /** Its share relative to other workspaces in the same tier. */
   weight: number;
 }
 
 /**
- * The operators' inventory.
+ * The inventory of services, replicas and workspaces.
  *
  * @public
  */
@@ -77,14 +77,14 @@
 }
 
 /**
- * What a class promises its callers.
+ * The latency that a class promises its callers.
  *
  * @public
  */
 export interface LatencyTarget {
-  /** Time to the first token, or to the whole answer of a plain call. */
+  /** Time to the first token, or to the complete response of a plain request. */
   firstToken: Milliseconds;
-  /** The longest usual gap between two tokens; zero for plain calls. */
+  /** Longest normal pause between two tokens; zero for plain requests. */
   tokenGap: Milliseconds;
 }
 
@@ -98,38 +98,38 @@
   /** 0 is the most urgent, 5 the least. */
   tier: number;
   target: LatencyTarget;
-  /** A request that has not started its answer by then is refused. */
+  /** A request whose response has not started by then is refused. */
   deadline: Milliseconds;
-  /** The least share of a service's dispatches this class gets while it waits, 0 to 0.2. */
+  /** Minimum share of a service's dispatches for this class while it has requests waiting, 0 to 0.2. */
   floor: number;
-  /** Whether a running request may be stopped for a more urgent tier and resumed later. */
+  /** Whether a running request may be preempted by a more urgent tier and resumed later. */
   preemptible: boolean;
-  /** Whether a request may be run again; false for holds and payment notices. */
+  /** Whether a request may be run a second time; false for holds and payment notices. */
   repeatable: boolean;
 }
 
 /**
- * Which class a request belongs to. Rules are tried in order; the first that matches decides.
+ * Assigns a class to the requests that match it. Rules are tried in order and the first match decides.
  *
  * @public
  */
 export interface ClassRule {
   service: string;
   class: string;
-  /** An HTTP method; any when absent. */
+  /** An HTTP method; any method when absent. */
   method?: string;
-  /** A path prefix at the service; any when absent. */
+  /** A path prefix of the request; any path when absent. */
   pathPrefix?: string;
-  /** A workspace name; any when absent. */
+  /** A workspace name; any workspace when absent. */
   workspace?: string;
-  /** Matches a chat request that asks for at most this many tokens; any when absent. */
+  /** Matches chat requests that ask for at most this many tokens; any request when absent. */
   maxTokensAtMost?: number;
-  /** Matches when the caller wishes for this class by the `x-apricotrill-class` header. */
+  /** Matches when the caller asks for this class with the `x-apricotrill-class` header. */
   wishedClass?: string;
 }
 
 /**
- * The operators' rules on class, priority and cost.
+ * The classes of requests, and the rules that assign requests to them.
  *
  * @public
  */
@@ -139,7 +139,7 @@
 }
 
 /**
- * Everything operators decide, as it is accepted and put in force as a whole.
+ * The complete configuration by the operators; it is accepted and applied as a whole.
  *
  * @public
  */
--- a/packages/model/src/lib/Settings.ts
+++ b/packages/model/src/lib/Settings.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * Where another daemon listens for daemons.
+ * Address at which another daemon listens for its peers.
  *
  * @public
  */
@@ -11,33 +11,33 @@
 }
 
 /**
- * What one caller may use of a daemon.
+ * Limits on what one caller may use of a daemon.
  *
  * @public
  */
 export interface CallerLimits {
-  /** The largest request body; a larger one is answered 413. */
+  /** Maximum size of a request body; a larger one is answered with status 413. */
   maxBodyBytes: number;
-  /** A body that has not arrived by then is answered 408. */
+  /** A request whose body has not arrived by then is answered with status 408. */
   bodyTimeoutMs: Milliseconds;
   /** A connection whose headers have not arrived by then is closed. */
   headersTimeoutMs: Milliseconds;
 }
 
 /**
- * Where a daemon finds its certificates. The files are read again when they change.
+ * The certificate files of a daemon. They are read again when they change.
  *
  * @public
  */
 export interface TlsFiles {
   certFile: string;
   keyFile: string;
-  /** The authority that signs the certificates of the other daemons. */
+  /** Certificate of the authority that signs the certificates of the other daemons. */
   caFile: string;
 }
 
 /**
- * What one router daemon learns from its file of settings.
+ * The settings of one router daemon.
  *
  * @public
  */
@@ -45,16 +45,16 @@
   id: string;
   region: string;
   availabilityZone: string;
-  /** The IP number all its ports are bound to. */
+  /** The IP address that all ports are bound to. */
   host: string;
-  /** For callers. */
+  /** Listens for callers. */
   port: number;
-  /** For other daemons. */
+  /** Listens for other daemons. */
   meshPort: number;
-  /** For metrics, readiness and operators. */
+  /** Listens for requests for metrics and readiness, and for operators. */
   adminPort: number;
   platformUrl: string;
-  /** Other daemons to ask first; the instance list adds more. */
+  /** Daemons to contact first; the instance list adds more. */
   seeds: Seed[];
   limits: CallerLimits;
   tls?: TlsFiles;
--- a/packages/model/src/lib/WorkspaceDirectory/WorkspaceDirectory.test.ts
+++ b/packages/model/src/lib/WorkspaceDirectory/WorkspaceDirectory.test.ts
@@ -1,7 +1,7 @@
 import { WorkspaceDirectory, getApiKeyHash } from '../../index.js';
 
 describe('WorkspaceDirectory', () => {
-  it('finds the owner of each of its keys and of no other', () => {
+  it('finds the workspace of each registered key, and none for other keys', () => {
     const painola = { name: 'painola', weight: 1, apiKeyHashes: ['a', 'b'].map(getApiKeyHash) };
     const kehys = { name: 'kehys', weight: 1, apiKeyHashes: [getApiKeyHash('c')] };
     const directory = new WorkspaceDirectory([painola, kehys]);
--- a/packages/model/src/lib/WorkspaceDirectory/WorkspaceDirectory.ts
+++ b/packages/model/src/lib/WorkspaceDirectory/WorkspaceDirectory.ts
@@ -2,8 +2,8 @@
 import type { Workspace } from '../Register.js';
 
 /**
- * The form in which the register keeps an API key: SHA-256 in hexadecimal. Keys are random and
- * long, so that a hash without salt cannot be searched.
+ * Returns the hash under which the register stores an API key: SHA-256 in hexadecimal. The hash needs
+ * no salt, because keys are long and random and cannot be found by brute force.
  *
  * @example
  * ```ts
@@ -16,8 +16,8 @@
 }
 
 /**
- * Finds the workspace of an API key. The look-up takes the same time for one workspace as for
- * thousands, and works on the key's hash: how long it takes tells a guesser nothing about a key.
+ * Finds the workspace of an API key. The look-up takes constant time for any number of workspaces and
+ * uses the hash of the key, so that its duration reveals nothing about valid keys.
  *
  * @example
  * ```ts
@@ -35,7 +35,7 @@
     });
   }
 
-  /** The workspace that owns the key, or undefined when nobody does. */
+  /** Returns the workspace that owns the key, or undefined when the key is unknown. */
   getWorkspace(apiKey: string): Workspace | undefined {
     return this.byHash.get(getApiKeyHash(apiKey));
   }
--- a/packages/model/src/lib/checks/checkRegister.ts
+++ b/packages/model/src/lib/checks/checkRegister.ts
@@ -1,37 +1,37 @@
 import type { Fault } from '../Diagnostic.js';
-import { getChoice } from '../getSuggestion.js';
+import { getExpectedChoice } from '../getSuggestion.js';
 import { ServiceKind } from '../Register.js';
 import type { Register, Replica, Service } from '../Register.js';
-import { getRepeats } from './getDuplicateFaults.js';
+import { getDuplicateFaults } from './getDuplicateFaults.js';
 
-/** The model in `model[:adapter]@version`. */
-function getPlacedModel(placement: string): string {
+/** Extracts the model from `model[:adapter]@version`. */
+function getPlacementModel(placement: string): string {
   return placement.split(/[:@]/)[0]!;
 }
 
 function checkUniqueness(register: Register): Fault[] {
   const { services, replicas, workspaces } = register;
   return [
-    ...getRepeats(
+    ...getDuplicateFaults(
       'service name',
       services.map(({ name }, index) => ({ value: name, path: ['services', index, 'name'] })),
     ),
-    ...getRepeats(
+    ...getDuplicateFaults(
       'replica id',
       replicas.map(({ id }, index) => ({ value: id, path: ['replicas', index, 'id'] })),
     ),
-    ...getRepeats(
+    ...getDuplicateFaults(
       'address',
       replicas.map(({ host, port }, index) => ({
         value: `${host}:${port}`,
         path: ['replicas', index, 'port'],
       })),
     ),
-    ...getRepeats(
+    ...getDuplicateFaults(
       'workspace name',
       workspaces.map(({ name }, index) => ({ value: name, path: ['workspaces', index, 'name'] })),
     ),
-    ...getRepeats(
+    ...getDuplicateFaults(
       'API key hash',
       workspaces.flatMap(({ apiKeyHashes }, index) =>
         apiKeyHashes.map((value, key) => ({
@@ -68,12 +68,12 @@
       {
         path: ['replicas', index, 'service'],
         reason: `unknown service "${replica.service}"`,
-        expected: getChoice(replica.service, [...services.keys()]),
+        expected: getExpectedChoice(replica.service, [...services.keys()]),
       },
     ];
   }
   return replica.placement.flatMap((placement, entry) => {
-    const model = getPlacedModel(placement);
+    const model = getPlacementModel(placement);
     if (service.models.includes(model)) {
       return [];
     }
@@ -81,13 +81,13 @@
       {
         path: ['replicas', index, 'placement', entry],
         reason: `service "${service.name}" does not list the model "${model}"`,
-        expected: `a model of that service: ${getChoice(model, service.models)}`,
+        expected: `a model of that service: ${getExpectedChoice(model, service.models)}`,
       },
     ];
   });
 }
 
-/** Faults of a register that only show when its entries are held against each other. */
+/** Returns the faults that the schema cannot express, such as duplicate or unknown names. */
 export function checkRegister(register: Register): Fault[] {
   const services = new Map(register.services.map((service) => [service.name, service]));
   return [
--- a/packages/model/src/lib/checks/checkRules.ts
+++ b/packages/model/src/lib/checks/checkRules.ts
@@ -1,13 +1,13 @@
 import type { Fault } from '../Diagnostic.js';
-import { getChoice } from '../getSuggestion.js';
+import { getExpectedChoice } from '../getSuggestion.js';
 import type { ClassRule, Rules, ServiceClass } from '../Register.js';
 import { isPathUnder } from '../ClassMatcher/normalizePath.js';
-import { getRepeats } from './getDuplicateFaults.js';
+import { getDuplicateFaults } from './getDuplicateFaults.js';
 
-/** Floors may hold back at most this share of a service from the order of the tiers. */
+/** The floors must sum to less than this, so that most dispatches follow the order of the tiers. */
 const FLOOR_SUM_LIMIT = 0.5;
-/** Sums of decimal fractions miss by less than this. */
-const ROUNDING = 1e-9;
+/** Exceeds the rounding error of a sum of decimal fractions. */
+const ROUNDING_TOLERANCE = 1e-9;
 
 function checkClass(serviceClass: ServiceClass, index: number): Fault[] {
   const { deadline, target, preemptible, repeatable } = serviceClass;
@@ -34,7 +34,8 @@
   return classes.flatMap(({ floor }, index) => {
     const before = sum;
     sum += floor;
-    const isFirstOver = sum >= FLOOR_SUM_LIMIT - ROUNDING && before < FLOOR_SUM_LIMIT - ROUNDING;
+    const isFirstOver =
+      sum >= FLOOR_SUM_LIMIT - ROUNDING_TOLERANCE && before < FLOOR_SUM_LIMIT - ROUNDING_TOLERANCE;
     return isFirstOver
       ? [
           {
@@ -47,26 +48,26 @@
   });
 }
 
-function checkRuleNames(rule: ClassRule, index: number, classes: readonly string[]): Fault[] {
-  const named = [
+function checkClassNames(rule: ClassRule, index: number, classes: readonly string[]): Fault[] {
+  const references = [
     { key: 'class', value: rule.class },
     { key: 'wishedClass', value: rule.wishedClass },
   ];
-  return named.flatMap(({ key, value }) =>
+  return references.flatMap(({ key, value }) =>
     value === undefined || classes.includes(value)
       ? []
       : [
           {
             path: ['classRules', index, key],
             reason: `unknown class "${value}"`,
-            expected: getChoice(value, classes),
+            expected: getExpectedChoice(value, classes),
           },
         ],
   );
 }
 
-/** Whether every request that the later rule matches is matched by the earlier one too. */
-function isCovered(later: ClassRule, earlier: ClassRule): boolean {
+/** Whether the earlier rule matches every request that the later one matches. */
+function isShadowed(later: ClassRule, earlier: ClassRule): boolean {
   return (
     earlier.service === later.service &&
     (earlier.method === undefined || earlier.method === later.method) &&
@@ -80,35 +81,35 @@
 }
 
 /**
- * A rule that an earlier one covers never decides: an operator who appends it sees no effect, and a
- * hold meant to be unrepeatable would keep the class above it.
+ * Finds rules that never decide because an earlier rule matches all of their requests. Such a rule has
+ * no effect: a hold that it should make unrepeatable would keep the class of the earlier rule.
  */
-function checkOrder(rules: readonly ClassRule[]): Fault[] {
+function checkRuleOrder(rules: readonly ClassRule[]): Fault[] {
   return rules.flatMap((rule, index) => {
-    const cover = rules.slice(0, index).findIndex((earlier) => isCovered(rule, earlier));
-    return cover === -1
+    const shadowing = rules.slice(0, index).findIndex((earlier) => isShadowed(rule, earlier));
+    return shadowing === -1
       ? []
       : [
           {
             path: ['classRules', index],
-            reason: `never matches, because classRules[${cover}] matches all it could`,
+            reason: `never matches, because classRules[${shadowing}] matches all it could`,
             expected: 'the narrower rule before the wider one',
           },
         ];
   });
 }
 
-/** Faults of rules that only show when they are held against each other. */
+/** Returns the faults that the schema cannot express, such as duplicate or unknown class names. */
 export function checkRules(rules: Rules): Fault[] {
   const names = rules.classes.map(({ name }) => name);
   return [
-    ...getRepeats(
+    ...getDuplicateFaults(
       'class name',
       names.map((value, index) => ({ value, path: ['classes', index, 'name'] })),
     ),
     ...rules.classes.flatMap(checkClass),
     ...checkFloors(rules.classes),
-    ...rules.classRules.flatMap((rule, index) => checkRuleNames(rule, index, names)),
-    ...checkOrder(rules.classRules),
+    ...rules.classRules.flatMap((rule, index) => checkClassNames(rule, index, names)),
+    ...checkRuleOrder(rules.classRules),
   ];
 }
--- a/packages/model/src/lib/checks/checkRulesAgainstRegister.ts
+++ b/packages/model/src/lib/checks/checkRulesAgainstRegister.ts
@@ -1,10 +1,10 @@
 import type { Fault } from '../Diagnostic.js';
-import { getChoice } from '../getSuggestion.js';
+import { getExpectedChoice } from '../getSuggestion.js';
 import { ServiceKind } from '../Register.js';
 import type { ClassRule, Register, Rules, Service } from '../Register.js';
 
-/** Conditions that can never hold for the service's kind. */
-function getIdleConditions(rule: ClassRule, service: Service): string[] {
+/** Returns the conditions of the rule that no request to a service of this kind can meet. */
+function getInapplicableConditions(rule: ClassRule, service: Service): string[] {
   const conditions =
     service.kind === ServiceKind.Model
       ? { method: rule.method, pathPrefix: rule.pathPrefix }
@@ -26,10 +26,10 @@
     faults.push({
       path: ['classRules', index, 'service'],
       reason: `unknown service "${rule.service}"`,
-      expected: getChoice(rule.service, [...services.keys()]),
+      expected: getExpectedChoice(rule.service, [...services.keys()]),
     });
   } else {
-    getIdleConditions(rule, service).forEach((key) => {
+    getInapplicableConditions(rule, service).forEach((key) => {
       faults.push({
         path: ['classRules', index, key],
         reason: `"${key}" never holds for a ${service.kind} service`,
@@ -41,13 +41,13 @@
     faults.push({
       path: ['classRules', index, 'workspace'],
       reason: `unknown workspace "${rule.workspace}"`,
-      expected: getChoice(rule.workspace, [...workspaces]),
+      expected: getExpectedChoice(rule.workspace, [...workspaces]),
     });
   }
   return faults;
 }
 
-/** Faults of the rules that show when they are held against the register. */
+/** Returns the faults of rules that do not fit the register. */
 export function checkRulesAgainstRegister(rules: Rules, register: Register): Fault[] {
   const services = new Map(register.services.map((service) => [service.name, service]));
   const workspaces = new Set(register.workspaces.map(({ name }) => name));
--- a/packages/model/src/lib/checks/getDuplicateFaults.ts
+++ b/packages/model/src/lib/checks/getDuplicateFaults.ts
@@ -1,13 +1,13 @@
 import type { Fault, ValuePath } from '../Diagnostic.js';
 
-/** A value that has to be unique, and where it stands. */
+/** A value that must be unique, with its path. */
 export interface UniqueValue {
   value: string;
   path: ValuePath;
 }
 
-/** One fault for each value that an earlier one already has. */
-export function getRepeats(what: string, values: readonly UniqueValue[]): Fault[] {
+/** Returns a fault for each value that repeats an earlier one. */
+export function getDuplicateFaults(what: string, values: readonly UniqueValue[]): Fault[] {
   const seen = new Set<string>();
   return values.flatMap(({ value, path }) => {
     if (!seen.has(value)) {
--- a/packages/model/src/lib/getSuggestion.ts
+++ b/packages/model/src/lib/getSuggestion.ts
@@ -1,30 +1,30 @@
 import { closest, distance } from 'fastest-levenshtein';
 
-/** A word further away than this share of its length is not a slip of the same word. */
-const LARGEST_DISTANCE_SHARE = 0.5;
+/** Maximum edit distance of a suggestion, relative to the length of the longer word. */
+const MAX_DISTANCE_RATIO = 0.5;
 
-/** The candidate that a mistyped word most likely meant, or undefined when none is near. */
+/** Returns the candidate closest to a mistyped word, or undefined when none is similar enough. */
 export function getSuggestion(word: string, candidates: readonly string[]): string | undefined {
   if (candidates.length === 0) {
     return undefined;
   }
   const nearest = closest(word.toLowerCase(), candidates);
-  const isNear =
+  const isSimilar =
     distance(word.toLowerCase(), nearest.toLowerCase()) <=
-    Math.max(word.length, nearest.length) * LARGEST_DISTANCE_SHARE;
-  return isNear ? nearest : undefined;
+    Math.max(word.length, nearest.length) * MAX_DISTANCE_RATIO;
+  return isSimilar ? nearest : undefined;
 }
 
-/** More choices than this are not worth reading. */
-const MOST_SHOWN = 10;
+/** Longer lists of choices are replaced by their number. */
+const MAX_LISTED_CHOICES = 10;
 
-/** Words the right choice for a mistyped word: the near candidate, or all of a few. */
-export function getChoice(word: string, candidates: readonly string[]): string {
+/** Describes the valid choices for a mistyped word: a similar candidate, or else a short list. */
+export function getExpectedChoice(word: string, candidates: readonly string[]): string {
   const suggestion = getSuggestion(word, candidates);
   if (suggestion !== undefined) {
     return `"${suggestion}"`;
   }
-  if (candidates.length > MOST_SHOWN) {
+  if (candidates.length > MAX_LISTED_CHOICES) {
     return `one of the ${candidates.length} that exist`;
   }
   return candidates.length === 0 ? 'none' : `one of ${candidates.join(', ')}`;
--- a/packages/model/src/lib/jsonc/JsoncText.ts
+++ b/packages/model/src/lib/jsonc/JsoncText.ts
@@ -1,6 +1,6 @@
 import { findNodeAtLocation, getNodeValue, parseTree, printParseErrorCode } from 'jsonc-parser';
 import type { Node, ParseError } from 'jsonc-parser';
-import { getPathText } from '../Diagnostic.js';
+import { formatPath } from '../Diagnostic.js';
 import type { Diagnostic, Fault, ValuePath } from '../Diagnostic.js';
 
 /** Offsets at which the lines of a text start. */
@@ -12,34 +12,34 @@
   return starts;
 }
 
-/** The words of an error code of the parser: `PropertyNameExpected` → `property name expected`. */
-function getErrorWords(error: ParseError): string {
+/** Converts a parser error code to words: `PropertyNameExpected` → `property name expected`. */
+function getErrorMessage(error: ParseError): string {
   return printParseErrorCode(error.error)
     .replace(/([A-Z])/g, ' $1')
     .trim()
     .toLowerCase();
 }
 
-/** Object nodes in which a key is written twice, with the second key. */
-function getRepeatedKeys(root: Node | undefined): Node[] {
-  const repeated: Node[] = [];
+/** Returns the nodes of keys that repeat an earlier key of the same object. */
+function getDuplicateKeys(root: Node | undefined): Node[] {
+  const duplicates: Node[] = [];
   const pending = root === undefined ? [] : [root];
   for (let node = pending.pop(); node !== undefined; node = pending.pop()) {
     const seen = new Set<string>();
     (node.type === 'object' ? (node.children ?? []) : []).forEach((property) => {
       const key = property.children![0]!;
       if (seen.has(key.value as string)) {
-        repeated.push(key);
+        duplicates.push(key);
       }
       seen.add(key.value as string);
     });
     pending.push(...(node.children ?? []));
   }
-  return repeated;
+  return duplicates;
 }
 
 /**
- * A text of JSON with comments (trailing commas allowed) that remembers where each value stands.
+ * A parsed text of JSON with comments (trailing commas allowed) that knows the position of each value.
  */
 export class JsoncText {
   private readonly root: Node | undefined;
@@ -61,17 +61,17 @@
     this.root = parseTree(source, this.errors, { allowTrailingComma: true });
   }
 
-  /** The value; only meaningful when there are no syntax diagnostics. */
+  /** Returns the parsed value; only meaningful when there are no syntax diagnostics. */
   getValue(): unknown {
     return this.root === undefined ? undefined : getNodeValue(this.root);
   }
 
-  /** Faults that keep the text from being read as JSON with comments. */
+  /** Returns the syntax errors and the keys that occur twice in one object. */
   getSyntaxDiagnostics(): Diagnostic[] {
     const syntax = this.errors.map((error) =>
-      this.getDiagnosticAt(error.offset, '', getErrorWords(error), 'JSON with comments'),
+      this.getDiagnosticAt(error.offset, '', getErrorMessage(error), 'JSON with comments'),
     );
-    const repeated = getRepeatedKeys(this.root).map((key) =>
+    const duplicates = getDuplicateKeys(this.root).map((key) =>
       this.getDiagnosticAt(
         key.offset,
         key.value as string,
@@ -79,20 +79,23 @@
         'each key once',
       ),
     );
-    return [...syntax, ...repeated];
+    return [...syntax, ...duplicates];
   }
 
-  /** Ties a fault to its line. A value that is missing is shown at what should hold it. */
+  /**
+   * Converts a fault to a diagnostic with its position. For a missing value, this is the position of
+   * the closest enclosing value that exists.
+   */
   locate(fault: Fault): Diagnostic {
-    const offset = this.getOffset(fault.path, fault.atKey ?? false);
-    return this.getDiagnosticAt(offset, getPathText(fault.path), fault.reason, fault.expected);
+    const offset = this.getOffset(fault.path, fault.isAtKey ?? false);
+    return this.getDiagnosticAt(offset, formatPath(fault.path), fault.reason, fault.expected);
   }
 
-  private getOffset(path: ValuePath, atKey: boolean): number {
+  private getOffset(path: ValuePath, isAtKey: boolean): number {
     for (let { length } = path; length > 0 && this.root !== undefined; length -= 1) {
       const node = findNodeAtLocation(this.root, path.slice(0, length));
       if (node !== undefined) {
-        return atKey && node.parent?.type === 'property' ? node.parent.offset : node.offset;
+        return isAtKey && node.parent?.type === 'property' ? node.parent.offset : node.offset;
       }
     }
     return this.root?.offset ?? 0;
--- a/packages/model/src/lib/parseConfiguration.test.ts
+++ b/packages/model/src/lib/parseConfiguration.test.ts
@@ -14,8 +14,8 @@
   };
 }
 
-/** Parses the Liitto example with one replacement, and returns the faults as operators see them. */
-function getFaults(from: string, to: string): string[] {
+/** Parses the Liitto example with one replacement and returns the formatted diagnostics. */
+function getFormattedFaults(from: string, to: string): string[] {
   const source = readExample('liitto');
   const replaced = (text: string) => text.replace(from, to);
   expect(source.registerText + source.rulesText).toContain(from);
@@ -36,7 +36,7 @@
 }
 
 describe('parseConfiguration', () => {
-  it('takes both example deployments', () => {
+  it('accepts both example deployments', () => {
     const liitto = getParsed('liitto');
     expect(liitto.register.replicas).toHaveLength(12);
     expect(new Set(liitto.register.replicas.map((entry) => entry.availabilityZone)).size).toBe(4);
@@ -54,8 +54,8 @@
     expect(serviceClass).toMatchObject({ preemptible: false, target: { tokenGap: 0 } });
   });
 
-  // Symptom of each: an operator's slip is accepted, and shows only as refused or misrouted calls.
-  // Sequence: the slip is written, validated, applied. Cause: the check in the table is missing.
+  // Each row is a mistake by an operator. Without its check, the mistake passes validation, is applied
+  // and only becomes apparent through refused or misrouted requests.
   it.each([
     [
       '"tier": 2',
@@ -128,10 +128,10 @@
     ['"apiKeyHashes": ["', '"apiKeyHashes": ["0', /expected list of SHA-256 hashes/],
     ['"name": "kirjapaino-savo"', '"name": "painola"', /workspace name "painola" is used twice/],
   ])('%s → %s', (from, to, expected) => {
-    expect(getFaults(from, to).join('\n')).toMatch(expected);
+    expect(getFormattedFaults(from, to).join('\n')).toMatch(expected);
   });
 
-  it('refuses floors that would leave the tiers less than half', () => {
+  it('refuses floors that sum to half or more', () => {
     const source = readExample('liitto');
     const rulesText = source.rulesText.replaceAll('"floor": 0.1', '"floor": 0.125');
     const parsed = parseConfiguration({ ...source, rulesText });
--- a/packages/model/src/lib/parseConfiguration.ts
+++ b/packages/model/src/lib/parseConfiguration.ts
@@ -11,24 +11,24 @@
 import { rulesSchema } from './schemas/rulesSchema.js';
 
 /**
- * The two texts that operators write.
+ * The contents and names of the two configuration files, register and rules.
  *
  * @public
  */
 export interface ConfigurationText {
   registerText: string;
-  /** Its name, for diagnostics. */
+  /** File name, for diagnostics. */
   registerFile: string;
   rulesText: string;
-  /** Its name, for diagnostics. */
+  /** File name, for diagnostics. */
   rulesFile: string;
 }
 
-function readRegister(text: string, file: string): Result<ParsedText<Register>, Diagnostic[]> {
+function parseRegisterText(text: string, file: string): Result<ParsedText<Register>, Diagnostic[]> {
   return parseText(text, file, registerSchema, checkRegister);
 }
 
-function readRules(text: string, file: string): Result<ParsedText<Rules>, Diagnostic[]> {
+function parseRulesText(text: string, file: string): Result<ParsedText<Rules>, Diagnostic[]> {
   return parseText(text, file, rulesSchema, checkRules);
 }
 
@@ -39,7 +39,7 @@
 }
 
 /**
- * Reads a register: JSON with comments, checked in itself.
+ * Parses a register (JSON with comments) and validates it.
  *
  * @param text - the file's content
  * @param file - its name, for diagnostics
@@ -51,11 +51,11 @@
  * @public
  */
 export function parseRegister(text: string, file: string): Result<Register, Diagnostic[]> {
-  return getValueResult(readRegister(text, file));
+  return getValueResult(parseRegisterText(text, file));
 }
 
 /**
- * Reads rules: JSON with comments, checked in themselves but not against a register.
+ * Parses rules (JSON with comments) and validates them, but not against a register.
  *
  * @param text - the file's content
  * @param file - its name, for diagnostics
@@ -67,13 +67,13 @@
  * @public
  */
 export function parseRules(text: string, file: string): Result<Rules, Diagnostic[]> {
-  return getValueResult(readRules(text, file));
+  return getValueResult(parseRulesText(text, file));
 }
 
 /**
- * Reads the register and the rules and checks them against each other.
+ * Parses the register and the rules and validates them, also against each other.
  *
- * @returns the configuration, or the faults of both texts, each with its line
+ * @returns the configuration, or the faults of both files, each with its line
  * @example
  * ```ts
  * const parsed = parseConfiguration({ registerText, registerFile, rulesText, rulesFile });
@@ -84,8 +84,8 @@
  * @public
  */
 export function parseConfiguration(source: ConfigurationText): Result<Configuration, Diagnostic[]> {
-  const register = readRegister(source.registerText, source.registerFile);
-  const rules = readRules(source.rulesText, source.rulesFile);
+  const register = parseRegisterText(source.registerText, source.registerFile);
+  const rules = parseRulesText(source.rulesText, source.rulesFile);
   if (!register.ok || !rules.ok) {
     return failure([...(register.ok ? [] : register.error), ...(rules.ok ? [] : rules.error)]);
   }
--- a/packages/model/src/lib/parseSettings.ts
+++ b/packages/model/src/lib/parseSettings.ts
@@ -1,21 +1,21 @@
 import { success } from '@apricotrill/utils';
 import type { Result } from '@apricotrill/utils';
-import { getRepeats } from './checks/getDuplicateFaults.js';
+import { getDuplicateFaults } from './checks/getDuplicateFaults.js';
 import type { Diagnostic } from './Diagnostic.js';
 import { parseText } from './parseText.js';
 import { settingsSchema } from './schemas/settingsSchema.js';
 import type { Settings } from './Settings.js';
 
-/** Two listeners cannot share a port; 0 means any free one and may repeat. */
+/** Two listeners cannot share a port; 0 means any free port and may occur more than once. */
 function checkPorts(settings: Settings) {
   const ports = (['port', 'meshPort', 'adminPort'] as const)
     .filter((key) => settings[key] !== 0)
     .map((key) => ({ value: String(settings[key]), path: [key] }));
-  return getRepeats('port', ports);
+  return getDuplicateFaults('port', ports);
 }
 
 /**
- * Reads a daemon's settings: JSON with comments. Absent keys take their documented defaults.
+ * Parses a daemon's settings (JSON with comments). Absent keys take their documented defaults.
  *
  * @param text - the file's content
  * @param file - its name, for diagnostics
--- a/packages/model/src/lib/parseText.ts
+++ b/packages/model/src/lib/parseText.ts
@@ -5,13 +5,13 @@
 import { JsoncText } from './jsonc/JsoncText.js';
 import { getSchemaFaults } from './schemas/getSchemaFaults.js';
 
-/** A value and the text it came from, so that later checks can point at its lines. */
+/** A parsed value with its source text, so that later checks can report line numbers. */
 export interface ParsedText<Value> {
   value: Value;
   text: JsoncText;
 }
 
-/** Ties faults to the lines of a text, in the order of the lines. */
+/** Converts faults to diagnostics with positions in the text, in the order of these positions. */
 export function locateFaults(text: JsoncText, faults: readonly Fault[]): Diagnostic[] {
   return faults
     .map((fault) => text.locate(fault))
@@ -19,12 +19,12 @@
 }
 
 /**
- * Reads a text of JSON with comments through a schema, then through checks that the schema cannot
- * express.
+ * Parses JSON with comments and validates it against a schema, then with checks that the schema
+ * cannot express.
  *
- * @param content - the text
+ * @param content - the file's content
  * @param file - its name, for diagnostics
- * @param check - finds faults in a value that the schema took
+ * @param check - finds faults in a value that the schema accepted
  */
 export function parseText<Schema extends z.ZodType>(
   content: string,
--- a/packages/model/src/lib/schemas/describeKey.ts
+++ b/packages/model/src/lib/schemas/describeKey.ts
@@ -1,10 +1,10 @@
 import { z } from 'zod';
 
-/** What operators are told about a key: in the reference page and when its value is refused. */
+/** Description of a key, for the reference page and for diagnostics when its value is rejected. */
 export interface KeyDescription {
-  /** What a right value is, such as `whole number, 0 to 5`. */
+  /** What a valid value is, such as `whole number, 0 to 5`. */
   type: string;
-  /** The unit, such as `ms`; absent for names and switches. */
+  /** The unit, such as `ms`; absent for values without one, such as names and booleans. */
   unit?: string;
   meaning: string;
 }
@@ -20,8 +20,8 @@
   return schema;
 }
 
-/** One layer inside an optional or defaulted schema, or undefined when there is none. */
-function getInner(schema: z.ZodType): z.ZodType | undefined {
+/** Removes one wrapper (optional, default or transform); undefined when there is none. */
+function removeWrapper(schema: z.ZodType): z.ZodType | undefined {
   if (schema instanceof z.ZodDefault || schema instanceof z.ZodOptional) {
     return schema.unwrap() as z.ZodType;
   }
@@ -31,19 +31,19 @@
   return schema instanceof z.ZodPipe ? (schema.in as z.ZodType) : undefined;
 }
 
-/** The description of a schema or of what it wraps. */
+/** Returns the description of a schema or of the schema that it wraps. */
 export function getKeyDescription(schema: z.ZodType): KeyDescription | undefined {
-  const inner = getInner(schema);
+  const inner = removeWrapper(schema);
   return descriptions.get(schema) ?? (inner && getKeyDescription(inner));
 }
 
-/** Takes optional, default and transforming layers off. */
-export function getBareSchema(schema: z.ZodType): z.ZodType {
-  const inner = getInner(schema);
-  return inner === undefined ? schema : getBareSchema(inner);
+/** Removes all optional, default and transform wrappers. */
+export function unwrapSchema(schema: z.ZodType): z.ZodType {
+  const inner = removeWrapper(schema);
+  return inner === undefined ? schema : unwrapSchema(inner);
 }
 
-/** The schema of the value at a path, or undefined when the path leaves the schema. */
+/** Returns the schema of the value at a path, or undefined when the schema has no such path. */
 export function getSchemaAt(
   schema: z.ZodType,
   path: readonly PropertyKey[],
@@ -52,7 +52,7 @@
   if (step === undefined) {
     return schema;
   }
-  const bare = getBareSchema(schema);
+  const bare = unwrapSchema(schema);
   if (bare instanceof z.ZodObject) {
     const next = bare.shape[step as string] as z.ZodType | undefined;
     return next && getSchemaAt(next, rest);
--- a/packages/model/src/lib/schemas/getSchemaFaults.ts
+++ b/packages/model/src/lib/schemas/getSchemaFaults.ts
@@ -1,11 +1,11 @@
 import { z } from 'zod';
 import type { Fault, ValuePath } from '../Diagnostic.js';
-import { getChoice } from '../getSuggestion.js';
-import { getBareSchema, getKeyDescription, getSchemaAt } from './describeKey.js';
+import { getExpectedChoice } from '../getSuggestion.js';
+import { unwrapSchema, getKeyDescription, getSchemaAt } from './describeKey.js';
 
-const LONGEST_SHOWN_VALUE = 60;
+const MAX_VALUE_LENGTH = 60;
 
-/** The value at a path, or undefined where the path ends early. */
+/** Returns the value at a path, or undefined when the path does not exist. */
 function getValueAt(value: unknown, path: ValuePath): unknown {
   return path.reduce<unknown>(
     (inner, step) =>
@@ -16,14 +16,14 @@
   );
 }
 
-/** The value as operators wrote it, cut short. */
-function getShownValue(value: unknown): string {
+/** Formats a value as JSON, truncated to a readable length. */
+function formatValue(value: unknown): string {
   const text = JSON.stringify(value);
-  return text.length > LONGEST_SHOWN_VALUE ? `${text.slice(0, LONGEST_SHOWN_VALUE)}…` : text;
+  return text.length > MAX_VALUE_LENGTH ? `${text.slice(0, MAX_VALUE_LENGTH)}…` : text;
 }
 
-/** What a right value looks like: from the key, or from the list the value stands in. */
-function getExpectedForm(schema: z.ZodType, path: ValuePath): string {
+/** Describes a valid value at a path, from the description of its key or of an enclosing list. */
+function getExpectedType(schema: z.ZodType, path: ValuePath): string {
   for (let { length } = path; length >= 0; length -= 1) {
     const inner = getSchemaAt(schema, path.slice(0, length));
     const description = inner && getKeyDescription(inner);
@@ -33,7 +33,7 @@
     if (
       length === path.length &&
       inner !== undefined &&
-      getBareSchema(inner) instanceof z.ZodObject
+      unwrapSchema(inner) instanceof z.ZodObject
     ) {
       return 'an object';
     }
@@ -43,21 +43,21 @@
 
 function getUnknownKeyFaults(schema: z.ZodType, path: ValuePath, keys: string[]): Fault[] {
   const owner = getSchemaAt(schema, path);
-  const bare = owner && getBareSchema(owner);
+  const bare = owner && unwrapSchema(owner);
   const known = bare instanceof z.ZodObject ? Object.keys(bare.shape) : [];
   return keys.map((key) => ({
     path: [...path, key],
     reason: `unknown key "${key}"`,
-    expected: getChoice(key, known),
-    atKey: true,
+    expected: getExpectedChoice(key, known),
+    isAtKey: true,
   }));
 }
 
 /**
- * Turns what the schema found into faults for operators: each names the value and its right form.
+ * Converts validation issues of the schema into faults that name the invalid value and what is expected.
  *
- * @param schema - the schema that refused the value
- * @param value - the refused value
+ * @param schema - the schema that rejected the value
+ * @param value - the rejected value
  */
 export function getSchemaFaults(
   schema: z.ZodType,
@@ -69,8 +69,8 @@
     if (issue.code === 'unrecognized_keys') {
       return getUnknownKeyFaults(schema, path, issue.keys);
     }
-    const wrong = getValueAt(value, path);
-    const reason = wrong === undefined ? 'missing' : `${getShownValue(wrong)} is not valid`;
-    return [{ path, reason, expected: getExpectedForm(schema, path) }];
+    const invalid = getValueAt(value, path);
+    const reason = invalid === undefined ? 'missing' : `${formatValue(invalid)} is not valid`;
+    return [{ path, reason, expected: getExpectedType(schema, path) }];
   });
 }
--- a/packages/model/src/lib/schemas/referencePage.test.ts
+++ b/packages/model/src/lib/schemas/referencePage.test.ts
@@ -7,13 +7,13 @@
 
 const PAGE = readFileSync(new URL('../../../../../docs/CONFIGURATION.md', import.meta.url), 'utf8');
 
-/** The text of a section, up to the next one of the same level. */
+/** Returns the text of a section, up to the next heading of the same level. */
 function getSection(heading: string): string {
   const [, after = ''] = PAGE.split(`\n## ${heading}\n`);
   return after.split('\n## ')[0]!;
 }
 
-/** The rows of the table of keys in a section. */
+/** Returns the table rows that describe keys in a section. */
 function getRows(heading: string): string[] {
   return getSection(heading)
     .split('\n')
@@ -21,17 +21,17 @@
 }
 
 describe('docs/CONFIGURATION.md', () => {
-  // Symptom: an operator writes what the page says and is refused. Sequence: a key, its form or its
-  // default changes in the schema; the page stays as it was. Cause: nothing holds one to the other.
+  // Guards against a reference page that goes stale when a key, its type or its default changes in the
+  // schema: operators who follow the page would have their files refused.
   it.each([
     ['The register', registerSchema],
     ['The rules', rulesSchema],
     ["A daemon's settings", settingsSchema],
-  ])('%s: has a row for each key, as the schema has it', (heading, schema) => {
+  ])('%s: has a row for each key that agrees with the schema', (heading, schema) => {
     expect(getRows(heading)).toEqual(getKeyRows(schema));
   });
 
-  it('shows settings that are right', () => {
+  it('shows an example of valid settings', () => {
     const [, example = ''] = getSection("A daemon's settings").split('```jsonc\n');
     expect(parseSettings(example.split('```')[0]!, 'example')).toMatchObject({ ok: true });
   });
--- a/packages/model/src/lib/schemas/rulesSchema.ts
+++ b/packages/model/src/lib/schemas/rulesSchema.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod';
 import { describeKey } from './describeKey.js';
-import { NAME_FORM, name, span } from './scalars.js';
+import { NAME_TYPE, name, durationMs } from './scalars.js';
 
-const LOWEST_TIER = 5;
-const HIGHEST_FLOOR = 0.2;
-const SPAN_FORM = 'whole number, 1 or more';
+const MAX_TIER = 5;
+const MAX_FLOOR = 0.2;
+const POSITIVE_INTEGER_TYPE = 'whole number, 1 or more';
 
 const target = z.strictObject({
-  firstToken: describeKey(span(), {
-    type: SPAN_FORM,
+  firstToken: describeKey(durationMs(), {
+    type: POSITIVE_INTEGER_TYPE,
     unit: 'ms',
     meaning: 'Time to the first token, or to the whole answer of a plain call.',
   }),
@@ -20,20 +20,20 @@
 });
 
 const serviceClass = z.strictObject({
-  name: describeKey(name(), { type: NAME_FORM, meaning: 'Unique; shown in metrics and logs.' }),
-  tier: describeKey(z.int().min(0).max(LOWEST_TIER), {
-    type: `whole number, 0 to ${LOWEST_TIER}`,
+  name: describeKey(name(), { type: NAME_TYPE, meaning: 'Unique; shown in metrics and logs.' }),
+  tier: describeKey(z.int().min(0).max(MAX_TIER), {
+    type: `whole number, 0 to ${MAX_TIER}`,
     meaning: '0 is the most urgent. A lower tier is never served at the cost of a higher one.',
   }),
   target: describeKey(target, { type: 'object', meaning: 'What the class promises its callers.' }),
-  deadline: describeKey(span(), {
-    type: SPAN_FORM,
+  deadline: describeKey(durationMs(), {
+    type: POSITIVE_INTEGER_TYPE,
     unit: 'ms',
     meaning:
       'A request that has not started its answer by then is refused; not below target.firstToken.',
   }),
-  floor: describeKey(z.number().min(0).max(HIGHEST_FLOOR).default(0), {
-    type: `number, 0 to ${HIGHEST_FLOOR}`,
+  floor: describeKey(z.number().min(0).max(MAX_FLOOR).default(0), {
+    type: `number, 0 to ${MAX_FLOOR}`,
     unit: 'share',
     meaning:
       "The least share of a service's dispatches this class gets while it waits; the sum over all classes stays under 0.5.",
@@ -72,7 +72,7 @@
     meaning: 'Matches calls of this workspace; any when absent.',
   }),
   maxTokensAtMost: describeKey(z.int().min(1).optional(), {
-    type: SPAN_FORM,
+    type: POSITIVE_INTEGER_TYPE,
     unit: 'tokens',
     meaning:
       'Matches a chat request that asks for at most this many tokens; any when absent. Model services only.',
@@ -84,7 +84,7 @@
   }),
 });
 
-/** The file of the rules. */
+/** Schema of the rules file. */
 export const rulesSchema = z.strictObject({
   classes: describeKey(z.array(serviceClass).min(1), {
     type: 'list of classes, at least one',
--- a/packages/model/src/lib/schemas/settingsSchema.ts
+++ b/packages/model/src/lib/schemas/settingsSchema.ts
@@ -1,15 +1,15 @@
 import { z } from 'zod';
 import { describeKey } from './describeKey.js';
-import { NAME_FORM, ipAddress, listeningPort, name, port, span } from './scalars.js';
+import { NAME_TYPE, ipAddress, listeningPort, name, port, durationMs } from './scalars.js';
 
-const PORT_FORM = 'whole number, 0 to 65535';
+const PORT_TYPE = 'whole number, 0 to 65535';
 const MEBIBYTE = 2 ** 20;
 const DEFAULT_PORT = 8080;
 const DEFAULT_MESH_PORT = 8081;
 const DEFAULT_ADMIN_PORT = 8082;
-const DEFAULT_BODY_TIMEOUT = 10000;
-const DEFAULT_HEADERS_TIMEOUT = 5000;
-const LARGEST_BODY = 64 * MEBIBYTE;
+const DEFAULT_BODY_TIMEOUT_MS = 10000;
+const DEFAULT_HEADERS_TIMEOUT_MS = 5000;
+const MAX_BODY_BYTES = 64 * MEBIBYTE;
 
 const seed = z.strictObject({
   host: describeKey(ipAddress(), { type: 'IP address', meaning: 'Where the daemon is reached.' }),
@@ -24,20 +24,20 @@
     z
       .int()
       .min(1)
-      .max(LARGEST_BODY)
+      .max(MAX_BODY_BYTES)
       .default(4 * MEBIBYTE),
     {
-      type: `whole number, 1 to ${LARGEST_BODY}`,
+      type: `whole number, 1 to ${MAX_BODY_BYTES}`,
       unit: 'bytes',
       meaning: 'The largest request body; a larger one is answered 413.',
     },
   ),
-  bodyTimeoutMs: describeKey(span().default(DEFAULT_BODY_TIMEOUT), {
+  bodyTimeoutMs: describeKey(durationMs().default(DEFAULT_BODY_TIMEOUT_MS), {
     type: 'whole number, 1 or more',
     unit: 'ms',
     meaning: 'A body that has not arrived by then is answered 408.',
   }),
-  headersTimeoutMs: describeKey(span().default(DEFAULT_HEADERS_TIMEOUT), {
+  headersTimeoutMs: describeKey(durationMs().default(DEFAULT_HEADERS_TIMEOUT_MS), {
     type: 'whole number, 1 or more',
     unit: 'ms',
     meaning: 'A connection whose headers have not arrived by then is closed.',
@@ -52,28 +52,28 @@
   caFile: file('The authority that signs the certificates of the other daemons.'),
 });
 
-/** The file of a daemon's settings. */
+/** Schema of a daemon's settings file. */
 export const settingsSchema = z.strictObject({
   id: describeKey(name(), {
-    type: NAME_FORM,
+    type: NAME_TYPE,
     meaning: "Unique among the daemons; the same as in the platform's list of instances.",
   }),
-  region: describeKey(name(), { type: NAME_FORM, meaning: 'The region it stands in.' }),
-  availabilityZone: describeKey(name(), { type: NAME_FORM, meaning: 'Where it stands.' }),
+  region: describeKey(name(), { type: NAME_TYPE, meaning: 'The region it stands in.' }),
+  availabilityZone: describeKey(name(), { type: NAME_TYPE, meaning: 'Where it stands.' }),
   host: describeKey(ipAddress(), {
     type: 'IP address',
     meaning: 'The address all its ports are bound to, and other daemons reach it at.',
   }),
   port: describeKey(listeningPort().default(DEFAULT_PORT), {
-    type: PORT_FORM,
+    type: PORT_TYPE,
     meaning: 'For callers. 0 takes any free port, which the start-up line names.',
   }),
   meshPort: describeKey(listeningPort().default(DEFAULT_MESH_PORT), {
-    type: PORT_FORM,
+    type: PORT_TYPE,
     meaning: 'For other daemons. 0 takes any free port.',
   }),
   adminPort: describeKey(listeningPort().default(DEFAULT_ADMIN_PORT), {
-    type: PORT_FORM,
+    type: PORT_TYPE,
     meaning: 'For metrics, readiness and operators. 0 takes any free port.',
   }),
   platformUrl: describeKey(z.url({ protocol: /^https?$/ }), {
--- a/packages/model/src/test/getKeyRows.ts
+++ b/packages/model/src/test/getKeyRows.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
-import { getBareSchema, getKeyDescription } from '../lib/schemas/describeKey.js';
+import { unwrapSchema, getKeyDescription } from '../lib/schemas/describeKey.js';
 
-/** How the reference page shows that a key may not be left out, or has no default. */
+/** How the reference page marks a key that is required, or that is optional without a default. */
 const REQUIRED = 'required';
 const ABSENT = 'absent';
 
@@ -24,9 +24,9 @@
   return `| \`${path}\` | ${type} | ${unit} | ${getDefault(schema)} | ${meaning} |`;
 }
 
-/** One row of the reference page for each key of a schema, in the schema's order. */
+/** Returns a row of the reference page for each key of a schema, in the schema's order. */
 export function getKeyRows(schema: z.ZodType, prefix = ''): string[] {
-  const bare = getBareSchema(schema);
+  const bare = unwrapSchema(schema);
   if (bare instanceof z.ZodArray) {
     return getKeyRows(bare.element as z.ZodType, `${prefix}[]`);
   }
