--- a/packages/experiment/src/bin/RelayCommand.ts
+++ b/packages/experiment/src/bin/RelayCommand.ts
@@ -65,7 +65,7 @@
     name,
     String(seed),
     ...[day.worth, day.worstWindows, day.worstKind].map((value) => value.toFixed(3)),
-    ...[day.readTokens, day.copiedTokens, day.preempted].map((value) => value.toFixed(0)),
+    ...[day.prefilledTokens, day.copiedTokens, day.preemptions].map((value) => value.toFixed(0)),
     ...[day.correlation, day.predictionError].map((value) => value.toFixed(2)),
   ];
 }
--- a/packages/experiment/src/lib/relay/FleetSimulation.test.ts
+++ b/packages/experiment/src/lib/relay/FleetSimulation.test.ts
@@ -13,7 +13,7 @@
 
   it('accounts for every call and prefills fewer tokens than were requested', () => {
     const result = new FleetSimulation(namedDeployments.drafts!(), 1).run();
-    const { kinds, readTokens } = summariseDay(result);
+    const { kinds, prefilledTokens: readTokens } = summariseDay(result);
     expect(kinds.reduce((sum, { calls }) => sum + calls, 0)).toBe(result.calls.length);
     const requested = result.calls.reduce((sum, { prompt }) => sum + (prompt?.inputTokens ?? 0), 0);
     expect(readTokens).toBeLessThan(requested);
--- a/packages/experiment/src/lib/relay/summariseDay.ts
+++ b/packages/experiment/src/lib/relay/summariseDay.ts
@@ -36,9 +36,9 @@
   /** Share that was earned by the worst kind. */
   worstKind: number;
   kinds: KindSummary[];
-  readTokens: number;
+  prefilledTokens: number;
   copiedTokens: number;
-  preempted: number;
+  preemptions: number;
   /** Prompt tokens that were sent to another availability zone. */
   crossZoneTokens: number;
   /** Correlation between the predicted and the actual time to the first event, over all streams. */
@@ -142,9 +142,9 @@
     worstWindows: windows.reduce((sum, share) => sum + share, 0) / Math.max(1, windows.length),
     worstKind: Math.min(...[...kinds.values()].map(getWorthShare)),
     kinds: [...kinds].map(([name, group]) => summariseKind(name, group)),
-    readTokens: counts.prefilledTokens,
+    prefilledTokens: counts.prefilledTokens,
     copiedTokens: counts.copiedTokens,
-    preempted: counts.preemptions,
+    preemptions: counts.preemptions,
     crossZoneTokens,
     ...getPredictionQuality(calls),
   };
