--- a/packages/standins/src/lib/network/reservePorts.test.ts
+++ b/packages/standins/src/lib/network/reservePorts.test.ts
@@ -10,8 +10,8 @@
 const PORTS_EACH = 300;
 
 const TAKE_PORTS = `
-  const { getQuietPorts } = await import(${JSON.stringify(STANDINS)});
-  console.log(JSON.stringify(await getQuietPorts(${PORTS_EACH})));
+  const { reservePorts } = await import(${JSON.stringify(STANDINS)});
+  console.log(JSON.stringify(await reservePorts(${PORTS_EACH})));
   process.stdin.resume();
   process.stdin.once('end', () => process.exit(0));
 `;
