--- a/packages/claims/src/lib/ClaimManager/ClaimSeeker.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimClient.ts
@@ -5,7 +5,7 @@
 import type { ClaimResult, ClaimHandle, ClaimMember, ClaimQuery } from '../claimTypes.js';
 import { getClaimName, getClaimShard } from '../placement.js';
 import type { OutcomeReporter } from './OutcomeReporter.js';
-import type { OwnerRoute } from './OwnerRoute.js';
+import type { OwnerRoute } from './OwnerRouter.js';
 import type { OwnerReply, OwnerSearch } from './OwnerSearch.js';
 
 /** A search that goes in circles must not make its log line long. */
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -14,15 +14,15 @@
   ClaimQuery,
 } from '../claimTypes.js';
 import { ClaimWitness } from '../ClaimWitness/ClaimWitness.js';
-import { getKeptOutcome } from '../getKeptOutcome.js';
+import { getKeptOutcome } from '../truncateOutcome.js';
 import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import { isSameProcess } from '../placement.js';
-import { ClaimSeeker } from './ClaimSeeker.js';
+import { ClaimSeeker } from './ClaimClient.js';
 import type { ClaimSettings, HandOverResult } from './ClaimSettings.js';
 import { LayoutGuard } from './LayoutGuard.js';
 import { OutcomeReporter } from './OutcomeReporter.js';
-import { OwnerRoute } from './OwnerRoute.js';
+import { OwnerRoute } from './OwnerRouter.js';
 import { ShardRunner } from './ShardRunner.js';
 import { StoreGateway } from './StoreGateway.js';
 import { withTimeout } from './timing.js';
--- a/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
+++ b/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimHandle, ClaimOutcome } from '../claimTypes.js';
-import type { OwnerRoute } from './OwnerRoute.js';
+import type { OwnerRoute } from './OwnerRouter.js';
 import { delay } from './timing.js';
 
 /** An entry outlives its request by at most this many retentions. */
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -3,7 +3,7 @@
 import type { ClaimOutcome } from '../claimTypes.js';
 import { RefusalReason, UnknownCause } from '../claimTypes.js';
 import type { ClaimEntry, OwnerResponse } from '../messages.js';
-import { getKeptOutcome } from '../getKeptOutcome.js';
+import { getKeptOutcome } from '../truncateOutcome.js';
 import { EntryState } from '../messages.js';
 import { applyOutcome, createEntry, getAnswerForRepeat } from './entries.js';
 import type { ShardCall, ShardContext } from './shardMessages.js';
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -5,7 +5,7 @@
 import type { ClaimMember } from '../claimTypes.js';
 import type { ClaimResponse } from '../messages.js';
 import { getOwnerOrder } from '../placement.js';
-import { OwnerOutlook } from './OwnerOutlook.js';
+import { OwnerOutlook } from './OwnerTracker.js';
 import type { OwnershipEnd, OwnershipStart } from './Ownership.js';
 import { Ownership } from './Ownership.js';
 import type { ShardCall, ShardContext, ShardInput } from './shardMessages.js';
--- a/packages/claims/src/lib/ClaimShard/CommitLoop.ts
+++ b/packages/claims/src/lib/ClaimShard/CommitLoop.ts
@@ -4,7 +4,7 @@
 import { getHeadKey, getSegmentKey, parseHead } from '../ShardHead.js';
 import type { SegmentReference, ShardHead } from '../ShardHead.js';
 import { Backoff } from './Backoff.js';
-import { CommitPace } from './CommitPace.js';
+import { CommitPace } from './CommitRateLimiter.js';
 import { NO_ANSWER } from './shardMessages.js';
 import type { HeadRead, ShardContext, WriteResult } from './shardMessages.js';
 import type { SegmentPlan, ShardTable } from './ShardTable.js';
--- a/packages/claims/src/lib/ClaimShard/OwnerOutlook.ts
+++ b/packages/claims/src/lib/ClaimShard/OwnerTracker.ts
@@ -4,7 +4,7 @@
 import type { ClaimMember } from '../claimTypes.js';
 import { Backoff } from './Backoff.js';
 import { OwnerHint } from './OwnerHint.js';
-import { ShardRest } from './ShardRest.js';
+import { ShardRest } from './TakeoverCooldown.js';
 import type { ShardContext } from './shardMessages.js';
 
 /** What a daemon that does not own a shard believes: who does, and from when on it may look itself. */
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -15,8 +15,8 @@
 import type { ShardCall, ShardContext, ShardInput } from './shardMessages.js';
 import type { ShardTable } from './ShardTable.js';
 import { WaitingCalls } from './WaitingCalls.js';
-import { WitnessChoice } from './WitnessChoice.js';
-import { WitnessLink } from './WitnessLink.js';
+import { WitnessChoice } from './WitnessSelector.js';
+import { WitnessLink } from './WitnessReplicator.js';
 
 /** What a takeover hands to the owner. */
 export interface OwnershipStart {
