--- a/packages/claims/src/bench/ClaimLoad.ts
+++ b/packages/claims/src/bench/ClaimLoad.ts
@@ -16,7 +16,7 @@
 export type RequestAct = (index: number, random: number) => Promise<boolean>;
 
 /** No claim takes longer. */
-const END = 3000;
+const DRAIN_TIME = 3000;
 
 function drain(): Promise<void> {
   return new Promise((resolve) => {
@@ -58,7 +58,7 @@
     await this.advance(measured);
     this.isMeasured = false;
     onMeasured();
-    await this.advance(END);
+    await this.advance(DRAIN_TIME);
   }
 
   private scheduleNext(): void {
--- a/packages/claims/src/bench/CostReport.ts
+++ b/packages/claims/src/bench/CostReport.ts
@@ -6,7 +6,7 @@
 export interface CostSettings {
   load: LoadSettings;
   storeLatency: Milliseconds;
-  /** One way between two daemons. */
+  /** One design between two daemons. */
   networkLatency: Milliseconds;
   retention: Milliseconds;
   /** The body of each answer. */
@@ -15,9 +15,9 @@
   isOutage: boolean;
 }
 
-/** What a way of keeping claims costs, by second where it says so. */
+/** What a design of keeping claims costs, by second where it says so. */
 export interface CostReport {
-  way: string;
+  design: string;
   claimsPerSecond: number;
   /** Of the requests, how many were granted. */
   grantedShare: number;
@@ -36,7 +36,7 @@
 
 /** Turns counts before and after the measured span into figures by second. */
 export function createReport(
-  way: string,
+  design: string,
   { load: { measured } }: CostSettings,
   load: ClaimLoad,
   before: StoreCost,
@@ -46,7 +46,7 @@
   const rate = (kind: keyof StoreCost) => (after[kind] - before[kind]) / seconds;
   const sorted = [...load.latencies].sort((left, right) => left - right);
   return {
-    way,
+    design,
     claimsPerSecond: load.measured / seconds,
     grantedShare: sorted.length / load.measured,
     writesPerSecond: rate('writes'),
--- a/packages/claims/src/bench/claimCost.ts
+++ b/packages/claims/src/bench/claimCost.ts
@@ -5,7 +5,7 @@
 import { runOwnedShards } from './runOwnedShards.js';
 
 /**
- * Compares the ways of keeping claims, on a clock of its own: `node dist/bench/claimCost.js`.
+ * Compares the designs of keeping claims, on a clock of its own: `node dist/bench/claimCost.js`.
  * `--minutes` shortens the retention, and with it the run; the figures are for 15 minutes.
  */
 
@@ -32,7 +32,7 @@
 }
 
 const COLUMNS: [string, (report: CostReport) => string][] = [
-  ['way', ({ way }) => way],
+  ['design', ({ design }) => design],
   ['granted, %', (report) => (100 * report.grantedShare).toFixed(1)],
   ['claims/s', (report) => report.claimsPerSecond.toFixed(1)],
   ['writes/s', (report) => report.writesPerSecond.toFixed(1)],
@@ -52,14 +52,14 @@
   title: string,
   settings: CostSettings,
   daemons: number,
-  ways: Partial<ClaimOptions>[],
+  designs: Partial<ClaimOptions>[],
 ): Promise<void> {
   process.stdout.write(`\n${title}\n\n`);
   printRow(COLUMNS.map(([name]) => name));
   printRow(COLUMNS.map(() => '---'));
   const print = (report: CostReport) => printRow(COLUMNS.map(([, show]) => show(report)));
   print(await runObjectPerKey(settings));
-  for (const options of ways) {
+  for (const options of designs) {
     // One run after the other: each holds the keys of a whole retention.
     // eslint-disable-next-line no-await-in-loop
     print(await runOwnedShards(settings, daemons, options));
--- a/packages/claims/src/bench/runObjectPerKey.ts
+++ b/packages/claims/src/bench/runObjectPerKey.ts
@@ -14,7 +14,7 @@
   });
 }
 
-/** The way not taken: an object for each key, written for the claim, its outcome and its removal. */
+/** The design not taken: an object for each key, written for the claim, its outcome and its removal. */
 export async function runObjectPerKey(settings: CostSettings): Promise<CostReport> {
   const clock = new ManualClock();
   const store = new BenchStore(clock, settings.storeLatency);
--- a/packages/claims/src/bench/runOwnedShards.ts
+++ b/packages/claims/src/bench/runOwnedShards.ts
@@ -12,7 +12,7 @@
 const ZONES = 4;
 
 /** How long the shards have to find their owners before the load starts. */
-const START = 6000;
+const OWNERSHIP_WARM_UP = 6000;
 
 function createMembers(count: number): ClaimMember[] {
   return Array.from({ length: count }, (_, index) => ({
@@ -39,7 +39,8 @@
     const members = createMembers(count);
     const { store } = this;
     this.daemons = members.map((self) => {
-      const call = (peer: ClaimMember, message: ClaimMessage) => this.carry(self, peer, message);
+      const call = (peer: ClaimMember, message: ClaimMessage) =>
+        this.deliverMessage(self, peer, message);
       const transport = { call };
       const getMembers = () => members;
       return new ClaimManager({ self, clock, options, store, transport, getMembers });
@@ -58,33 +59,33 @@
     const daemon = this.daemons[Math.floor(random * this.daemons.length)]!;
     const fingerprint = `fingerprint-${index}`;
     const query = { workspace: 'painotuote', key: `key-${index}`, fingerprint };
-    const answer = await daemon.claim({ ...query, requestId: `request-${index}` });
-    if (answer.kind !== 'granted') {
+    const result = await daemon.claim({ ...query, requestId: `request-${index}` });
+    if (result.kind !== 'granted') {
       return false;
     }
     const { body } = this.settings;
     const whole = { kind: 'whole' as const, status: 200, headers: {}, body };
     this.clock.setTimer(this.settings.load.runTime, () => {
-      daemon.recordOutcome(answer.handle, { kind: 'answered', answer: whole });
+      daemon.recordOutcome(result.handle, { kind: 'answered', answer: whole });
     });
     return true;
   }
 
-  private async carry(from: ClaimMember, peer: ClaimMember, message: ClaimMessage) {
-    await this.travel();
+  private async deliverMessage(from: ClaimMember, peer: ClaimMember, message: ClaimMessage) {
+    await this.delayMessage();
     const reply = await this.daemons[Number(peer.address)]!.handle(from.id, message);
-    await this.travel();
+    await this.delayMessage();
     return reply;
   }
 
-  private travel(): Promise<void> {
+  private delayMessage(): Promise<void> {
     return new Promise((resolve) => {
       this.clock.setTimer(this.settings.networkLatency, resolve);
     });
   }
 }
 
-/** The way taken: shards with owners that commit in groups. */
+/** The design taken: shards with owners that commit in groups. */
 export async function runOwnedShards(
   settings: CostSettings,
   daemons: number,
@@ -94,7 +95,7 @@
   const { retention } = settings;
   const fleet = new BenchFleet(clock, settings, daemons, { ...options, retention });
   const load = new ClaimLoad(clock, settings.load, (index, random) =>
-    clock.now() < START ? Promise.resolve(false) : fleet.request(index, random),
+    clock.now() < OWNERSHIP_WARM_UP ? Promise.resolve(false) : fleet.request(index, random),
   );
   let before = fleet.count();
   let after = before;
@@ -107,8 +108,8 @@
   });
   const witness =
     options.witnessDelay === undefined ? '' : `, witness after ${options.witnessDelay} ms`;
-  const way = `${options.shards} shards, a commit each ${options.commitInterval} ms${witness}`;
-  const report = createReport(way, settings, load, before.cost, after.cost);
+  const design = `${options.shards} shards, a commit each ${options.commitInterval} ms${witness}`;
+  const report = createReport(design, settings, load, before.cost, after.cost);
   fleet.daemons.forEach((daemon) => daemon.dispose());
   const claimsPerCommit = (after.claims - before.claims) / (after.commits - before.commits);
   return { ...report, claimsPerCommit };
--- a/packages/claims/src/lib/ClaimEvent.ts
+++ b/packages/claims/src/lib/ClaimEvent.ts
@@ -44,7 +44,7 @@
  *
  * @public
  */
-export interface ClaimTry {
+export interface OwnerCall {
   peer: string;
   /** `none`: no answer in time. */
   reply: ClaimResponse['kind'] | 'none';
@@ -54,7 +54,7 @@
 }
 
 /**
- * Each decision of this package, for the daemon's log.
+ * Each event of this package, for the daemon's log.
  *
  * @public
  */
@@ -69,7 +69,7 @@
       calls: number;
       spent: Milliseconds;
       /** Whom it asked last, where the claim failed or took several calls: which one was slow. */
-      tries?: readonly ClaimTry[];
+      tries?: readonly OwnerCall[];
     }
   /** An owner answered a claim. */
   | {
--- a/packages/claims/src/lib/ClaimManager/ClaimClient.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimClient.ts
@@ -1,46 +1,46 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import type { ClaimEvent, ClaimTry } from '../ClaimEvent.js';
+import type { ClaimEvent, OwnerCall } from '../ClaimEvent.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import { RefusalReason } from '../claimTypes.js';
 import type { ClaimResult, ClaimHandle, ClaimMember, ClaimQuery } from '../claimTypes.js';
 import { getClaimName, getClaimShard } from '../placement.js';
 import type { OutcomeReporter } from './OutcomeReporter.js';
-import type { OwnerRoute } from './OwnerRouter.js';
-import type { OwnerReply, OwnerSearch } from './OwnerSearch.js';
+import type { OwnerRouter } from './OwnerRouter.js';
+import type { OwnerSearchResponse, OwnerSearch } from './OwnerSearch.js';
 
 /** A search that goes in circles must not make its log line long. */
-const MOST_TRIES_LOGGED = 8;
+const MAX_LOGGED_CALLS = 8;
 
 /** What a seeker needs of the daemon around it. */
-export interface SeekerSurroundings {
+export interface ClaimClientSettings {
   self: ClaimMember;
   clock: Clock;
   options: ClaimOptions;
-  route: OwnerRoute;
+  router: OwnerRouter;
   reporter: OutcomeReporter;
   createId: () => number;
-  onDecision: (decision: ClaimEvent) => void;
+  onEvent: (event: ClaimEvent) => void;
 }
 
 /** The entry daemon's side of a claim: asks the owner, and gives up cleanly. */
-export class ClaimSeeker {
-  constructor(private readonly around: SeekerSurroundings) {}
+export class ClaimClient {
+  constructor(private readonly settings: ClaimClientSettings) {}
 
-  async seek(query: ClaimQuery): Promise<ClaimResult> {
-    const { clock, options, route } = this.around;
+  async claim(query: ClaimQuery): Promise<ClaimResult> {
+    const { clock, options, router } = this.settings;
     const startedAt = clock.now();
     const handle = this.createHandle(query, startedAt);
     const { shard, request } = handle;
-    const until = startedAt + options.claimTimeout;
+    const deadline = startedAt + options.claimTimeout;
     const message = { kind: 'claim' as const, shard, request };
-    const search = await route.ask(shard, message, until, options.callTimeout);
-    const answer = this.getAnswer(search, handle, startedAt);
-    this.report(answer, handle, search.tries, startedAt);
-    return answer;
+    const search = await router.send(shard, message, deadline, options.callTimeout);
+    const result = this.getResult(search, handle, startedAt);
+    this.emitEvent(result, handle, search.calls, startedAt);
+    return result;
   }
 
   private createHandle(query: ClaimQuery, startedAt: Milliseconds): ClaimHandle {
-    const { self, options, createId } = this.around;
+    const { self, options, createId } = this.settings;
     const name = getClaimName(query.workspace, query.key);
     const { fingerprint, requestId } = query;
     const { id, incarnation } = self;
@@ -52,65 +52,65 @@
     };
   }
 
-  private getAnswer(
+  private getResult(
     search: OwnerSearch,
     handle: ClaimHandle,
     startedAt: Milliseconds,
   ): ClaimResult {
-    const { clock, options, reporter } = this.around;
+    const { clock, options, reporter } = this.settings;
     // A frozen process reads a grant long after it was sent, when the key may have expired and been
     // granted again. So a grant counts only within the time that owners and witnesses allow for.
     const isLate = clock.now() - startedAt > options.claimTimeout;
-    const { reply } = search;
-    if (reply?.kind === 'answer' && reply.answer.kind !== 'granted') {
-      return reply.answer;
+    const { response } = search;
+    if (response?.kind === 'answer' && response.answer.kind !== 'granted') {
+      return response.answer;
     }
-    if (reply?.kind === 'answer' && !isLate) {
+    if (response?.kind === 'answer' && !isLate) {
       return { kind: 'granted', handle };
     }
-    if (search.isUncertain || isLate || (reply?.kind === 'refused' && reply.held)) {
+    if (search.isUncertain || isLate || (response?.kind === 'refused' && response.held)) {
       // The claim may be remembered although this daemon never uses it: give the key back.
       reporter.report(handle, { kind: 'not-run' });
     }
     // While the deadline isn't over, the key was this try's until it gave it back just now.
-    const isOurs = reply?.kind === 'answer' && clock.now() < handle.deadline;
-    return this.getRefusal(reply, search.isUncertain, isOurs);
+    const isOurs = response?.kind === 'answer' && clock.now() < handle.deadline;
+    return this.getRefusal(response, search.isUncertain, isOurs);
   }
 
   private getRefusal(
-    reply: OwnerReply | undefined,
+    response: OwnerSearchResponse | undefined,
     isUncertain: boolean,
     isProvedNotRun: boolean,
   ): ClaimResult {
-    if (reply?.kind === 'refused') {
-      const { reason, retryAfter } = reply;
+    if (response?.kind === 'refused') {
+      const { reason, retryAfter } = response;
       return { kind: 'unavailable', retryAfter, reason, isProvedNotRun };
     }
-    const retryAfter = this.around.options.retryDelayLimit;
+    const retryAfter = this.settings.options.maxRetryDelay;
     const hasHeardLate = isUncertain || isProvedNotRun;
     const reason = hasHeardLate ? RefusalReason.Timeout : RefusalReason.NoOwner;
     return { kind: 'unavailable', retryAfter, reason, isProvedNotRun };
   }
 
-  private report(
-    answer: ClaimResult,
+  private emitEvent(
+    result: ClaimResult,
     { shard, request }: ClaimHandle,
-    tries: readonly ClaimTry[],
+    calls: readonly OwnerCall[],
     startedAt: Milliseconds,
   ): void {
-    const { clock, onDecision } = this.around;
+    const { clock, onEvent } = this.settings;
     const { requestId } = request;
-    const reason = answer.kind === 'unavailable' ? answer.reason : undefined;
+    const reason = result.kind === 'unavailable' ? result.reason : undefined;
     const spent = clock.now() - startedAt;
-    onDecision({
+    onEvent({
       kind: 'claim-ended',
       shard,
       requestId,
-      answer: answer.kind,
+      answer: result.kind,
       reason,
-      calls: tries.length,
+      calls: calls.length,
       spent,
-      tries: tries.length > 1 || reason !== undefined ? tries.slice(-MOST_TRIES_LOGGED) : undefined,
+      tries: calls.length > 1 || reason !== undefined ? calls.slice(-MAX_LOGGED_CALLS) : undefined,
     });
   }
 }
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
@@ -1,43 +1,43 @@
-import { getHandle, RAN, start } from '../../test/claimScenario.js';
+import { expectGranted, ANSWERED, startCluster } from '../../test/claimScenario.js';
 import { TEST_OPTIONS } from '../../test/TestCluster.js';
 
 const RETENTION = TEST_OPTIONS.retention!;
 
 describe('a claim while all is well', () => {
   it('is granted once, whichever daemon asks, and repeats get the answer', async () => {
-    const { cluster, owner, witness, next, other } = await start();
-    const handle = getHandle(await cluster.ask(other, 'hold'));
+    const { cluster, owner, witness, next, other } = await startCluster();
+    const handle = expectGranted(await cluster.ask(other, 'hold'));
     expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
     expect((await cluster.ask(owner, 'hold', 'another body')).kind).toBe('mismatch');
-    await cluster.complete(other.claims.recordOutcome(handle, RAN));
+    await cluster.complete(other.claims.recordOutcome(handle, ANSWERED));
     const { requestId } = handle.request;
-    const expected = { kind: 'settled', requestId, answer: Object(RAN).answer };
+    const expected = { kind: 'settled', requestId, answer: Object(ANSWERED).answer };
     expect(await cluster.ask(witness, 'hold')).toEqual(expected);
     await cluster.run(RETENTION);
     expect((await cluster.ask(next, 'hold')).kind).toBe('granted');
   });
 
   it('frees the key when the request proved not to have run, for its own claim only', async () => {
-    const { cluster, other, next } = await start();
-    const first = getHandle(await cluster.ask(other, 'hold'));
+    const { cluster, other, next } = await startCluster();
+    const first = expectGranted(await cluster.ask(other, 'hold'));
     await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
-    getHandle(await cluster.ask(next, 'hold'));
+    expectGranted(await cluster.ask(next, 'hold'));
     await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
     expect((await cluster.ask(other, 'hold')).kind).toBe('in-progress');
   });
 
   it('moves with the shard on a graceful shutdown, and leaves no quarantine', async () => {
-    const { cluster, owner, next, other } = await start();
-    const handle = getHandle(await cluster.ask(other, 'hold'));
-    other.claims.recordOutcome(handle, RAN);
+    const { cluster, owner, next, other } = await startCluster();
+    const handle = expectGranted(await cluster.ask(other, 'hold'));
+    other.claims.recordOutcome(handle, ANSWERED);
     const result = await cluster.complete(owner.claims.handOver(2000));
     expect(result).toEqual({ ownedShards: 0, unreportedOutcomes: 0 });
     owner.crash();
-    cluster.lookAll();
+    cluster.updateAllMembers();
     await cluster.run(1000);
     expect((await cluster.ask(next, 'hold')).kind).toBe('settled');
     expect((await cluster.ask(next, 'new')).kind).toBe('granted');
-    const proofs = cluster.getDecisions('shard-taken').map(({ proof }) => proof);
+    const proofs = cluster.getEvents('shard-taken').map(({ proof }) => proof);
     expect(proofs.sort()).toEqual(['clean', 'fresh']);
   });
 
@@ -45,7 +45,7 @@
   // their shard is between two owners. Cause: an offer that comes while the next owner still reads
   // what the last one has not written yet is forgotten.
   it('is not refused during a rolling restart', async () => {
-    const { cluster } = await start();
+    const { cluster } = await startCluster();
     const kinds: string[] = [];
     for (const leaving of cluster.getOrder()) {
       const rest = cluster.daemons.filter((daemon) => daemon !== leaving);
@@ -60,7 +60,7 @@
       // eslint-disable-next-line no-await-in-loop
       await cluster.complete(done);
       cluster.restart(leaving);
-      cluster.lookAll();
+      cluster.updateAllMembers();
       // eslint-disable-next-line no-await-in-loop
       kinds.push(...(await cluster.complete(answers)).map(({ kind }) => kind));
     }
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -14,15 +14,15 @@
   ClaimQuery,
 } from '../claimTypes.js';
 import { ClaimWitness } from '../ClaimWitness/ClaimWitness.js';
-import { getKeptOutcome } from '../truncateOutcome.js';
+import { truncateOutcome } from '../truncateOutcome.js';
 import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import { isSameProcess } from '../placement.js';
-import { ClaimSeeker } from './ClaimClient.js';
+import { ClaimClient } from './ClaimClient.js';
 import type { ClaimSettings, HandOverResult } from './ClaimSettings.js';
 import { LayoutGuard } from './LayoutGuard.js';
 import { OutcomeReporter } from './OutcomeReporter.js';
-import { OwnerRoute } from './OwnerRouter.js';
+import { OwnerRouter } from './OwnerRouter.js';
 import { ShardRunner } from './ShardRunner.js';
 import { StoreGateway } from './StoreGateway.js';
 import { withTimeout } from './timing.js';
@@ -56,13 +56,13 @@
 
   private readonly reporter: OutcomeReporter;
 
-  private readonly seeker: ClaimSeeker;
+  private readonly client: ClaimClient;
 
-  private readonly onDecision: (decision: ClaimEvent) => void;
+  private readonly onEvent: (event: ClaimEvent) => void;
 
-  private moveTimer: Timer | undefined;
+  private rebalanceTimer: Timer | undefined;
 
-  private upkeepTimer: Timer | undefined;
+  private maintenanceTimer: Timer | undefined;
 
   private isDisposed = false;
 
@@ -70,31 +70,33 @@
     const { self, clock } = settings;
     const options = createClaimOptions(settings.options);
     this.options = options;
-    this.onDecision = settings.onEvent ?? (() => {});
+    this.onEvent = settings.onEvent ?? (() => {});
     const store = new StoreGateway(settings.store, clock, options, this.counters);
-    this.layout = new LayoutGuard(store, options.shards, (found) => this.onMismatch(found));
+    this.layout = new LayoutGuard(store, options.shards, (found) =>
+      this.handleLayoutMismatch(found),
+    );
     this.witness = new ClaimWitness(self.incarnation, options);
     let lastId = 0;
     const createId = () => {
       lastId += 1;
       return lastId;
     };
-    const { counters, layout, onDecision } = this;
+    const { counters, layout, onEvent } = this;
     const callPeer = (peer: ClaimMember, message: ClaimMessage, timeout = options.callTimeout) =>
       this.callPeer(peer, message, timeout);
-    const route = new OwnerRoute(clock, options, () => this.getMembers(), callPeer);
-    this.reporter = new OutcomeReporter(clock, options, route);
+    const router = new OwnerRouter(clock, options, () => this.getMembers(), callPeer);
+    this.reporter = new OutcomeReporter(clock, options, router);
     const { reporter } = this;
-    const around = { self, clock, options, createId, onDecision };
-    this.seeker = new ClaimSeeker({ ...around, route, reporter });
-    const runnerAround = { ...around, store, layout, counters, callPeer };
+    const sharedSettings = { self, clock, options, createId, onEvent };
+    this.client = new ClaimClient({ ...sharedSettings, router, reporter });
+    const runnerContext = { ...sharedSettings, store, layout, counters, callPeer };
     const members = this.getMembers();
     this.runners = Array.from(
       { length: options.shards },
-      (_, shard) => new ShardRunner(shard, runnerAround, members),
+      (_, shard) => new ShardRunner(shard, runnerContext, members),
     );
     this.handleMembersChange();
-    this.startUpkeep();
+    this.scheduleMaintenance();
   }
 
   /** What claims have cost since the start. */
@@ -119,10 +121,10 @@
   async claim(query: ClaimQuery): Promise<ClaimResult> {
     if (this.isDisposed || this.layout.isMismatch) {
       const reason = this.isDisposed ? RefusalReason.Leaving : RefusalReason.LayoutMismatch;
-      const retryAfter = this.options.retryDelayLimit;
+      const retryAfter = this.options.maxRetryDelay;
       return { kind: 'unavailable', retryAfter, reason, isProvedNotRun: false };
     }
-    return this.seeker.seek(query);
+    return this.client.claim(query);
   }
 
   /**
@@ -135,7 +137,7 @@
    * ```
    */
   recordOutcome(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
-    return this.reporter.report(handle, getKeptOutcome(outcome, this.options.answerLimit));
+    return this.reporter.report(handle, truncateOutcome(outcome, this.options.maxResponseSize));
   }
 
   /**
@@ -151,18 +153,21 @@
   async handle(from: string, message: ClaimMessage): Promise<ClaimResponse> {
     const runner = this.runners[message.shard];
     if (this.isDisposed || runner === undefined) {
-      throw new StepError('no such shard here', { step: 'claims', peer: from });
+      throw new StepError('this daemon serves no such shard of claims', {
+        step: 'claims',
+        peer: from,
+      });
     }
     switch (message.kind) {
       case 'claim':
       case 'settle':
-        return runner.ask(message);
+        return runner.handleCall(message);
       case 'remember':
         return this.witness.handle(message, this.settings.clock.now());
       case 'seal':
-        return this.onSeal(from, message, runner);
+        return this.handleSeal(from, message, runner);
       case 'take':
-        runner.tell({ kind: 'take' });
+        runner.handle({ kind: 'take' });
         return { kind: 'noted' };
       default:
         throw exhaustiveSwitchError(message);
@@ -172,11 +177,11 @@
   /** Call it whenever `getMembers` would answer something new. */
   handleMembersChange(): void {
     const members = this.getMembers();
-    this.runners.forEach((runner) => runner.tell({ kind: 'members', members }));
+    this.runners.forEach((runner) => runner.handle({ kind: 'members', members }));
     // Shards move only after a rest, and not again with each further change: a flapping member
     // would otherwise drag them back and forth.
-    this.moveTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
-      this.moveTimer = undefined;
+    this.rebalanceTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
+      this.rebalanceTimer = undefined;
       this.rebalance();
     });
   }
@@ -195,8 +200,8 @@
    * ```
    */
   async handOver(timeout: Milliseconds): Promise<HandOverResult> {
-    this.runners.forEach((runner) => runner.tell({ kind: 'leave' }));
-    const shards = Promise.all(this.runners.map((runner) => runner.whenFree()));
+    this.runners.forEach((runner) => runner.handle({ kind: 'leave' }));
+    const shards = Promise.all(this.runners.map((runner) => runner.waitUntilReleased()));
     const done = Promise.all([shards, this.reporter.flush()]);
     await withTimeout(this.settings.clock, timeout, done, undefined);
     const ownedShards = this.getOwnedShards().length;
@@ -206,8 +211,8 @@
   /** Stops everything at once; what peers wait for here ends without an answer. */
   dispose(): void {
     this.isDisposed = true;
-    this.moveTimer?.cancel();
-    this.upkeepTimer?.cancel();
+    this.rebalanceTimer?.cancel();
+    this.maintenanceTimer?.cancel();
     this.reporter.dispose();
     this.runners.forEach((runner) => runner.dispose());
   }
@@ -219,31 +224,37 @@
   }
 
   private rebalance(): void {
-    this.runners.forEach((runner) => runner.tell({ kind: 'rebalance' }));
+    this.runners.forEach((runner) => runner.handle({ kind: 'rebalance' }));
   }
 
   /** Looks again at what a lost message or an outage may have left undone. */
-  private startUpkeep(): void {
+  private scheduleMaintenance(): void {
     const { clock } = this.settings;
-    this.upkeepTimer = clock.setTimer(this.options.verifyInterval, () => {
+    this.maintenanceTimer = clock.setTimer(this.options.verifyInterval, () => {
       this.witness.expire(clock.now());
       this.rebalance();
-      this.startUpkeep();
+      this.scheduleMaintenance();
     });
   }
 
-  private onSeal(from: string, message: SealMessage, runner: ShardRunner): Promise<ClaimResponse> {
+  private handleSeal(
+    from: string,
+    message: SealMessage,
+    runner: ShardRunner,
+  ): Promise<ClaimResponse> {
     const { shard, epoch, role, incarnation } = message;
     if (role === SealRole.Owner) {
       const isUs = incarnation === this.settings.self.incarnation;
-      return isUs ? runner.ask({ kind: 'challenge', epoch }) : Promise.resolve({ kind: 'gone' });
+      return isUs
+        ? runner.handleCall({ kind: 'challenge', epoch })
+        : Promise.resolve({ kind: 'gone' });
     }
-    this.onDecision({ kind: 'epoch-sealed', shard, epoch, by: from });
+    this.onEvent({ kind: 'epoch-sealed', shard, epoch, by: from });
     return Promise.resolve(this.witness.handle(message, this.settings.clock.now()));
   }
 
-  private onMismatch(found: number): void {
-    this.onDecision({ kind: 'layout-mismatch', expected: this.options.shards, found });
+  private handleLayoutMismatch(found: number): void {
+    this.onEvent({ kind: 'layout-mismatch', expected: this.options.shards, found });
   }
 
   private async callPeer(
--- a/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
@@ -12,7 +12,7 @@
  */
 export interface ClaimTransport {
   /**
-   * Delivers a message to a peer's {@link ClaimManager.handle} and brings back its reply. Rejects,
+   * Delivers a message to a peer's {@link ClaimManager.handle} and brings back its response. Rejects,
    * or never ends, when there is none: whether the message arrived is then unknown.
    */
   call(peer: ClaimMember, message: ClaimMessage): Promise<ClaimResponse>;
@@ -32,8 +32,8 @@
   transport: ClaimTransport;
   /** The members that have not ended, by this daemon's view, with what it may expect of each. */
   getMembers: () => readonly ClaimMember[];
-  /** Called with every decision, for the log. */
-  onEvent?: (decision: ClaimEvent) => void;
+  /** Called with every event, for the log. */
+  onEvent?: (event: ClaimEvent) => void;
 }
 
 /**
--- a/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
+++ b/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
@@ -1,14 +1,14 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimHandle, ClaimOutcome } from '../claimTypes.js';
-import type { OwnerRoute } from './OwnerRouter.js';
+import type { OwnerRouter } from './OwnerRouter.js';
 import { delay } from './timing.js';
 
 /** An entry outlives its request by at most this many retentions. */
 const REPORT_RETENTIONS = 2;
 
 /** Longest wait between reports of an outcome that the owner holds but the store does not. */
-const HELD_DELAY_LIMIT = 60_000;
+const MAX_HELD_RETRY_DELAY = 60_000;
 
 /**
  * Reports outcomes to owners until the store has them: an owner that crashes before its commit
@@ -16,32 +16,32 @@
  * answer is known.
  */
 export class OutcomeReporter {
-  private readonly running = new Map<string, Promise<void>>();
+  private readonly pendingReports = new Map<string, Promise<void>>();
 
   private isDisposed = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly options: ClaimOptions,
-    private readonly route: OwnerRoute,
+    private readonly router: OwnerRouter,
   ) {}
 
   /** How many outcomes the store does not have yet. */
   get size(): number {
-    return this.running.size;
+    return this.pendingReports.size;
   }
 
   /** @returns a promise that resolves once the store has the outcome, or the claim has expired */
   report(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
     const { claim } = handle.request;
-    const running = this.run(handle, outcome).finally(() => this.running.delete(claim));
-    this.running.set(claim, running);
-    return running;
+    const report = this.run(handle, outcome).finally(() => this.pendingReports.delete(claim));
+    this.pendingReports.set(claim, report);
+    return report;
   }
 
   /** Resolves once the outcomes reported so far are through. */
   async flush(): Promise<void> {
-    await Promise.all(this.running.values());
+    await Promise.all(this.pendingReports.values());
   }
 
   dispose(): void {
@@ -49,35 +49,40 @@
   }
 
   private async run(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
-    const until = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
-    let wait = this.options.retryDelay;
-    while (!this.isDisposed && this.clock.now() < until) {
+    const deadline = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
+    let retryDelay = this.options.retryDelay;
+    while (!this.isDisposed && this.clock.now() < deadline) {
       // One try after the other, until one is confirmed.
       // eslint-disable-next-line no-await-in-loop
-      const state = await this.tryOnce(handle, outcome);
+      const state = await this.sendOnce(handle, outcome);
       if (state === 'durable') {
         return;
       }
-      const limit = state === 'held' ? HELD_DELAY_LIMIT : this.options.retryDelayLimit;
-      wait = Math.min(wait * 2, limit);
+      const limit = state === 'held' ? MAX_HELD_RETRY_DELAY : this.options.maxRetryDelay;
+      retryDelay = Math.min(retryDelay * 2, limit);
       // eslint-disable-next-line no-await-in-loop
-      await delay(this.clock, wait);
+      await delay(this.clock, retryDelay);
     }
   }
 
-  private async tryOnce(
+  private async sendOnce(
     handle: ClaimHandle,
     outcome: ClaimOutcome,
   ): Promise<'durable' | 'held' | 'failed'> {
     const { shard, request } = handle;
     const { claimTimeout, callTimeout } = this.options;
-    // The owner replies once its commit is confirmed, within the claim timeout.
+    // The owner responses once its commit is confirmed, within the claim timeout.
     const timeout: Milliseconds = claimTimeout + callTimeout;
     const message = { kind: 'settle' as const, shard, request, outcome };
-    const { reply } = await this.route.ask(shard, message, this.clock.now() + timeout, timeout);
-    if (reply?.kind !== 'settled') {
+    const { response } = await this.router.send(
+      shard,
+      message,
+      this.clock.now() + timeout,
+      timeout,
+    );
+    if (response?.kind !== 'settled') {
       return 'failed';
     }
-    return reply.durable ? 'durable' : 'held';
+    return response.durable ? 'durable' : 'held';
   }
 }
--- a/packages/claims/src/lib/ClaimManager/OwnerRouter.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerRouter.ts
@@ -12,7 +12,7 @@
 ) => Promise<ClaimResponse | undefined>;
 
 /** Where this daemon found each shard's owner last. */
-export class OwnerRoute {
+export class OwnerRouter {
   private readonly hints = new Map<number, ClaimMember>();
 
   constructor(
@@ -25,36 +25,36 @@
   /**
    * Sends a message to a shard's owner, whoever that is.
    *
-   * @param until - when to stop looking
+   * @param deadline - when to stop looking
    * @param callTimeout - how long one daemon may take
    */
-  async ask(
+  async send(
     shard: number,
     message: ClaimMessage,
-    until: Milliseconds,
+    deadline: Milliseconds,
     callTimeout: Milliseconds,
   ): Promise<OwnerSearch> {
     const search = new OwnerSearch({
       clock: this.clock,
-      until,
+      deadline,
       callTimeout,
       retryDelay: this.options.retryDelay,
-      getTargets: () => this.getTargets(shard),
+      getCandidates: () => this.getCandidates(shard),
       call: (peer, timeout) => this.callPeer(peer, message, timeout),
-      onMiss: (peer) => this.forget(shard, peer),
+      onMiss: (peer) => this.clearHint(shard, peer),
       onFound: (peer) => this.hints.set(shard, peer),
     });
     await search.run();
     return search;
   }
 
-  private getTargets(shard: number): ClaimMember[] {
+  private getCandidates(shard: number): ClaimMember[] {
     const hint = this.hints.get(shard);
     const order = getOwnerOrder(shard, this.getMembers()).slice(0, this.options.candidates);
     return hint === undefined ? order : [hint, ...order];
   }
 
-  private forget(shard: number, peer: ClaimMember): void {
+  private clearHint(shard: number, peer: ClaimMember): void {
     if (this.hints.get(shard)?.id === peer.id) {
       this.hints.delete(shard);
     }
--- a/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
@@ -1,23 +1,23 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimMember } from '../claimTypes.js';
-import type { ClaimTry } from '../ClaimEvent.js';
+import type { OwnerCall } from '../ClaimEvent.js';
 import type { ClaimResponse } from '../messages.js';
 import { delay } from './timing.js';
 
-/** A reply of a shard's owner. */
-export type OwnerReply = Exclude<ClaimResponse, { kind: 'not-owner' }>;
+/** A response of a shard's owner. */
+export type OwnerSearchResponse = Exclude<ClaimResponse, { kind: 'not-owner' }>;
 
 /** How a search looks at the daemons. */
-export interface SearchSurroundings {
+export interface SearchSettings {
   clock: Clock;
   /** When the search ends. */
-  until: Milliseconds;
+  deadline: Milliseconds;
   /** How long one daemon may take. */
   callTimeout: Milliseconds;
   /** The wait before the second round; it doubles with each. */
   retryDelay: Milliseconds;
   /** Whom to ask, the likeliest owner first. */
-  getTargets: () => ClaimMember[];
+  getCandidates: () => ClaimMember[];
   /** @returns undefined when the daemon gave no answer in time */
   call: (peer: ClaimMember, timeout: Milliseconds) => Promise<ClaimResponse | undefined>;
   /** The peer turned out not to be the owner, or not to answer. */
@@ -30,34 +30,34 @@
  * after a wait while the shard is on the move.
  */
 export class OwnerSearch {
-  reply: OwnerReply | undefined;
+  response: OwnerSearchResponse | undefined;
 
   /** The daemons asked so far, in order. */
-  readonly tries: ClaimTry[] = [];
+  readonly calls: OwnerCall[] = [];
 
   /** Some call gave no answer: its message may have been acted on. */
   isUncertain = false;
 
-  private targets: ClaimMember[] = [];
+  private candidates: ClaimMember[] = [];
 
-  private tried = new Set<string>();
+  private askedIds = new Set<string>();
 
   /** In this round the preferred daemon said that it cannot take the shard. */
   private hasNoOwner = false;
 
   private hasFailed = false;
 
-  constructor(private readonly around: SearchSurroundings) {}
+  constructor(private readonly settings: SearchSettings) {}
 
-  /** Asks until an owner replies, the time is up, or nobody can become the owner. */
+  /** Asks until an owner responses, the time is up, or nobody can become the owner. */
   async run(): Promise<void> {
-    const { clock, until, retryDelay } = this.around;
+    const { clock, deadline, retryDelay } = this.settings;
     for (let wait = retryDelay; ; wait *= 2) {
       // One round after the other: each learns from the redirects of the last.
       // eslint-disable-next-line no-await-in-loop
       await this.runRound();
       const isHopeless = this.hasNoOwner && !this.hasFailed;
-      if (this.reply !== undefined || isHopeless || clock.now() + wait >= until) {
+      if (this.response !== undefined || isHopeless || clock.now() + wait >= deadline) {
         return;
       }
       // eslint-disable-next-line no-await-in-loop
@@ -66,45 +66,45 @@
   }
 
   private async runRound(): Promise<void> {
-    const { clock, until } = this.around;
-    this.targets = this.around.getTargets();
-    this.tried = new Set();
+    const { clock, deadline } = this.settings;
+    this.candidates = this.settings.getCandidates();
+    this.askedIds = new Set();
     this.hasNoOwner = false;
     this.hasFailed = false;
-    while (this.targets.length > 0 && this.reply === undefined && clock.now() < until) {
-      const peer = this.targets.shift()!;
-      if (!this.tried.has(peer.id)) {
-        this.tried.add(peer.id);
+    while (this.candidates.length > 0 && this.response === undefined && clock.now() < deadline) {
+      const peer = this.candidates.shift()!;
+      if (!this.askedIds.has(peer.id)) {
+        this.askedIds.add(peer.id);
         // One daemon after the other: two at once could both act on the message.
         // eslint-disable-next-line no-await-in-loop
-        await this.tryPeer(peer);
+        await this.askPeer(peer);
       }
     }
   }
 
-  private async tryPeer(peer: ClaimMember): Promise<void> {
-    const { clock, until, callTimeout } = this.around;
-    const askedAt = clock.now();
-    const reply = await this.around.call(peer, Math.min(callTimeout, until - askedAt));
-    this.tries.push({
+  private async askPeer(peer: ClaimMember): Promise<void> {
+    const { clock, deadline, callTimeout } = this.settings;
+    const sentAt = clock.now();
+    const response = await this.settings.call(peer, Math.min(callTimeout, deadline - sentAt));
+    this.calls.push({
       peer: peer.id,
-      reply: reply?.kind ?? 'none',
-      at: askedAt,
-      spent: clock.now() - askedAt,
+      reply: response?.kind ?? 'none',
+      at: sentAt,
+      spent: clock.now() - sentAt,
     });
-    if (reply !== undefined && reply.kind !== 'not-owner') {
-      this.reply = reply;
-      this.around.onFound(peer);
+    if (response !== undefined && response.kind !== 'not-owner') {
+      this.response = response;
+      this.settings.onFound(peer);
       return;
     }
-    this.around.onMiss(peer);
-    if (reply === undefined) {
+    this.settings.onMiss(peer);
+    if (response === undefined) {
       this.hasFailed = true;
       this.isUncertain = true;
-    } else if (reply.owner === undefined) {
+    } else if (response.owner === undefined) {
       this.hasNoOwner = true;
     } else {
-      this.targets.unshift(reply.owner);
+      this.candidates.unshift(response.owner);
     }
   }
 }
--- a/packages/claims/src/lib/ClaimManager/ShardRunner.ts
+++ b/packages/claims/src/lib/ClaimManager/ShardRunner.ts
@@ -13,7 +13,7 @@
 import type { StoreGateway } from './StoreGateway.js';
 
 /** What the runners of a daemon share. */
-export interface RunnerSurroundings {
+export interface RunnerContext {
   self: ClaimMember;
   clock: Clock;
   options: ClaimOptions;
@@ -21,7 +21,7 @@
   layout: LayoutGuard;
   counters: ClaimCounters;
   createId: () => number;
-  onDecision: (decision: ClaimEvent) => void;
+  onEvent: (event: ClaimEvent) => void;
   /** @returns undefined when the peer gave no answer in time */
   callPeer: (peer: ClaimMember, message: ClaimMessage) => Promise<ClaimResponse | undefined>;
 }
@@ -29,10 +29,10 @@
 type WithoutCall<Input> = Input extends { call: number } ? Omit<Input, 'call'> : never;
 
 /** An input that is answered. */
-type Question = WithoutCall<ShardInput>;
+type CallInput = WithoutCall<ShardInput>;
 
 interface PendingCall {
-  resolve: (reply: ClaimResponse) => void;
+  resolve: (response: ClaimResponse) => void;
   reject: (error: Error) => void;
 }
 
@@ -46,20 +46,20 @@
 
   private timerAt: Milliseconds = Number.POSITIVE_INFINITY;
 
-  private freed: (() => void)[] = [];
+  private releaseListeners: (() => void)[] = [];
 
   /** The last offer of the shard to a successor, until it is answered or its time is up. */
-  private offer: Promise<void> = Promise.resolve();
+  private lastOffer: Promise<void> = Promise.resolve();
 
   private isDisposed = false;
 
   constructor(
     private readonly index: number,
-    private readonly around: RunnerSurroundings,
+    private readonly context: RunnerContext,
     members: readonly ClaimMember[],
   ) {
-    const { self, options, createId } = around;
-    const emit = (effect: ShardEffect) => this.run(effect);
+    const { self, options, createId } = context;
+    const emit = (effect: ShardEffect) => this.runEffect(effect);
     this.shard = new ClaimShard({ shard: index, self, options, emit, members, createId });
   }
 
@@ -67,23 +67,23 @@
     return this.shard.isOwned;
   }
 
-  /** Hands a claim, an outcome or a challenge to the shard and waits for its reply. */
-  ask(input: Question): Promise<ClaimResponse> {
+  /** Hands a claim, an outcome or a challenge to the shard and waits for its response. */
+  handleCall(input: CallInput): Promise<ClaimResponse> {
     return new Promise((resolve, reject) => {
-      const call = this.around.createId();
+      const call = this.context.createId();
       this.calls.set(call, { resolve, reject });
-      this.tell({ ...input, call });
+      this.handle({ ...input, call });
     });
   }
 
-  tell(input: ShardInput): void {
+  handle(input: ShardInput): void {
     if (this.isDisposed) {
       return;
     }
-    this.shard.handle(input, this.around.clock.now());
+    this.shard.handle(input, this.context.clock.now());
     if (!this.shard.isOwned) {
-      this.freed.forEach((resolve) => resolve());
-      this.freed = [];
+      this.releaseListeners.forEach((resolve) => resolve());
+      this.releaseListeners = [];
     }
   }
 
@@ -92,29 +92,32 @@
    * before the offer is out, nobody would own the shard until somebody looks, and holds would be
    * refused in the meantime.
    */
-  async whenFree(): Promise<void> {
+  async waitUntilReleased(): Promise<void> {
     if (this.shard.isOwned) {
       await new Promise<void>((resolve) => {
-        this.freed.push(resolve);
+        this.releaseListeners.push(resolve);
       });
     }
-    await this.offer;
+    await this.lastOffer;
   }
 
   dispose(): void {
     this.isDisposed = true;
     this.timer?.cancel();
-    const peer = this.around.self.id;
-    const error = new StepError('disposed of', { step: 'claims', peer });
+    const peer = this.context.self.id;
+    const error = new StepError('the claims of this daemon have been disposed of', {
+      step: 'claims',
+      peer,
+    });
     this.calls.forEach(({ reject }) => reject(error));
     this.calls.clear();
   }
 
-  private run(effect: ShardEffect): void {
-    const { around } = this;
+  private runEffect(effect: ShardEffect): void {
+    const { context } = this;
     switch (effect.kind) {
-      case 'reply':
-        this.calls.get(effect.call)?.resolve(effect.reply);
+      case 'respond':
+        this.calls.get(effect.call)?.resolve(effect.response);
         this.calls.delete(effect.call);
         break;
       case 'read-head':
@@ -128,7 +131,7 @@
         break;
       case 'delete':
         // A segment left behind costs space, nothing else.
-        around.store.delete(effect.key, effect.expectedVersion);
+        context.store.delete(effect.key, effect.expectedVersion);
         break;
       case 'call-peer':
         this.startCall(effect);
@@ -137,11 +140,11 @@
         this.setTimer(effect.at);
         break;
       case 'committed':
-        around.counters.commits += 1;
-        around.counters.committedClaims += effect.claims;
+        context.counters.commits += 1;
+        context.counters.committedClaims += effect.claims;
         break;
-      case 'decision':
-        around.onDecision(effect.decision);
+      case 'event':
+        context.onEvent(effect.event);
         break;
       default:
         throw exhaustiveSwitchError(effect);
@@ -149,35 +152,35 @@
   }
 
   private async readHead(id: number): Promise<void> {
-    const { layout, store } = this.around;
+    const { layout, store } = this.context;
     const isOurs = await layout.check();
     const result = isOurs ? await store.get(getHeadKey(this.index)) : NO_ANSWER;
-    this.tell({ kind: 'head-read', id, result });
+    this.handle({ kind: 'head-read', id, result });
   }
 
   private async readSegments(id: number): Promise<void> {
-    const result = await this.around.store.list(getSegmentPrefix(this.index));
-    this.tell({ kind: 'segments-read', id, result });
+    const result = await this.context.store.list(getSegmentPrefix(this.index));
+    this.handle({ kind: 'segments-read', id, result });
   }
 
   private async write(effect: Extract<ShardEffect, { kind: 'write' }>): Promise<void> {
     const { id, key, value, expectedVersion } = effect;
-    const result = await this.around.store.put(key, value, expectedVersion);
-    this.tell({ kind: 'written', id, result });
+    const result = await this.context.store.put(key, value, expectedVersion);
+    this.handle({ kind: 'written', id, result });
   }
 
   private startCall(effect: Extract<ShardEffect, { kind: 'call-peer' }>): void {
     const call = this.callPeer(effect);
     if (effect.message.kind === 'take') {
-      this.offer = call;
+      this.lastOffer = call;
     }
   }
 
   private async callPeer(effect: Extract<ShardEffect, { kind: 'call-peer' }>): Promise<void> {
     const { id, peer, message } = effect;
-    this.around.counters.witnessCalls += message.kind === 'remember' ? 1 : 0;
-    const reply = await this.around.callPeer(peer, message);
-    this.tell({ kind: 'peer-replied', id, reply });
+    this.context.counters.witnessCalls += message.kind === 'remember' ? 1 : 0;
+    const response = await this.context.callPeer(peer, message);
+    this.handle({ kind: 'peer-responded', id, response });
   }
 
   private setTimer(at: Milliseconds): void {
@@ -186,10 +189,10 @@
     }
     this.timer?.cancel();
     this.timerAt = at;
-    const { clock } = this.around;
+    const { clock } = this.context;
     this.timer = clock.setTimer(at - clock.now(), () => {
       this.timerAt = Number.POSITIVE_INFINITY;
-      this.tell({ kind: 'wake' });
+      this.handle({ kind: 'wake' });
     });
   }
 }
--- a/packages/claims/src/lib/ClaimManager/StoreGateway.ts
+++ b/packages/claims/src/lib/ClaimManager/StoreGateway.ts
@@ -3,7 +3,11 @@
 import type { ClaimCounters } from '../ClaimCounters.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import { NO_ANSWER } from '../ClaimShard/shardMessages.js';
-import type { HeadRead, SegmentsRead, WriteResult } from '../ClaimShard/shardMessages.js';
+import type {
+  HeadReadResult,
+  SegmentsReadResult,
+  WriteResult,
+} from '../ClaimShard/shardMessages.js';
 import { withTimeout } from './timing.js';
 
 /**
@@ -18,29 +22,29 @@
     private readonly counters: ClaimCounters,
   ) {}
 
-  async get(key: string): Promise<HeadRead> {
+  async get(key: string): Promise<HeadReadResult> {
     this.counters.storeReads += 1;
     const read = async () => ({ object: await this.store.get(key) });
-    return this.bound(read());
+    return this.callWithTimeout(read());
   }
 
-  async list(prefix: string): Promise<SegmentsRead> {
+  async list(prefix: string): Promise<SegmentsReadResult> {
     this.counters.storeLists += 1;
-    return this.bound<StoredObject[]>(this.store.list(prefix));
+    return this.callWithTimeout<StoredObject[]>(this.store.list(prefix));
   }
 
   async put(key: string, value: string, expectedVersion: number): Promise<WriteResult> {
     this.counters.storeWrites += 1;
     this.counters.storeWrittenSize += value.length;
-    return this.bound(this.store.put(key, value, expectedVersion));
+    return this.callWithTimeout(this.store.put(key, value, expectedVersion));
   }
 
   async delete(key: string, expectedVersion: number): Promise<WriteResult> {
     this.counters.storeDeletes += 1;
-    return this.bound(this.store.delete(key, expectedVersion));
+    return this.callWithTimeout(this.store.delete(key, expectedVersion));
   }
 
-  private async bound<Value>(call: Promise<Value>): Promise<Value | typeof NO_ANSWER> {
+  private async callWithTimeout<Value>(call: Promise<Value>): Promise<Value | typeof NO_ANSWER> {
     const { storeTimeout } = this.options;
     const result = await withTimeout<Value, typeof NO_ANSWER>(
       this.clock,
--- a/packages/claims/src/lib/ClaimManager/claims.fuzz.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claims.fuzz.test.ts
@@ -19,7 +19,7 @@
         const world = new ClaimWorld(scheduler);
         await world.start();
         await fc.asyncModelRun(() => ({ model: {}, real: world }), commands);
-        await world.calm();
+        await world.recover();
         world.check();
         const [first, second] = world.cluster.daemons;
         const granted = await world.cluster.ask(first!, 'after');
--- a/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
+++ b/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
@@ -1,4 +1,4 @@
-import { getHandle, start } from '../../test/claimScenario.js';
+import { expectGranted, startCluster } from '../../test/claimScenario.js';
 import { TEST_OPTIONS } from '../../test/TestCluster.js';
 import type { TestCluster } from '../../test/TestCluster.js';
 import type { TestDaemon } from '../../test/TestDaemon.js';
@@ -9,7 +9,9 @@
   const members = cluster
     .getLive()
     .map((member) => (member === seen.member ? { ...member, standing } : member));
-  cluster.daemons.filter(({ isCrashed }) => !isCrashed).forEach((daemon) => daemon.look(members));
+  cluster.daemons
+    .filter(({ isCrashed }) => !isCrashed)
+    .forEach((daemon) => daemon.setMembers(members));
 }
 
 describe('a claim among members that come and go', () => {
@@ -17,13 +19,13 @@
   // announces that it shuts down and still owns its shard; the next daemon is asked. Cause: who gets
   // no new duties is taken for gone, and its shard is taken from it by force.
   it('stays with an owner that shuts down until it hands over', async () => {
-    const { cluster, owner, next, other } = await start();
+    const { cluster, owner, next, other } = await startCluster();
     lookAt(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
-    getHandle(await cluster.ask(next, 'before'));
+    expectGranted(await cluster.ask(next, 'before'));
     await cluster.complete(owner.claims.handOver(2000));
-    getHandle(await cluster.ask(other, 'after'));
-    const proofs = cluster.getDecisions('shard-taken').map(({ proof }) => proof);
+    expectGranted(await cluster.ask(other, 'after'));
+    const proofs = cluster.getEvents('shard-taken').map(({ proof }) => proof);
     expect(proofs.sort()).toEqual(['clean', 'fresh']);
   });
 
@@ -37,7 +39,7 @@
             take = resolve;
           })
         : Promise.resolve();
-    const { cluster, owner } = await start(deliver);
+    const { cluster, owner } = await startCluster(deliver);
     let isDone = false;
     const done = owner.claims.handOver(2000).finally(() => {
       isDone = true;
@@ -46,22 +48,22 @@
     expect({ owned: owner.claims.getOwnedShards(), isDone }).toEqual({ owned: [], isDone: false });
     take();
     await cluster.complete(done);
-    expect(cluster.getDecisions('shard-taken')).toHaveLength(2);
+    expect(cluster.getEvents('shard-taken')).toHaveLength(2);
   });
 
   // The same, where the offer is lost and the next owner has looked too early.
   it('is taken by whoever is asked next when the offer was lost', async () => {
-    const { cluster, owner, next, other } = await start();
+    const { cluster, owner, next, other } = await startCluster();
     lookAt(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
     cluster.daemons
       .filter((daemon) => daemon !== owner)
-      .forEach((peer) => cluster.cut(owner, peer));
+      .forEach((peer) => cluster.breakLink(owner, peer));
     await cluster.complete(owner.claims.handOver(2000));
     owner.crash();
-    cluster.lookAll();
-    getHandle(await cluster.ask(next, 'one'));
-    getHandle(await cluster.ask(other, 'two'));
+    cluster.updateAllMembers();
+    expectGranted(await cluster.ask(next, 'one'));
+    expectGranted(await cluster.ask(other, 'two'));
   });
 
   // Symptom: a caller is told that nobody knows whether its hold ran, while it runs. Sequence: the
@@ -69,8 +71,8 @@
   it.each([MemberStanding.Passive, MemberStanding.Doubted])(
     'is in progress while the daemon that runs it is %s',
     async (standing) => {
-      const { cluster, next, other } = await start();
-      getHandle(await cluster.ask(other, 'hold'));
+      const { cluster, next, other } = await startCluster();
+      expectGranted(await cluster.ask(other, 'hold'));
       lookAt(cluster, other, standing);
       expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
     },
@@ -80,12 +82,12 @@
   // the time. Sequence: the witness starts again; a moment later its owner crashes. Cause: the owner
   // goes on naming a process that has ended until the members have settled.
   it('has a new witness at once when the old one has ended', async () => {
-    const { cluster, owner, witness, next } = await start();
+    const { cluster, owner, witness, next } = await startCluster();
     cluster.restart(witness);
-    cluster.lookAll();
+    cluster.updateAllMembers();
     await cluster.run(TEST_OPTIONS.moveDelay! / 5);
     owner.crash();
-    cluster.lookAll();
+    cluster.updateAllMembers();
     expect((await cluster.ask(next, 'new')).kind).toBe('granted');
   });
 });
--- a/packages/claims/src/lib/ClaimManager/timing.ts
+++ b/packages/claims/src/lib/ClaimManager/timing.ts
@@ -13,12 +13,12 @@
  */
 export function withTimeout<Value, Fallback>(
   clock: Clock,
-  span: Milliseconds,
+  timeout: Milliseconds,
   promise: Promise<Value>,
   fallback: Fallback,
 ): Promise<Value | Fallback> {
   return new Promise((resolve) => {
-    const timer = clock.setTimer(span, () => resolve(fallback));
+    const timer = clock.setTimer(timeout, () => resolve(fallback));
     const end = (value: Value | Fallback) => {
       timer.cancel();
       resolve(value);
--- a/packages/claims/src/lib/ClaimOptions.ts
+++ b/packages/claims/src/lib/ClaimOptions.ts
@@ -2,7 +2,7 @@
 
 /**
  * The tunables of this package. Every daemon of a region must run with the same values of `shards`,
- * `retention`, `claimTimeout` and `witnessSpan`: the safety argument compares them across daemons.
+ * `retention`, `claimTimeout` and `witnessTrustTimeout`: the safety argument compares them across daemons.
  *
  * @public
  */
@@ -33,33 +33,33 @@
    * owns the shard. Longer carries longer outages, and lengthens the quarantine after a takeover
    * that can reach neither the old owner nor its witness.
    */
-  witnessSpan: Milliseconds;
+  witnessTrustTimeout: Milliseconds;
   /** How often an idle owner reads its object to prove that it still owns it. */
   verifyInterval: Milliseconds;
   /** How long a change of the members rests before shards and witnesses move. */
   moveDelay: Milliseconds;
   /** How long an owner keeps a shard before it hands it over to a preferred member. */
-  minimumTenure: Milliseconds;
+  minTenure: Milliseconds;
   /** How long a daemon leaves a shard alone after it lost it or could not take it. */
-  takeBackDelay: Milliseconds;
+  takeoverCooldown: Milliseconds;
   /** First and longest wait between tries at a store, witness or owner that does not answer. */
   retryDelay: Milliseconds;
-  retryDelayLimit: Milliseconds;
+  maxRetryDelay: Milliseconds;
   /** How many members, in order of preference, an entry daemon asks for a shard's owner. */
   candidates: number;
   /** Longest answer kept whole for repeats, in bytes; of a longer one only the status is. */
-  answerLimit: number;
+  maxResponseSize: number;
   /** Settled entries of more bytes than this are moved from the head into segments. */
-  rollSize: number;
+  segmentThreshold: number;
   /** Most bytes of one segment object. */
-  segmentSize: number;
+  maxSegmentSize: number;
   /**
    * Most bytes of entries in a head: beyond it new keys are refused, and of answers only the status
    * is kept. Well under the megabyte that the store takes.
    */
-  headLimit: number;
+  maxHeadSize: number;
   /** Most keys a shard remembers; new keys are refused beyond it. */
-  entryLimit: number;
+  maxEntries: number;
 }
 
 const SECOND = 1000;
@@ -83,19 +83,19 @@
   callTimeout: SECOND,
   storeTimeout: SECOND,
   witnessDelay: 250,
-  witnessSpan: 60 * MINUTE,
+  witnessTrustTimeout: 60 * MINUTE,
   verifyInterval: MINUTE,
   moveDelay: 5 * SECOND,
-  minimumTenure: 30 * SECOND,
-  takeBackDelay: 5 * SECOND,
+  minTenure: 30 * SECOND,
+  takeoverCooldown: 5 * SECOND,
   retryDelay: 50,
-  retryDelayLimit: 2 * SECOND,
+  maxRetryDelay: 2 * SECOND,
   candidates: 3,
-  answerLimit: 4 * KIBIBYTE,
-  rollSize: 16 * KIBIBYTE,
-  segmentSize: 512 * KIBIBYTE,
-  headLimit: 768 * KIBIBYTE,
-  entryLimit: 20_000,
+  maxResponseSize: 4 * KIBIBYTE,
+  segmentThreshold: 16 * KIBIBYTE,
+  maxSegmentSize: 512 * KIBIBYTE,
+  maxHeadSize: 768 * KIBIBYTE,
+  maxEntries: 20_000,
 };
 
 /**
--- a/packages/claims/src/lib/ClaimShard/Backoff.ts
+++ b/packages/claims/src/lib/ClaimShard/Backoff.ts
@@ -4,19 +4,19 @@
 export class Backoff {
   private failures = 0;
 
-  private next: Milliseconds = Number.NEGATIVE_INFINITY;
+  private nextAttempt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param first - the wait after the second failure in a row
-   * @param limit - the longest wait
+   * @param initialDelay - the delay after the second failure in a row
+   * @param maxDelay - the longest delay
    */
   constructor(
-    private readonly first: Milliseconds,
-    private readonly limit: Milliseconds,
+    private readonly initialDelay: Milliseconds,
+    private readonly maxDelay: Milliseconds,
   ) {}
 
-  get due(): Milliseconds {
-    return this.next;
+  get nextAttemptAt(): Milliseconds {
+    return this.nextAttempt;
   }
 
   get isFailing(): boolean {
@@ -24,18 +24,18 @@
   }
 
   /** More than one failure in a row: not merely a lost answer. */
-  get isDown(): boolean {
+  get hasRepeatedFailures(): boolean {
     return this.failures > 1;
   }
 
-  fail(now: Milliseconds): void {
-    const wait = this.failures === 0 ? 0 : this.first * 2 ** (this.failures - 1);
-    this.next = now + Math.min(wait, this.limit);
+  recordFailure(now: Milliseconds): void {
+    const delay = this.failures === 0 ? 0 : this.initialDelay * 2 ** (this.failures - 1);
+    this.nextAttempt = now + Math.min(delay, this.maxDelay);
     this.failures += 1;
   }
 
-  succeed(): void {
+  recordSuccess(): void {
     this.failures = 0;
-    this.next = Number.NEGATIVE_INFINITY;
+    this.nextAttempt = Number.NEGATIVE_INFINITY;
   }
 }
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -3,9 +3,9 @@
 import type { ClaimOutcome } from '../claimTypes.js';
 import { RefusalReason, UnknownCause } from '../claimTypes.js';
 import type { ClaimEntry, OwnerResponse } from '../messages.js';
-import { getKeptOutcome } from '../truncateOutcome.js';
+import { truncateOutcome } from '../truncateOutcome.js';
 import { EntryState } from '../messages.js';
-import { applyOutcome, createEntry, getAnswerForRepeat } from './entries.js';
+import { applyOutcome, createEntry, getResponseForRepeat } from './entries.js';
 import type { ShardCall, ShardContext } from './shardMessages.js';
 import type { ShardTable } from './ShardTable.js';
 import type { WaitingCalls } from './WaitingCalls.js';
@@ -15,7 +15,7 @@
 type SettleCall = Extract<ShardCall, { kind: 'settle' }>;
 
 /** What the processor needs of the ownership around it. */
-export interface ProcessorSource {
+export interface CallProcessorHost {
   getEpoch(): number;
   /** Whether keys may have been granted that the table does not hold. */
   isQuarantined(): boolean;
@@ -37,23 +37,23 @@
     private readonly context: ShardContext,
     private readonly table: ShardTable,
     private readonly waiting: WaitingCalls,
-    private readonly source: ProcessorSource,
+    private readonly host: CallProcessorHost,
   ) {}
 
   claim(input: ClaimCall, now: Milliseconds): void {
     const { request } = input;
     const entry = this.table.get(request.name, now);
     if (entry?.claim === request.claim && entry.state === EntryState.Running) {
-      // The same try again, after its first reply was lost: it waits for the same mutation.
+      // The same try again, after its first response was lost: it waits for the same mutation.
       this.waiting.add({ input, sequence: entry.sequence, since: now });
     } else if (entry !== undefined) {
-      this.answer(input, getAnswerForRepeat(entry, request, this.context, now));
+      this.respond(input, getResponseForRepeat(entry, request, this.context, now));
     } else if (this.isAbandoned(request.claim, now)) {
       this.refuse(input, RefusalReason.Timeout);
-    } else if (this.source.isQuarantined()) {
-      this.answer(input, { kind: 'unknown', cause: UnknownCause.Quarantine });
+    } else if (this.host.isQuarantined()) {
+      this.respond(input, { kind: 'unknown', cause: UnknownCause.Quarantine });
     } else {
-      this.claimNew(input, now);
+      this.claimNewKey(input, now);
     }
   }
 
@@ -61,15 +61,16 @@
     const { request } = input;
     const entry = this.table.get(request.name, now);
     if (entry?.claim === request.claim && entry.state !== EntryState.Settled) {
-      this.change(entry, input.outcome, now);
-    } else if (entry === undefined && this.source.isQuarantined()) {
-      this.learn(input, now);
+      this.recordOutcome(entry, input.outcome, now);
+    } else if (entry === undefined && this.host.isQuarantined()) {
+      this.restoreFromOutcome(input, now);
     }
     if (input.outcome.kind === 'not-run') {
       this.abandon(request.claim, now);
     }
     const kept = this.table.get(request.name, now);
-    const sequence = kept?.claim === request.claim ? kept.sequence : this.getProof(now);
+    const sequence =
+      kept?.claim === request.claim ? kept.sequence : this.requestOwnershipProof(now);
     this.waiting.add({ input, sequence, since: now });
   }
 
@@ -79,40 +80,40 @@
    * stored here, the outcome would be reported no more, and repeats of a request that was answered
    * would be told that it runs. The commit shows whose shard it is.
    */
-  private getProof(now: Milliseconds): number {
-    return this.source.requireCommit(now + this.context.options.settleDelay);
+  private requestOwnershipProof(now: Milliseconds): number {
+    return this.host.requireCommit(now + this.context.options.settleDelay);
   }
 
-  private change(entry: ClaimEntry, outcome: ClaimOutcome, now: Milliseconds): void {
+  private recordOutcome(entry: ClaimEntry, outcome: ClaimOutcome, now: Milliseconds): void {
     const { options } = this.context;
     // During a long outage nothing leaves the head: keep it under the store's limit.
-    const isFull = this.table.size >= options.headLimit / 2;
-    const kept = getKeptOutcome(outcome, isFull ? 0 : options.answerLimit);
-    const changed = applyOutcome(entry, kept, options, now);
-    this.source.mutate(entry.name, entry.claim, changed, now + options.settleDelay);
+    const isFull = this.table.size >= options.maxHeadSize / 2;
+    const stored = truncateOutcome(outcome, isFull ? 0 : options.maxResponseSize);
+    const changed = applyOutcome(entry, stored, options, now);
+    this.host.mutate(entry.name, entry.claim, changed, now + options.settleDelay);
   }
 
   /** The outcome of a grant that was lost with the last owner and its witness. */
-  private learn({ request, outcome }: SettleCall, now: Milliseconds): void {
+  private restoreFromOutcome({ request, outcome }: SettleCall, now: Milliseconds): void {
     if (outcome.kind !== 'not-run') {
-      const sequence = this.source.getSequence() + 1;
-      this.change(createEntry(request, this.context.options, sequence, now), outcome, now);
+      const sequence = this.host.getSequence() + 1;
+      this.recordOutcome(createEntry(request, this.context.options, sequence, now), outcome, now);
     }
   }
 
-  private claimNew(input: ClaimCall, now: Milliseconds): void {
+  private claimNewKey(input: ClaimCall, now: Milliseconds): void {
     const { options } = this.context;
     const { request } = input;
     // A full shard that refuses everything has nothing to commit, and a commit is when old keys are
     // cleared out otherwise: it would stay full for good.
     this.table.expire(now);
-    if (!this.source.canGrant(now)) {
+    if (!this.host.canGrant(now)) {
       this.refuse(input, RefusalReason.StoreUnavailable);
-    } else if (this.table.count >= options.entryLimit || this.table.size >= options.headLimit) {
+    } else if (this.table.count >= options.maxEntries || this.table.size >= options.maxHeadSize) {
       this.refuse(input, RefusalReason.Overload);
     } else {
-      const entry = createEntry(request, options, this.source.getSequence() + 1, now);
-      this.source.mutate(entry.name, entry.claim, entry, now);
+      const entry = createEntry(request, options, this.host.getSequence() + 1, now);
+      this.host.mutate(entry.name, entry.claim, entry, now);
       this.waiting.add({ input, sequence: entry.sequence, since: now });
     }
   }
@@ -136,21 +137,21 @@
     return (this.abandoned.get(claim) ?? now) > now;
   }
 
-  private answer(input: ClaimCall, answer: OwnerResponse): void {
+  private respond(input: ClaimCall, response: OwnerResponse): void {
     const { shard, emit } = this.context;
-    emit({ kind: 'reply', call: input.call, reply: { kind: 'answer', answer } });
+    emit({ kind: 'respond', call: input.call, response: { kind: 'answer', answer: response } });
     const { requestId, holder } = input.request;
     const source = AnswerSource.Memory;
-    const facts = { shard, epoch: this.source.getEpoch(), requestId, holder: holder.id, source };
-    emit({ kind: 'decision', decision: { kind: 'claim-answered', answer: answer.kind, ...facts } });
+    const fields = { shard, epoch: this.host.getEpoch(), requestId, holder: holder.id, source };
+    emit({ kind: 'event', event: { kind: 'claim-answered', answer: response.kind, ...fields } });
   }
 
   private refuse(input: ClaimCall, reason: RefusalReason): void {
     const { shard, emit, options } = this.context;
-    const retryAfter = options.retryDelayLimit;
-    const reply = { kind: 'refused' as const, reason, retryAfter, held: false };
-    emit({ kind: 'reply', call: input.call, reply });
+    const retryAfter = options.maxRetryDelay;
+    const response = { kind: 'refused' as const, reason, retryAfter, held: false };
+    emit({ kind: 'respond', call: input.call, response });
     const { requestId } = input.request;
-    emit({ kind: 'decision', decision: { kind: 'claim-refused', shard, requestId, reason } });
+    emit({ kind: 'event', event: { kind: 'claim-refused', shard, requestId, reason } });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
@@ -3,9 +3,9 @@
 import { getOwnerOrder } from '../placement.js';
 import type { ShardHead } from '../ShardHead.js';
 import { ClaimShard } from './ClaimShard.js';
-import { getDoubtSpan } from './Quarantine.js';
+import { getQuarantineDuration } from './Quarantine.js';
 import { NO_ANSWER } from './shardMessages.js';
-import type { HeadRead, ShardEffect, ShardInput } from './shardMessages.js';
+import type { HeadReadResult, ShardEffect, ShardInput } from './shardMessages.js';
 
 const options = createClaimOptions();
 
@@ -29,8 +29,8 @@
   },
 };
 
-/** The shard's core, with what it wanted done since the last input. */
-class CoreUnderTest {
+/** The shard's harness, with what it wanted done since the last input. */
+class ShardHarness {
   effects: ShardEffect[] = [];
 
   private readonly shard: ClaimShard;
@@ -51,7 +51,7 @@
     });
   }
 
-  tell(input: ShardInput, now: number): void {
+  handle(input: ShardInput, now: number): void {
     this.effects = [];
     this.shard.handle(input, now);
   }
@@ -62,20 +62,20 @@
   }
 
   /** Answers the read under way, and one of segments if it follows. */
-  read(result: HeadRead, now: number, id = this.get('read-head').id): void {
-    this.tell({ kind: 'head-read', id, result }, now);
+  read(result: HeadReadResult, now: number, id = this.get('read-head').id): void {
+    this.handle({ kind: 'head-read', id, result }, now);
     this.readSegments(now);
   }
 
   readSegments(now: number): void {
     const segments = this.get('read-segments');
     if (segments !== undefined) {
-      this.tell({ kind: 'segments-read', id: segments.id, result: [] }, now);
+      this.handle({ kind: 'segments-read', id: segments.id, result: [] }, now);
     }
   }
 }
 
-function createRead(changes: Partial<ShardHead>): HeadRead {
+function createRead(changes: Partial<ShardHead>): HeadReadResult {
   const head = { owner: GONE, epoch: 4, witness: WITNESS, commit: 'gone.1.9', sequence: 2 };
   const rest = { clean: false, writtenAt: 5, doubts: [], segments: [], entries: [] };
   const value = JSON.stringify({ ...head, ...rest, ...changes });
@@ -87,70 +87,70 @@
   // that takes the shard is slow; the last owner sees its shard confirmed meanwhile and trusts its
   // witness from then on. Cause: the quarantine is counted from before the write.
   it('counts a quarantine from when its takeover took effect', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    core.read(createRead({}), 110);
-    const { id } = core.get('call-peer');
-    core.tell({ kind: 'peer-replied', id, reply: undefined }, 120);
-    core.readSegments(120);
-    const write = core.get('write');
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    harness.read(createRead({}), 110);
+    const { id } = harness.get('call-peer');
+    harness.handle({ kind: 'peer-responded', id, response: undefined }, 120);
+    harness.readSegments(120);
+    const write = harness.get('write');
     expect(write.expectedVersion).toBe(11);
     const result = { kind: 'accepted' as const, version: 12 };
-    core.tell({ kind: 'written', id: write.id, result }, 900);
-    expect(core.get('decision').decision).toMatchObject({ kind: 'shard-taken', proof: 'none' });
-    const end = 900 + getDoubtSpan(options);
-    core.tell({ kind: 'wake' }, end - 1);
-    expect(core.get('decision')).toBeUndefined();
-    core.tell({ kind: 'wake' }, end);
-    expect(core.get('decision').decision.kind).toBe('quarantine-ended');
+    harness.handle({ kind: 'written', id: write.id, result }, 900);
+    expect(harness.get('event').event).toMatchObject({ kind: 'shard-taken', proof: 'none' });
+    const end = 900 + getQuarantineDuration(options);
+    harness.handle({ kind: 'wake' }, end - 1);
+    expect(harness.get('event')).toBeUndefined();
+    harness.handle({ kind: 'wake' }, end);
+    expect(harness.get('event').event.kind).toBe('quarantine-ended');
   });
 
   // Symptom: a shard in quarantine although nobody died. Sequence: a takeover takes effect, its
   // confirmation is lost, and its witness is not reachable. Cause: the owner does not recognise its
   // own commit, and takes itself for a last owner whose grants it cannot know.
   it('recognises its own takeover after a lost confirmation', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    core.read({ object: undefined }, 110);
-    const write = core.get('write');
-    core.tell({ kind: 'written', id: write.id, result: NO_ANSWER }, 120);
-    core.tell({ kind: 'rebalance' }, 200);
-    core.read({ object: { key: 'claims/0', value: write.value, version: 7 } }, 210);
-    expect(core.get('decision').decision).toMatchObject({ kind: 'shard-taken', epoch: 1 });
-    expect(core.get('call-peer')).toBeUndefined();
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    harness.read({ object: undefined }, 110);
+    const write = harness.get('write');
+    harness.handle({ kind: 'written', id: write.id, result: NO_ANSWER }, 120);
+    harness.handle({ kind: 'rebalance' }, 200);
+    harness.read({ object: { key: 'claims/0', value: write.value, version: 7 } }, 210);
+    expect(harness.get('event').event).toMatchObject({ kind: 'shard-taken', epoch: 1 });
+    expect(harness.get('call-peer')).toBeUndefined();
   });
 
   // Symptom: claims of a shard are refused for seconds after its owner left gracefully. Sequence:
   // the next owner reads the object, the last one writes and offers it, the read arrives. Cause: an
   // offer during a takeover is dropped, and the object is left alone for a while.
   it('takes up an offer that came while it was reading', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    const { id } = core.get('read-head');
-    core.tell({ kind: 'take' }, 105);
-    core.read(createRead({ owner: WITNESS }), 110, id);
-    core.read(createRead({ owner: WITNESS, clean: true }), 120);
-    expect(core.get('write').expectedVersion).toBe(11);
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    const { id } = harness.get('read-head');
+    harness.handle({ kind: 'take' }, 105);
+    harness.read(createRead({ owner: WITNESS }), 110, id);
+    harness.read(createRead({ owner: WITNESS, clean: true }), 120);
+    expect(harness.get('write').expectedVersion).toBe(11);
   });
 
   // Symptom: the store's writes rise and claims are slow for as long as two views differ. Sequence:
   // each of two daemons believes the other dead and takes the shard back with the next claim.
   // Cause: no rest after a loss.
   it('leaves a shard alone for a while after it lost it', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    core.read({ object: undefined }, 100);
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    harness.read({ object: undefined }, 100);
     const result = { kind: 'accepted' as const, version: 1 };
-    core.tell({ kind: 'written', id: core.get('write').id, result }, 100);
-    core.tell(claim, 200);
-    const { id } = core.get('write');
+    harness.handle({ kind: 'written', id: harness.get('write').id, result }, 100);
+    harness.handle(claim, 200);
+    const { id } = harness.get('write');
     const current = Object(createRead({})).object;
-    core.tell({ kind: 'written', id, result: { kind: 'conflict', current } }, 210);
-    expect(core.get('reply').reply).toEqual({ kind: 'not-owner', owner: GONE });
-    core.tell(claim, 210 + options.takeBackDelay - 1);
-    expect(core.get('reply').reply).toEqual({ kind: 'not-owner', owner: GONE });
-    core.tell(claim, 210 + options.takeBackDelay);
-    expect(core.get('read-head')).toBeDefined();
+    harness.handle({ kind: 'written', id, result: { kind: 'conflict', current } }, 210);
+    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
+    harness.handle(claim, 210 + options.takeoverCooldown - 1);
+    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
+    harness.handle(claim, 210 + options.takeoverCooldown);
+    expect(harness.get('read-head')).toBeDefined();
   });
 
   // At a restart of all daemons in turn, holds were refused for up to five seconds after a planned
@@ -161,26 +161,32 @@
   // stopped. The log of shard 7: `shard-left cause=handed-over to=daemon-4` at 09.248, at daemon-4
   // `shard-left cause=conflict to=daemon-1` at 09.728 and `shard-taken proof=clean` at 15.000.
   it('takes a shard at once that it lost to an owner who has left it since', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    core.read({ object: undefined }, 100);
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    harness.read({ object: undefined }, 100);
     const result = { kind: 'accepted' as const, version: 1 };
-    core.tell({ kind: 'written', id: core.get('write').id, result }, 100);
-    core.tell({ kind: 'take' }, 150);
-    core.tell(claim, 200);
+    harness.handle({ kind: 'written', id: harness.get('write').id, result }, 100);
+    harness.handle({ kind: 'take' }, 150);
+    harness.handle(claim, 200);
     const left = createRead({ clean: true });
     const current = Object(left).object;
-    core.tell(
-      { kind: 'written', id: core.get('write').id, result: { kind: 'conflict', current } },
+    harness.handle(
+      { kind: 'written', id: harness.get('write').id, result: { kind: 'conflict', current } },
       210,
     );
-    expect(core.get('reply')).toBeUndefined();
-    core.read(left, 220);
+    expect(harness.get('respond')).toBeUndefined();
+    harness.read(left, 220);
     const taken = { kind: 'accepted' as const, version: 12 };
-    core.tell({ kind: 'written', id: core.get('write').id, result: taken }, 230);
-    const granting = core.get('write');
-    core.tell({ kind: 'written', id: granting.id, result: { kind: 'accepted', version: 13 } }, 240);
-    expect(core.get('reply').reply).toEqual({ kind: 'answer', answer: { kind: 'granted' } });
+    harness.handle({ kind: 'written', id: harness.get('write').id, result: taken }, 230);
+    const granting = harness.get('write');
+    harness.handle(
+      { kind: 'written', id: granting.id, result: { kind: 'accepted', version: 13 } },
+      240,
+    );
+    expect(harness.get('respond').response).toEqual({
+      kind: 'answer',
+      answer: { kind: 'granted' },
+    });
   });
 
   // A hold was answered, and for two minutes each repeat was told that it runs. Its daemon had taken the
@@ -190,33 +196,33 @@
   // knew only of the grant. In the log: `settle kind=answered` at 34.256, `shard-left epoch=1 cause=conflict` at
   // 34.280, and from 39.332 on `claim-answered answer=in-progress`, 2,000 times.
   it('calls an outcome stored only when the store has shown that the shard is still its own', () => {
-    const core = new CoreUnderTest();
-    core.tell({ kind: 'rebalance' }, 100);
-    core.read({ object: undefined }, 100);
+    const harness = new ShardHarness();
+    harness.handle({ kind: 'rebalance' }, 100);
+    harness.read({ object: undefined }, 100);
     const result = { kind: 'accepted' as const, version: 1 };
-    core.tell({ kind: 'written', id: core.get('write').id, result }, 100);
+    harness.handle({ kind: 'written', id: harness.get('write').id, result }, 100);
     const { request } = claim;
-    core.tell({ kind: 'settle', call: 2, request, outcome: { kind: 'unknown' } }, 200);
-    expect(core.get('reply')).toBeUndefined();
-    core.tell({ kind: 'wake' }, 200 + options.settleDelay);
-    const { id } = core.get('write');
+    harness.handle({ kind: 'settle', call: 2, request, outcome: { kind: 'unknown' } }, 200);
+    expect(harness.get('respond')).toBeUndefined();
+    harness.handle({ kind: 'wake' }, 200 + options.settleDelay);
+    const { id } = harness.get('write');
     const current = Object(createRead({})).object;
-    core.tell({ kind: 'written', id, result: { kind: 'conflict', current } }, 1300);
-    expect(core.get('reply').reply).toEqual({ kind: 'not-owner', owner: GONE });
+    harness.handle({ kind: 'written', id, result: { kind: 'conflict', current } }, 1300);
+    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
   });
 
   // Symptom: claims of a shard go on seconds later than its owner's end was noticed. Sequence: the
   // next owner looks just before, and finds an owner that lives. Cause: it rests for the sake of an
   // owner that has since gone.
   it('takes a shard as soon as the owner for whose sake it rested has gone', () => {
-    const core = new CoreUnderTest();
-    core.tell(claim, 100);
-    core.read(createRead({ owner: WITNESS }), 100);
-    expect(core.get('reply').reply).toEqual({ kind: 'not-owner', owner: WITNESS });
-    core.tell(claim, 101);
-    expect(core.get('read-head')).toBeUndefined();
-    core.tell({ kind: 'members', members: [SELF!] }, 102);
-    core.tell(claim, 103);
-    expect(core.get('read-head')).toBeDefined();
+    const harness = new ShardHarness();
+    harness.handle(claim, 100);
+    harness.read(createRead({ owner: WITNESS }), 100);
+    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: WITNESS });
+    harness.handle(claim, 101);
+    expect(harness.get('read-head')).toBeUndefined();
+    harness.handle({ kind: 'members', members: [SELF!] }, 102);
+    harness.handle(claim, 103);
+    expect(harness.get('read-head')).toBeDefined();
   });
 });
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -5,11 +5,11 @@
 import type { ClaimMember } from '../claimTypes.js';
 import type { ClaimResponse } from '../messages.js';
 import { getOwnerOrder } from '../placement.js';
-import { OwnerOutlook } from './OwnerTracker.js';
-import type { OwnershipEnd, OwnershipStart } from './Ownership.js';
+import { OwnerTracker } from './OwnerTracker.js';
+import type { OwnershipEndHandler, OwnershipSettings } from './Ownership.js';
 import { Ownership } from './Ownership.js';
 import type { ShardCall, ShardContext, ShardInput } from './shardMessages.js';
-import type { TakeoverEnd } from './Takeover.js';
+import type { TakeoverResult } from './Takeover.js';
 import { Takeover } from './Takeover.js';
 
 type Phase =
@@ -27,15 +27,15 @@
   private phase: Phase = { kind: 'idle' };
 
   /** Calls that wait for a takeover in progress. */
-  private queued: ShardCall[] = [];
+  private queuedCalls: ShardCall[] = [];
 
   /** Takeovers of ours whose confirmation was lost. */
   private readonly ownCommits = new Set<string>();
 
-  private readonly outlook: OwnerOutlook;
+  private readonly ownerTracker: OwnerTracker;
 
   /** The last owner has left the shard to us since the takeover in progress began. */
-  private isOffered = false;
+  private hasPendingOffer = false;
 
   private isLeaving = false;
 
@@ -45,7 +45,7 @@
   private wakeAt: Milliseconds = Number.POSITIVE_INFINITY;
 
   constructor(private readonly context: ShardContext) {
-    this.outlook = new OwnerOutlook(context);
+    this.ownerTracker = new OwnerTracker(context);
   }
 
   get isOwned(): boolean {
@@ -57,17 +57,17 @@
     switch (input.kind) {
       case 'members':
         this.context.members = input.members;
-        this.onResult(input);
+        this.handleResult(input);
         break;
       case 'claim':
       case 'settle':
-        this.onCall(input);
+        this.handleCall(input);
         break;
       case 'challenge':
-        this.onChallenge(input.call, input.epoch);
+        this.handleChallenge(input.call, input.epoch);
         break;
       case 'take':
-        this.isOffered = true;
+        this.hasPendingOffer = true;
         this.startTakeover();
         break;
       case 'rebalance':
@@ -80,7 +80,7 @@
         this.wakeAt = Number.POSITIVE_INFINITY;
         break;
       default:
-        this.onResult(input);
+        this.handleResult(input);
     }
     this.step();
   }
@@ -92,27 +92,27 @@
     this.phase.ownership.step(this.now);
     // The step may have ended the ownership.
     const next =
-      this.phase.kind === 'owning' ? this.phase.ownership.getNextWake(this.now) : Infinity;
+      this.phase.kind === 'owning' ? this.phase.ownership.getNextWakeTime(this.now) : Infinity;
     if (next < this.wakeAt) {
       this.wakeAt = next;
       this.context.emit({ kind: 'wake', at: next });
     }
   }
 
-  private onCall(input: ShardCall): void {
+  private handleCall(input: ShardCall): void {
     if (this.phase.kind === 'owning') {
       this.phase.ownership.handle(input, this.now);
     } else if (this.phase.kind === 'taking') {
-      this.queued.push(input);
-    } else if (this.mayTake()) {
-      this.queued.push(input);
+      this.queuedCalls.push(input);
+    } else if (this.mayTakeOver()) {
+      this.queuedCalls.push(input);
       this.startTakeover();
     } else {
       this.redirect(input);
     }
   }
 
-  private onResult(input: ShardInput): void {
+  private handleResult(input: ShardInput): void {
     if (this.phase.kind === 'owning') {
       this.phase.ownership.handle(input, this.now);
     } else if (this.phase.kind === 'taking') {
@@ -126,8 +126,8 @@
   }
 
   /** Whether to look at the object now, and to take the shard if nobody has it. */
-  private mayTake(): boolean {
-    if (this.isLeaving || !this.outlook.mayLook(this.now)) {
+  private mayTakeOver(): boolean {
+    if (this.isLeaving || !this.ownerTracker.mayAttemptTakeover(this.now)) {
       return false;
     }
     // A takeover of ours may have taken effect unconfirmed: the others would send everyone here,
@@ -139,55 +139,56 @@
     if (this.phase.kind !== 'idle' || this.isLeaving) {
       return;
     }
-    this.isOffered = false;
-    const onEnd = (end: TakeoverEnd) => this.onTakeoverEnd(end);
+    this.hasPendingOffer = false;
+    const onEnd = (result: TakeoverResult) => this.handleTakeoverEnd(result);
     const takeover = new Takeover(this.context, this.ownCommits, onEnd, this.now);
     this.phase = { kind: 'taking', takeover };
   }
 
-  private onTakeoverEnd(end: TakeoverEnd): void {
+  private handleTakeoverEnd(result: TakeoverResult): void {
     this.phase = { kind: 'idle' };
-    switch (end.kind) {
+    switch (result.kind) {
       case 'taken':
-        this.startOwnership(end.start, end.proof);
+        this.startOwnership(result.settings, result.proof);
         break;
       case 'owned':
-        this.outlook.noteOwner(end.owner, this.now);
+        this.ownerTracker.recordOwner(result.owner, this.now);
         break;
       case 'failed':
-        this.onTakeoverFailed();
+        this.handleTakeoverFailure();
         break;
       default:
-        throw exhaustiveSwitchError(end);
+        throw exhaustiveSwitchError(result);
     }
-    if (this.isOffered) {
+    if (this.hasPendingOffer) {
       // The offer came while we were reading what the last owner had not written yet.
       this.startTakeover();
     }
-    this.releaseQueued();
+    this.releaseQueuedCalls();
   }
 
-  private onTakeoverFailed(): void {
-    const isFirst = this.outlook.noteFailure(this.now);
-    if (isFirst && this.queued.length > 0) {
+  private handleTakeoverFailure(): void {
+    const isFirst = this.ownerTracker.recordFailure(this.now);
+    if (isFirst && this.queuedCalls.length > 0) {
       // One lost answer is no outage: try once more before the callers are turned away.
       this.startTakeover();
     }
   }
 
-  private startOwnership(start: OwnershipStart, proof: TakeoverProof): void {
-    const onEnd: OwnershipEnd = (cause, to) => this.onOwnershipEnd(cause, to);
-    const ownership = new Ownership(this.context, start, this.now, onEnd);
+  private startOwnership(settings: OwnershipSettings, proof: TakeoverProof): void {
+    const onEnd: OwnershipEndHandler = (cause, newOwner) =>
+      this.handleOwnershipEnd(cause, newOwner);
+    const ownership = new Ownership(this.context, settings, this.now, onEnd);
     this.phase = { kind: 'owning', ownership };
     this.ownCommits.clear();
-    this.outlook.noteTaken();
+    this.ownerTracker.recordTakeover();
     const { shard, emit } = this.context;
-    const { epoch, witness } = start.header;
-    const decision = { kind: 'shard-taken' as const, shard, epoch, witness: witness?.id, proof };
-    emit({ kind: 'decision', decision });
+    const { epoch, witness } = settings.header;
+    const event = { kind: 'shard-taken' as const, shard, epoch, witness: witness?.id, proof };
+    emit({ kind: 'event', event });
   }
 
-  private onOwnershipEnd(cause: LossCause, to: ClaimMember | undefined): void {
+  private handleOwnershipEnd(cause: LossCause, newOwner: ClaimMember | undefined): void {
     if (this.phase.kind !== 'owning') {
       return;
     }
@@ -195,39 +196,39 @@
     this.phase = { kind: 'idle' };
     const { shard, emit } = this.context;
     const { epoch } = ownership;
-    emit({ kind: 'decision', decision: { kind: 'shard-left', shard, epoch, to: to?.id, cause } });
-    this.queued.push(...ownership.drain());
-    this.outlook.noteLoss(cause, to, this.now);
-    if (cause === LossCause.HandedOver && to !== undefined) {
+    emit({ kind: 'event', event: { kind: 'shard-left', shard, epoch, to: newOwner?.id, cause } });
+    this.queuedCalls.push(...ownership.drain());
+    this.ownerTracker.recordLoss(cause, newOwner, this.now);
+    if (cause === LossCause.HandedOver && newOwner !== undefined) {
       const { createId } = this.context;
-      emit({ kind: 'call-peer', id: createId(), peer: to, message: { kind: 'take', shard } });
-    } else if (cause === LossCause.Vacant && this.mayTake()) {
+      emit({ kind: 'call-peer', id: createId(), peer: newOwner, message: { kind: 'take', shard } });
+    } else if (cause === LossCause.Vacant && this.mayTakeOver()) {
       this.startTakeover();
     }
-    this.releaseQueued();
+    this.releaseQueuedCalls();
   }
 
   /**
    * A newer owner asks us to let an epoch go. It has taken the shard at the store already, so any
    * epoch of ours up to that one is over, also one whose confirmation we still wait for.
    */
-  private onChallenge(call: number, epoch: number): void {
+  private handleChallenge(call: number, epoch: number): void {
     const { phase } = this;
     this.ownCommits.clear();
     if (phase.kind === 'owning' && phase.ownership.confirmedEpoch <= epoch) {
-      this.reply(call, { kind: 'sealed', mutations: phase.ownership.getLog() });
-      this.onOwnershipEnd(LossCause.Challenged, undefined);
+      this.respond(call, { kind: 'sealed', mutations: phase.ownership.getUncommittedMutations() });
+      this.handleOwnershipEnd(LossCause.Challenged, undefined);
       return;
     }
     if (phase.kind === 'taking') {
       this.phase = { kind: 'idle' };
-      this.releaseQueued();
+      this.releaseQueuedCalls();
     }
-    this.reply(call, { kind: 'gone' });
+    this.respond(call, { kind: 'gone' });
   }
 
   private rebalance(): void {
-    if (this.phase.kind === 'idle' && this.mayTake()) {
+    if (this.phase.kind === 'idle' && this.mayTakeOver()) {
       this.startTakeover();
     }
     if (this.phase.kind !== 'owning') {
@@ -235,19 +236,19 @@
     }
     const { ownership } = this.phase;
     ownership.handle({ kind: 'rebalance' }, this.now);
-    const isOld = this.now - ownership.since >= this.context.options.minimumTenure;
-    if (!this.isPreferred() && isOld && ownership.canMove) {
-      ownership.leave(this.getSuccessor(), this.now);
+    const isOld = this.now - ownership.startedAt >= this.context.options.minTenure;
+    if (!this.isPreferred() && isOld && ownership.canHandOver) {
+      ownership.handOver(this.getSuccessor(), this.now);
     }
   }
 
   private leave(): void {
     this.isLeaving = true;
     if (this.phase.kind === 'owning') {
-      this.phase.ownership.leave(this.getSuccessor(), this.now);
+      this.phase.ownership.handOver(this.getSuccessor(), this.now);
     } else if (this.phase.kind === 'taking') {
       this.phase = { kind: 'idle' };
-      this.releaseQueued();
+      this.releaseQueuedCalls();
     }
   }
 
@@ -256,12 +257,12 @@
     return getOwnerOrder(shard, members).find(({ id }) => id !== self.id);
   }
 
-  private releaseQueued(): void {
-    const calls = this.queued;
-    this.queued = [];
+  private releaseQueuedCalls(): void {
+    const calls = this.queuedCalls;
+    this.queuedCalls = [];
     for (const input of calls) {
       if (this.phase.kind === 'taking') {
-        this.queued.push(input);
+        this.queuedCalls.push(input);
       } else if (this.phase.kind === 'owning') {
         this.phase.ownership.handle(input, this.now);
       } else {
@@ -272,11 +273,12 @@
 
   private redirect(input: ShardCall): void {
     const isOurs = this.isPreferred() && !this.isLeaving;
-    const owner = this.outlook.getOwner(this.now) ?? (isOurs ? undefined : this.getSuccessor());
-    this.reply(input.call, { kind: 'not-owner', owner });
+    const owner =
+      this.ownerTracker.getOwner(this.now) ?? (isOurs ? undefined : this.getSuccessor());
+    this.respond(input.call, { kind: 'not-owner', owner });
   }
 
-  private reply(call: number, reply: ClaimResponse): void {
-    this.context.emit({ kind: 'reply', call, reply });
+  private respond(call: number, response: ClaimResponse): void {
+    this.context.emit({ kind: 'respond', call, response });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/CommitLoop.ts
+++ b/packages/claims/src/lib/ClaimShard/CommitLoop.ts
@@ -4,9 +4,9 @@
 import { getHeadKey, getSegmentKey, parseHead } from '../ShardHead.js';
 import type { SegmentReference, ShardHead } from '../ShardHead.js';
 import { Backoff } from './Backoff.js';
-import { CommitPace } from './CommitRateLimiter.js';
+import { CommitRateLimiter } from './CommitRateLimiter.js';
 import { NO_ANSWER } from './shardMessages.js';
-import type { HeadRead, ShardContext, WriteResult } from './shardMessages.js';
+import type { HeadReadResult, ShardContext, WriteResult } from './shardMessages.js';
 import type { SegmentPlan, ShardTable } from './ShardTable.js';
 
 /** What a commit says of the shard besides its entries. */
@@ -27,7 +27,7 @@
 }
 
 /** What the loop needs of the owner around it. */
-export interface CommitSource {
+export interface CommitLoopHost {
   /** The last mutation made. */
   getSequence(): number;
   createHead(commitId: string, header: CommitHeader, now: Milliseconds): ShardHead;
@@ -49,12 +49,12 @@
  */
 export class CommitLoop {
   /** When the store last showed that the shard is ours: the moment that call was sent. */
-  provedAt: Milliseconds;
+  confirmedAt: Milliseconds;
 
   committed: number;
 
   /** What the next commit says of the shard. */
-  wanted: CommitHeader;
+  nextHeader: CommitHeader;
 
   private pending: Pending | undefined;
 
@@ -65,32 +65,32 @@
 
   private readonly backoff: Backoff;
 
-  private readonly pace: CommitPace;
+  private readonly rateLimiter: CommitRateLimiter;
 
   constructor(
     private readonly context: ShardContext,
     private readonly table: ShardTable,
-    private readonly source: CommitSource,
+    private readonly host: CommitLoopHost,
     /** What the store is known to say. */
     private header: CommitHeader,
     private version: number,
-    start: { sequence: number; provedAt: Milliseconds },
+    start: { sequence: number; confirmedAt: Milliseconds },
   ) {
-    this.wanted = header;
+    this.nextHeader = header;
     this.committed = start.sequence;
-    this.provedAt = start.provedAt;
-    this.pace = new CommitPace(context.options);
-    this.backoff = new Backoff(context.options.retryDelay, context.options.retryDelayLimit);
+    this.confirmedAt = start.confirmedAt;
+    this.rateLimiter = new CommitRateLimiter(context.options);
+    this.backoff = new Backoff(context.options.retryDelay, context.options.maxRetryDelay);
   }
 
   /** The last call gave no answer. */
-  get isUnanswered(): boolean {
+  get isStoreUnresponsive(): boolean {
     return this.backoff.isFailing;
   }
 
   /** The store gave no answer to the look-up after a lost answer either. */
-  get isDown(): boolean {
-    return this.backoff.isDown;
+  get isStoreDown(): boolean {
+    return this.backoff.hasRepeatedFailures;
   }
 
   /**
@@ -98,33 +98,36 @@
    * another one may have taken effect, and the store showed us as the owner not too long ago. A new
    * owner that cannot reach the witness counts on the second.
    */
-  isTrusted(now: Milliseconds): boolean {
-    const isHeaderSure = [...this.unconfirmed.values()].every(
+  isWitnessTrusted(now: Milliseconds): boolean {
+    const isHeaderCertain = [...this.unconfirmed.values()].every(
       ({ header }) => header.epoch === this.header.epoch && !header.clean,
     );
-    return isHeaderSure && now - this.provedAt <= this.context.options.witnessSpan;
+    return isHeaderCertain && now - this.confirmedAt <= this.context.options.witnessTrustTimeout;
   }
 
   /** Asks for a commit that starts by a time. */
   request(at: Milliseconds): void {
-    this.pace.request(at);
+    this.rateLimiter.request(at);
   }
 
-  getNextWake(): Milliseconds {
+  getNextWakeTime(): Milliseconds {
     if (this.pending !== undefined) {
       return Number.POSITIVE_INFINITY;
     }
     if (this.mustReadBack) {
-      return this.backoff.due;
+      return this.backoff.nextAttemptAt;
     }
-    return Math.min(this.pace.due, this.provedAt + this.context.options.verifyInterval);
+    return Math.min(
+      this.rateLimiter.nextStartAt,
+      this.confirmedAt + this.context.options.verifyInterval,
+    );
   }
 
   step(now: Milliseconds): void {
-    if (this.pending !== undefined || now < this.getNextWake()) {
+    if (this.pending !== undefined || now < this.getNextWakeTime()) {
       return;
     }
-    if (!this.mustReadBack && now >= this.pace.due) {
+    if (!this.mustReadBack && now >= this.rateLimiter.nextStartAt) {
       this.write(now);
     } else {
       this.pending = { kind: 'read', id: this.context.createId(), sentAt: now };
@@ -133,48 +136,50 @@
   }
 
   /** @returns whether the result was for this loop */
-  onRead(id: number, result: HeadRead, now: Milliseconds): boolean {
+  handleRead(id: number, result: HeadReadResult, now: Milliseconds): boolean {
     if (this.pending?.kind !== 'read' || this.pending.id !== id) {
       return false;
     }
     const { sentAt } = this.pending;
     this.pending = undefined;
     if (result === NO_ANSWER) {
-      this.onNoAnswer(now);
+      this.handleNoAnswer(now);
     } else {
-      this.onAnswer();
-      this.onHead(result.object, sentAt, now);
+      this.handleAnswer();
+      this.handleHead(result.object, sentAt, now);
     }
     return true;
   }
 
   /** @returns whether the result was for this loop */
-  onWritten(id: number, result: WriteResult, now: Milliseconds): boolean {
+  handleWritten(id: number, result: WriteResult, now: Milliseconds): boolean {
     const { pending } = this;
     if (pending === undefined || pending.kind === 'read' || pending.id !== id) {
       return false;
     }
     this.pending = undefined;
     if (result === NO_ANSWER) {
-      this.onNoAnswer(now);
+      this.handleNoAnswer(now);
       return true;
     }
-    this.onAnswer();
+    this.handleAnswer();
     if (pending.kind === 'segment') {
-      this.onSegment(pending.number, pending.plan, result);
+      this.handleSegmentWritten(pending.number, pending.plan, result);
     } else if (result.kind === 'accepted') {
-      this.adopt(pending.commit, result.version, pending.commit.sentAt, now);
+      this.confirmCommit(pending.commit, result.version, pending.commit.sentAt, now);
     } else {
-      this.onHead(result.current, pending.commit.sentAt, now);
+      this.handleHead(result.current, pending.commit.sentAt, now);
     }
     return true;
   }
 
   private write(now: Milliseconds): void {
-    const { rollSize, segmentSize } = this.context.options;
+    const { segmentThreshold, maxSegmentSize } = this.context.options;
     this.table.expire(now);
     const plan =
-      this.table.rollableSize > rollSize ? this.table.planSegment(segmentSize) : undefined;
+      this.table.movableSize > segmentThreshold
+        ? this.table.planSegment(maxSegmentSize)
+        : undefined;
     if (plan === undefined) {
       this.writeHead(now);
     } else {
@@ -195,14 +200,14 @@
     const { shard, createId, emit } = this.context;
     const commit: Commit = {
       id: `${this.getWriter()}.${createId()}`,
-      header: this.wanted,
-      sequence: this.source.getSequence(),
+      header: this.nextHeader,
+      sequence: this.host.getSequence(),
       dropped: this.table.getExpiredSegments(),
       sentAt: now,
     };
-    this.pace.start(now);
+    this.rateLimiter.start(now);
     this.unconfirmed.set(commit.id, commit);
-    const value = JSON.stringify(this.source.createHead(commit.id, commit.header, now));
+    const value = JSON.stringify(this.host.createHead(commit.id, commit.header, now));
     const id = createId();
     this.pending = { kind: 'head', id, commit };
     emit({ kind: 'write', id, key: getHeadKey(shard), value, expectedVersion: this.version });
@@ -213,28 +218,28 @@
     return `${self.id}.${self.incarnation}`;
   }
 
-  private onNoAnswer(now: Milliseconds): void {
+  private handleNoAnswer(now: Milliseconds): void {
     if (!this.backoff.isFailing) {
-      this.report('store-unavailable');
+      this.emitStoreEvent('store-unavailable');
     }
-    this.backoff.fail(now);
+    this.backoff.recordFailure(now);
     this.mustReadBack = true;
   }
 
-  private onAnswer(): void {
+  private handleAnswer(): void {
     if (this.backoff.isFailing) {
-      this.report('store-answers');
+      this.emitStoreEvent('store-answers');
     }
-    this.backoff.succeed();
+    this.backoff.recordSuccess();
     this.mustReadBack = false;
   }
 
-  private report(kind: 'store-unavailable' | 'store-answers'): void {
+  private emitStoreEvent(kind: 'store-unavailable' | 'store-answers'): void {
     const { shard, emit } = this.context;
-    emit({ kind: 'decision', decision: { kind, shard, epoch: this.header.epoch } });
+    emit({ kind: 'event', event: { kind, shard, epoch: this.header.epoch } });
   }
 
-  private onSegment(
+  private handleSegmentWritten(
     number: number,
     plan: SegmentPlan,
     result: Exclude<WriteResult, typeof NO_ANSWER>,
@@ -250,13 +255,17 @@
     const { shard, emit } = this.context;
     const { epoch } = this.header;
     const sizes = { entries: plan.names.length, size: plan.value.length };
-    emit({ kind: 'decision', decision: { kind: 'segment-written', shard, epoch, ...sizes } });
+    emit({ kind: 'event', event: { kind: 'segment-written', shard, epoch, ...sizes } });
   }
 
   /** The store showed the object at some moment after `sentAt`. */
-  private onHead(object: StoredObject | undefined, sentAt: Milliseconds, now: Milliseconds): void {
+  private handleHead(
+    object: StoredObject | undefined,
+    sentAt: Milliseconds,
+    now: Milliseconds,
+  ): void {
     if (object?.version === this.version) {
-      this.provedAt = Math.max(this.provedAt, sentAt);
+      this.confirmedAt = Math.max(this.confirmedAt, sentAt);
       if (this.unconfirmed.size > 0) {
         // It may still take effect later: keep its id, and write again on the same version, so that
         // only one of the two can.
@@ -267,17 +276,22 @@
     const head = object === undefined ? undefined : parseHead(object.value);
     const own = head === undefined ? undefined : this.unconfirmed.get(head.commit);
     if (own !== undefined) {
-      this.adopt(own, object!.version, sentAt, now);
+      this.confirmCommit(own, object!.version, sentAt, now);
     } else {
-      this.source.onLost(head);
+      this.host.onLost(head);
     }
   }
 
   /** A commit of ours is what the store says. */
-  private adopt(commit: Commit, version: number, sentAt: Milliseconds, now: Milliseconds): void {
+  private confirmCommit(
+    commit: Commit,
+    version: number,
+    sentAt: Milliseconds,
+    now: Milliseconds,
+  ): void {
     this.version = version;
     this.header = commit.header;
-    this.provedAt = Math.max(this.provedAt, sentAt);
+    this.confirmedAt = Math.max(this.confirmedAt, sentAt);
     this.committed = commit.sequence;
     const hasLater = [...this.unconfirmed.keys()].at(-1) !== commit.id;
     // The others carried an older version: none of them can take effect any more.
@@ -290,7 +304,7 @@
       const key = getSegmentKey(shard, segment);
       emit({ kind: 'delete', key, expectedVersion: segment.version });
     }
-    this.table.forgetExpired(commit.dropped);
-    this.source.onCommitted(commit, now);
+    this.table.clearExpiredSegments(commit.dropped);
+    this.host.onCommitted(commit, now);
   }
 }
--- a/packages/claims/src/lib/ClaimShard/OwnerHint.ts
+++ b/packages/claims/src/lib/ClaimShard/OwnerHint.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimMember } from '../claimTypes.js';
-import { isDoubted, isSameProcess } from '../placement.js';
+import { isSuspect, isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
 
 interface Hint {
@@ -21,13 +21,13 @@
       return undefined;
     }
     const isLive = this.context.members.some(
-      (member) => isSameProcess(member, hint.owner) && !isDoubted(member),
+      (member) => isSameProcess(member, hint.owner) && !isSuspect(member),
     );
     return isLive || now < hint.until ? hint.owner : undefined;
   }
 
   set(owner: ClaimMember | undefined, now: Milliseconds): void {
-    const until = now + this.context.options.takeBackDelay;
+    const until = now + this.context.options.takeoverCooldown;
     const isOther = owner !== undefined && !isSameProcess(owner, this.context.self);
     this.hint = isOther ? { owner, until } : undefined;
   }
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -4,32 +4,32 @@
 import type { ClaimEntry, ClaimMutation, ClaimResponse } from '../messages.js';
 import { EntryState } from '../messages.js';
 import { createHead } from '../ShardHead.js';
-import type { Doubt, ShardHead } from '../ShardHead.js';
+import type { UnresolvedEpoch, ShardHead } from '../ShardHead.js';
 import { CallProcessor } from './CallProcessor.js';
-import type { ProcessorSource } from './CallProcessor.js';
-import type { Commit, CommitHeader, CommitSource } from './CommitLoop.js';
+import type { CallProcessorHost } from './CallProcessor.js';
+import type { Commit, CommitHeader, CommitLoopHost } from './CommitLoop.js';
 import { CommitLoop } from './CommitLoop.js';
 import { mergeMutation } from './entries.js';
 import { Quarantine } from './Quarantine.js';
-import type { Clearance } from './Quarantine.js';
+import type { ResolvedEpoch } from './Quarantine.js';
 import type { ShardCall, ShardContext, ShardInput } from './shardMessages.js';
 import type { ShardTable } from './ShardTable.js';
 import { WaitingCalls } from './WaitingCalls.js';
-import { WitnessChoice } from './WitnessSelector.js';
-import { WitnessLink } from './WitnessReplicator.js';
+import { WitnessSelector } from './WitnessSelector.js';
+import { WitnessReplicator } from './WitnessReplicator.js';
 
 /** What a takeover hands to the owner. */
-export interface OwnershipStart {
+export interface OwnershipSettings {
   table: ShardTable;
   header: CommitHeader;
   version: number;
   sequence: number;
-  provedAt: Milliseconds;
-  doubts: Doubt[];
+  confirmedAt: Milliseconds;
+  unresolvedEpochs: UnresolvedEpoch[];
 }
 
 /** Called once, when the shard is no longer ours. */
-export type OwnershipEnd = (cause: LossCause, to: ClaimMember | undefined) => void;
+export type OwnershipEndHandler = (cause: LossCause, newOwner: ClaimMember | undefined) => void;
 
 /**
  * The owner of a shard between a takeover and the shard's loss. It answers at once what the table
@@ -38,7 +38,7 @@
 export class Ownership {
   private readonly table: ShardTable;
 
-  private readonly commits: CommitLoop;
+  private readonly commitLoop: CommitLoop;
 
   private readonly processor: CallProcessor;
 
@@ -46,44 +46,51 @@
 
   private readonly quarantine: Quarantine;
 
-  private link: WitnessLink;
+  private replicator: WitnessReplicator;
 
   private sequence: number;
 
-  private readonly choice: WitnessChoice;
+  private readonly witnessSelector: WitnessSelector;
 
-  private leavingTo: { successor: ClaimMember | undefined } | undefined;
+  private pendingHandOver: { successor: ClaimMember | undefined } | undefined;
 
   constructor(
     private readonly context: ShardContext,
-    start: OwnershipStart,
-    readonly since: Milliseconds,
-    private readonly onEnd: OwnershipEnd,
+    settings: OwnershipSettings,
+    readonly startedAt: Milliseconds,
+    private readonly onEnd: OwnershipEndHandler,
   ) {
-    const { table, header, version, sequence } = start;
+    const { table, header, version, sequence } = settings;
     this.table = table;
     this.sequence = sequence;
-    this.quarantine = new Quarantine(context, start.doubts);
+    this.quarantine = new Quarantine(context, settings.unresolvedEpochs);
     this.waiting = new WaitingCalls(context);
-    this.choice = new WitnessChoice(context);
-    this.commits = new CommitLoop(context, table, this.createSource(), header, version, start);
-    this.link = new WitnessLink(context, header.epoch, header.witness, sequence);
-    const processorSource = this.createProcessorSource();
-    this.processor = new CallProcessor(context, table, this.waiting, processorSource);
+    this.witnessSelector = new WitnessSelector(context);
+    this.commitLoop = new CommitLoop(
+      context,
+      table,
+      this.createCommitLoopHost(),
+      header,
+      version,
+      settings,
+    );
+    this.replicator = new WitnessReplicator(context, header.epoch, header.witness, sequence);
+    const processorHost = this.createCallProcessorHost();
+    this.processor = new CallProcessor(context, table, this.waiting, processorHost);
   }
 
   get epoch(): number {
-    return this.commits.wanted.epoch;
+    return this.commitLoop.nextHeader.epoch;
   }
 
   /** The epoch that the store is known to have. */
   get confirmedEpoch(): number {
-    return this.link.epoch;
+    return this.replicator.epoch;
   }
 
   /** Whether the shard could be handed over now. */
-  get canMove(): boolean {
-    return !this.commits.isUnanswered && this.leavingTo === undefined;
+  get canHandOver(): boolean {
+    return !this.commitLoop.isStoreUnresponsive && this.pendingHandOver === undefined;
   }
 
   /** Takes out the calls that wait. */
@@ -92,32 +99,32 @@
   }
 
   /** What the store does not have yet, for a challenger. */
-  getLog(): ClaimMutation[] {
-    return this.link.getLog();
+  getUncommittedMutations(): ClaimMutation[] {
+    return this.replicator.getUncommittedMutations();
   }
 
   handle(input: ShardInput, now: Milliseconds): void {
     switch (input.kind) {
       case 'claim':
       case 'settle':
-        this.onCall(input, now);
+        this.handleCall(input, now);
         break;
       case 'head-read':
-        this.commits.onRead(input.id, input.result, now);
+        this.commitLoop.handleRead(input.id, input.result, now);
         break;
       case 'written':
-        this.commits.onWritten(input.id, input.result, now);
+        this.commitLoop.handleWritten(input.id, input.result, now);
         break;
-      case 'peer-replied':
-        this.onPeerReply(input.id, input.reply, now);
+      case 'peer-responded':
+        this.handlePeerResponse(input.id, input.response, now);
         break;
       case 'members':
-        if (this.choice.isEnding(this.commits.wanted.witness)) {
+        if (this.witnessSelector.isEnding(this.commitLoop.nextHeader.witness)) {
           this.changeWitness(now);
         }
         break;
       case 'rebalance':
-        if (this.choice.isOutdated(this.commits.wanted.witness)) {
+        if (this.witnessSelector.isOutdated(this.commitLoop.nextHeader.witness)) {
           this.changeWitness(now);
         }
         break;
@@ -131,35 +138,35 @@
     if (this.quarantine.expire(now)) {
       this.endQuarantine(0, now);
     }
-    this.quarantine.ask(now);
-    this.commits.step(now);
-    if (this.getWitnessTime(now) <= now) {
-      this.link.send(now);
+    this.quarantine.requestSeals(now);
+    this.commitLoop.step(now);
+    if (this.getNextWitnessCallTime(now) <= now) {
+      this.replicator.send(now);
     }
-    this.waiting.release(this.commits.committed, this.link.witnessed, this.epoch);
+    this.waiting.release(this.commitLoop.committed, this.replicator.witnessed, this.epoch);
     this.waiting.expire(now);
   }
 
-  getNextWake(now: Milliseconds): Milliseconds {
+  getNextWakeTime(now: Milliseconds): Milliseconds {
     return Math.min(
-      this.quarantine.getNextWake(),
-      this.commits.getNextWake(),
+      this.quarantine.getNextWakeTime(),
+      this.commitLoop.getNextWakeTime(),
       this.waiting.getNextExpiry(),
-      this.getWitnessTime(now),
+      this.getNextWitnessCallTime(now),
     );
   }
 
   /** Grants nothing more, commits everything, and marks the shard clean for the successor. */
-  leave(successor: ClaimMember | undefined, now: Milliseconds): void {
-    this.leavingTo = { successor };
-    this.commits.wanted = { ...this.commits.wanted, clean: true };
-    this.commits.request(now);
+  handOver(successor: ClaimMember | undefined, now: Milliseconds): void {
+    this.pendingHandOver = { successor };
+    this.commitLoop.nextHeader = { ...this.commitLoop.nextHeader, clean: true };
+    this.commitLoop.request(now);
   }
 
-  private onCall(input: ShardCall, now: Milliseconds): void {
-    if (this.leavingTo !== undefined) {
-      const reply = { kind: 'not-owner' as const, owner: this.leavingTo.successor };
-      this.context.emit({ kind: 'reply', call: input.call, reply });
+  private handleCall(input: ShardCall, now: Milliseconds): void {
+    if (this.pendingHandOver !== undefined) {
+      const response = { kind: 'not-owner' as const, owner: this.pendingHandOver.successor };
+      this.context.emit({ kind: 'respond', call: input.call, response });
     } else if (input.kind === 'claim') {
       this.processor.claim(input, now);
     } else {
@@ -167,22 +174,28 @@
     }
   }
 
-  private onPeerReply(id: number, reply: ClaimResponse | undefined, now: Milliseconds): void {
-    if (this.link.onReply(id, reply, this.commits.isTrusted(now), now)) {
-      if (this.link.isRefused) {
-        this.choice.exclude(reply?.kind === 'gone' ? this.link.witness : undefined);
+  private handlePeerResponse(
+    id: number,
+    response: ClaimResponse | undefined,
+    now: Milliseconds,
+  ): void {
+    if (this.replicator.handleResponse(id, response, this.commitLoop.isWitnessTrusted(now), now)) {
+      if (this.replicator.isRefused) {
+        this.witnessSelector.exclude(
+          response?.kind === 'gone' ? this.replicator.witness : undefined,
+        );
         this.changeWitness(now);
       }
       return;
     }
-    const clearance = this.quarantine.onReply(id, reply, now)?.clearance;
-    if (clearance !== undefined) {
-      this.merge(clearance, now);
+    const resolved = this.quarantine.handleResponse(id, response, now)?.resolved;
+    if (resolved !== undefined) {
+      this.mergeMutations(resolved, now);
     }
   }
 
   /** Takes in what only the old witness or owner remembered. */
-  private merge({ mutations }: Clearance, now: Milliseconds): void {
+  private mergeMutations({ mutations }: ResolvedEpoch, now: Milliseconds): void {
     for (const mutation of mutations) {
       const known = this.table.get(mutation.name, now);
       const entry = mergeMutation(known, mutation, this.context.options, now);
@@ -197,10 +210,10 @@
 
   private endQuarantine(merged: number, now: Milliseconds): void {
     const { shard, emit } = this.context;
-    this.commits.request(now);
+    this.commitLoop.request(now);
     emit({
-      kind: 'decision',
-      decision: { kind: 'quarantine-ended', shard, epoch: this.epoch, merged },
+      kind: 'event',
+      event: { kind: 'quarantine-ended', shard, epoch: this.epoch, merged },
     });
   }
 
@@ -212,19 +225,19 @@
   ): void {
     this.sequence += 1;
     const { sequence } = this;
-    const kept = entry === undefined ? undefined : { ...entry, sequence };
-    if (kept === undefined) {
+    const stored = entry === undefined ? undefined : { ...entry, sequence };
+    if (stored === undefined) {
       this.table.remove(name);
     } else {
-      this.table.put(kept);
+      this.table.put(stored);
     }
-    this.link.record({ sequence, name, claim, entry: kept });
-    this.commits.request(due);
+    this.replicator.record({ sequence, name, claim, entry: stored });
+    this.commitLoop.request(due);
   }
 
   private requireCommit(due: Milliseconds): number {
     this.sequence += 1;
-    this.commits.request(due);
+    this.commitLoop.request(due);
     return this.sequence;
   }
 
@@ -232,55 +245,67 @@
    * When the witness is to be asked: at once while the store does not answer, and otherwise when a
    * claim has waited for the store too long.
    */
-  private getWitnessTime(now: Milliseconds): Milliseconds {
-    const { link, commits, waiting, context } = this;
-    if (!link.isUsable || link.isWaiting || !link.hasWork || !commits.isTrusted(now)) {
+  private getNextWitnessCallTime(now: Milliseconds): Milliseconds {
+    const { replicator, commitLoop, waiting, context } = this;
+    if (
+      !replicator.isUsable ||
+      replicator.hasCallInFlight ||
+      !replicator.hasUnwitnessedMutations ||
+      !commitLoop.isWitnessTrusted(now)
+    ) {
       return Number.POSITIVE_INFINITY;
     }
-    const wanted = commits.isUnanswered
+    const wantedAt = commitLoop.isStoreUnresponsive
       ? now
       : waiting.getOldestClaim() + context.options.witnessDelay;
-    return Math.max(wanted, link.retryAt);
+    return Math.max(wantedAt, replicator.retryAt);
   }
 
   /** A new witness means a new epoch, so that an epoch has one witness for good. */
   private changeWitness(now: Milliseconds): void {
-    const { wanted } = this.commits;
-    const witness = this.choice.get();
-    if (wanted.clean || (wanted.witness === undefined && witness === undefined)) {
+    const { nextHeader } = this.commitLoop;
+    const witness = this.witnessSelector.select();
+    if (nextHeader.clean || (nextHeader.witness === undefined && witness === undefined)) {
       return;
     }
-    this.commits.wanted = { epoch: wanted.epoch + 1, witness, clean: false };
-    this.commits.request(now);
+    this.commitLoop.nextHeader = { epoch: nextHeader.epoch + 1, witness, clean: false };
+    this.commitLoop.request(now);
   }
 
   private createHead(commit: string, header: CommitHeader, now: Milliseconds): ShardHead {
     const { table, sequence } = this;
-    const doubts = this.quarantine.getDoubts();
-    return createHead(this.context.self, { commit, header, sequence, doubts, table }, now);
+    const unresolvedEpochs = this.quarantine.getUnresolvedEpochs();
+    return createHead(
+      this.context.self,
+      { commit, header, sequence, unresolvedEpochs, table },
+      now,
+    );
   }
 
   private onCommitted(commit: Commit): void {
     const { shard, emit } = this.context;
-    const isIn = ({ sequence, entry }: ClaimMutation) =>
+    const isCommittedGrant = ({ sequence, entry }: ClaimMutation) =>
       sequence <= commit.sequence && entry?.state === EntryState.Running;
-    emit({ kind: 'committed', claims: this.link.getLog().filter(isIn).length });
-    this.link.forgetUpTo(commit.sequence);
+    emit({
+      kind: 'committed',
+      claims: this.replicator.getUncommittedMutations().filter(isCommittedGrant).length,
+    });
+    this.replicator.discardUpTo(commit.sequence);
     const { epoch, witness } = commit.header;
-    if (epoch !== this.link.epoch) {
-      const later = this.link.getLog();
-      this.link = new WitnessLink(this.context, epoch, witness, commit.sequence);
-      later.forEach((mutation) => this.link.record(mutation));
-      const decision = { kind: 'witness-changed' as const, shard, epoch, witness: witness?.id };
-      emit({ kind: 'decision', decision });
+    if (epoch !== this.replicator.epoch) {
+      const later = this.replicator.getUncommittedMutations();
+      this.replicator = new WitnessReplicator(this.context, epoch, witness, commit.sequence);
+      later.forEach((mutation) => this.replicator.record(mutation));
+      const event = { kind: 'witness-changed' as const, shard, epoch, witness: witness?.id };
+      emit({ kind: 'event', event });
     }
     if (commit.header.clean) {
       this.waiting.release(commit.sequence, commit.sequence, epoch);
-      this.onEnd(LossCause.HandedOver, this.leavingTo?.successor);
+      this.onEnd(LossCause.HandedOver, this.pendingHandOver?.successor);
     }
   }
 
-  private createSource(): CommitSource {
+  private createCommitLoopHost(): CommitLoopHost {
     return {
       getSequence: () => this.sequence,
       createHead: (commit, header, now) => this.createHead(commit, header, now),
@@ -290,13 +315,14 @@
     };
   }
 
-  private createProcessorSource(): ProcessorSource {
+  private createCallProcessorHost(): CallProcessorHost {
     return {
       getEpoch: () => this.epoch,
       isQuarantined: () => this.quarantine.isActive,
       getSequence: () => this.sequence,
       canGrant: (now) =>
-        !this.commits.isDown || (this.link.isAnswering && this.commits.isTrusted(now)),
+        !this.commitLoop.isStoreDown ||
+        (this.replicator.isResponding && this.commitLoop.isWitnessTrusted(now)),
       requireCommit: (due) => this.requireCommit(due),
       mutate: (name, claim, entry, due) => this.mutate(name, claim, entry, due),
     };
--- a/packages/claims/src/lib/ClaimShard/Quarantine.ts
+++ b/packages/claims/src/lib/ClaimShard/Quarantine.ts
@@ -3,7 +3,7 @@
 import type { ClaimMember } from '../claimTypes.js';
 import type { ClaimMutation, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
-import type { Doubt } from '../ShardHead.js';
+import type { UnresolvedEpoch } from '../ShardHead.js';
 import type { ShardContext } from './shardMessages.js';
 
 /**
@@ -12,18 +12,18 @@
  * was granted last is protected for one retention. The entry daemon may receive a grant as late as
  * its claim timeout.
  */
-export function getDoubtSpan(options: ClaimOptions): Milliseconds {
-  return options.witnessSpan + options.retention + options.claimTimeout;
+export function getQuarantineDuration(options: ClaimOptions): Milliseconds {
+  return options.witnessTrustTimeout + options.retention + options.claimTimeout;
 }
 
 /** The same once it is proved that the old epoch has ended. */
-export function getEndedSpan(options: ClaimOptions): Milliseconds {
+export function getEndedEpochQuarantineDuration(options: ClaimOptions): Milliseconds {
   return options.retention + options.claimTimeout;
 }
 
-/** A doubt that is cleared up, with the mutations the store did not have. */
-export interface Clearance {
-  doubt: Doubt;
+/** A unresolved that is cleared up, with the mutations the store did not have. */
+export interface ResolvedEpoch {
+  unresolved: UnresolvedEpoch;
   mutations: ClaimMutation[];
 }
 
@@ -33,83 +33,86 @@
  * old owner are asked again and again: a network that heals ends the quarantine at once.
  */
 export class Quarantine {
-  private readonly questions = new Map<number, Doubt>();
+  private readonly pendingSeals = new Map<number, UnresolvedEpoch>();
 
-  private nextAsk: Milliseconds = Number.NEGATIVE_INFINITY;
+  private nextSealAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly context: ShardContext,
-    private doubts: Doubt[],
+    private unresolvedEpochs: UnresolvedEpoch[],
   ) {}
 
   get isActive(): boolean {
-    return this.doubts.length > 0;
+    return this.unresolvedEpochs.length > 0;
   }
 
-  getDoubts(): Doubt[] {
-    return [...this.doubts];
+  getUnresolvedEpochs(): UnresolvedEpoch[] {
+    return [...this.unresolvedEpochs];
   }
 
-  getNextWake(): Milliseconds {
-    return Math.min(...this.doubts.map(({ until }) => until), this.getAskTime());
+  getNextWakeTime(): Milliseconds {
+    return Math.min(...this.unresolvedEpochs.map(({ until }) => until), this.getNextSealTime());
   }
 
-  /** @returns whether the last doubt expired */
+  /** @returns whether the last unresolved expired */
   expire(now: Milliseconds): boolean {
-    const before = this.doubts.length;
-    this.doubts = this.doubts.filter(({ until }) => until > now);
-    return before > 0 && this.doubts.length === 0;
+    const before = this.unresolvedEpochs.length;
+    this.unresolvedEpochs = this.unresolvedEpochs.filter(({ until }) => until > now);
+    return before > 0 && this.unresolvedEpochs.length === 0;
   }
 
-  ask(now: Milliseconds): void {
-    if (now < this.getAskTime()) {
+  requestSeals(now: Milliseconds): void {
+    if (now < this.getNextSealTime()) {
       return;
     }
-    this.nextAsk = now + this.context.options.retryDelayLimit;
-    for (const doubt of this.doubts) {
-      this.askOne(doubt, doubt.witness, SealRole.Witness);
-      this.askOne(doubt, doubt.owner, SealRole.Owner);
+    this.nextSealAt = now + this.context.options.maxRetryDelay;
+    for (const unresolved of this.unresolvedEpochs) {
+      this.requestSeal(unresolved, unresolved.witness, SealRole.Witness);
+      this.requestSeal(unresolved, unresolved.owner, SealRole.Owner);
     }
   }
 
   /**
-   * @returns nothing when the reply is not for the quarantine, or what it cleared up, if anything
+   * @returns nothing when the response is not for the quarantine, or what it cleared up, if anything
    */
-  onReply(
+  handleResponse(
     id: number,
-    reply: ClaimResponse | undefined,
+    response: ClaimResponse | undefined,
     now: Milliseconds,
-  ): { clearance: Clearance | undefined } | undefined {
-    const doubt = this.questions.get(id);
-    if (doubt === undefined) {
+  ): { resolved: ResolvedEpoch | undefined } | undefined {
+    const unresolved = this.pendingSeals.get(id);
+    if (unresolved === undefined) {
       return undefined;
     }
-    this.questions.delete(id);
-    if (!this.doubts.includes(doubt)) {
-      return { clearance: undefined };
+    this.pendingSeals.delete(id);
+    if (!this.unresolvedEpochs.includes(unresolved)) {
+      return { resolved: undefined };
     }
-    if (reply?.kind === 'gone') {
+    if (response?.kind === 'gone') {
       // Either end of the old epoch is over, so nothing is granted in it from now on.
-      doubt.until = Math.min(doubt.until, now + getEndedSpan(this.context.options));
+      unresolved.until = Math.min(
+        unresolved.until,
+        now + getEndedEpochQuarantineDuration(this.context.options),
+      );
     }
-    if (reply?.kind !== 'sealed') {
-      return { clearance: undefined };
+    if (response?.kind !== 'sealed') {
+      return { resolved: undefined };
     }
-    this.doubts = this.doubts.filter((other) => other !== doubt);
-    const mutations = reply.mutations.filter(({ sequence }) => sequence > doubt.sequence);
-    return { clearance: { doubt, mutations } };
+    this.unresolvedEpochs = this.unresolvedEpochs.filter((other) => other !== unresolved);
+    const mutations = response.mutations.filter(({ sequence }) => sequence > unresolved.sequence);
+    return { resolved: { unresolved, mutations } };
   }
 
-  private getAskTime(): Milliseconds {
-    const isIdle = this.doubts.length === 0 || this.questions.size > 0;
-    return isIdle ? Number.POSITIVE_INFINITY : this.nextAsk;
+  private getNextSealTime(): Milliseconds {
+    const isIdle = this.unresolvedEpochs.length === 0 || this.pendingSeals.size > 0;
+    return isIdle ? Number.POSITIVE_INFINITY : this.nextSealAt;
   }
 
-  private askOne(doubt: Doubt, peer: ClaimMember, role: SealRole): void {
+  private requestSeal(unresolved: UnresolvedEpoch, peer: ClaimMember, role: SealRole): void {
     const { shard, createId, emit } = this.context;
     const id = createId();
-    this.questions.set(id, doubt);
-    const { epoch } = doubt;
+    this.pendingSeals.set(id, unresolved);
+    const { epoch } = unresolved;
     const { incarnation } = peer;
     emit({
       kind: 'call-peer',
--- a/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
@@ -3,16 +3,21 @@
 
 const BODY = 'x'.repeat(400);
 
-const OPTIONS = { ...TEST_OPTIONS, rollSize: 2000, segmentSize: 3000, headLimit: 8000 };
+const OPTIONS = {
+  ...TEST_OPTIONS,
+  segmentThreshold: 2000,
+  maxSegmentSize: 3000,
+  maxHeadSize: 8000,
+};
 
 async function settleMany(cluster: TestCluster, count: number): Promise<void> {
   const daemon = cluster.daemons[0]!;
   for (let index = 0; index < count; index += 1) {
     // eslint-disable-next-line no-await-in-loop
-    const answer = await cluster.ask(daemon, `key-${index}`);
-    if (answer.kind === 'granted') {
+    const result = await cluster.ask(daemon, `key-${index}`);
+    if (result.kind === 'granted') {
       const whole = { kind: 'whole' as const, status: 200, headers: {}, body: `${index}${BODY}` };
-      daemon.claims.recordOutcome(answer.handle, { kind: 'answered', answer: whole });
+      daemon.claims.recordOutcome(result.handle, { kind: 'answered', answer: whole });
     }
   }
 }
@@ -35,7 +40,7 @@
     await left.put('claim-segments/0/left.1/7', '[]', 0);
     const [owner, , next] = cluster.getOrder();
     owner!.crash();
-    cluster.lookAll();
+    cluster.updateAllMembers();
     for (const key of [0, 10, 19]) {
       // eslint-disable-next-line no-await-in-loop
       const repeat = await cluster.ask(next!, `key-${key}`);
@@ -54,15 +59,15 @@
   it('is bounded during an outage: bodies are dropped first, then new keys are refused', async () => {
     const cluster = new TestCluster(4, OPTIONS);
     await cluster.run(1000);
-    cluster.store.fault('down');
+    cluster.store.setFault('down');
     await settleMany(cluster, 60);
     expect(await cluster.ask(cluster.daemons[1]!, 'more')).toMatchObject({
       kind: 'unavailable',
       reason: 'overload',
     });
-    cluster.store.fault('up');
+    cluster.store.setFault('up');
     await cluster.run(1000);
-    expect(cluster.store.read('claims/0')!.value.length).toBeLessThan(1.5 * OPTIONS.headLimit);
+    expect(cluster.store.read('claims/0')!.value.length).toBeLessThan(1.5 * OPTIONS.maxHeadSize);
     const repeat = await cluster.ask(cluster.daemons[1]!, 'key-20');
     expect(repeat).toMatchObject({ kind: 'settled', answer: { kind: 'status-only' } });
   });
@@ -70,7 +75,7 @@
   // Symptom: a shard refuses every new key for good after a burst. Sequence: it is full; with
   // nothing granted, nothing is written. Cause: expired keys are only cleared out by a commit.
   it('is free again when its keys have expired', async () => {
-    const cluster = new TestCluster(4, { ...OPTIONS, entryLimit: 10 });
+    const cluster = new TestCluster(4, { ...OPTIONS, maxEntries: 10 });
     await cluster.run(1000);
     await settleMany(cluster, 10);
     await cluster.run(1000);
@@ -87,8 +92,8 @@
     await cluster.run(1000);
     const upgraded = new TestCluster(2, { ...TEST_OPTIONS, shards: 2 }, undefined, cluster.store);
     await upgraded.run(1000);
-    const answer = await upgraded.ask(upgraded.daemons[0]!, 'hold');
-    expect(answer).toMatchObject({ kind: 'unavailable', reason: 'layout-mismatch' });
+    const result = await upgraded.ask(upgraded.daemons[0]!, 'hold');
+    expect(result).toMatchObject({ kind: 'unavailable', reason: 'layout-mismatch' });
     expect(upgraded.daemons.flatMap(({ claims }) => claims.getOwnedShards())).toEqual([]);
   });
 });
--- a/packages/claims/src/lib/ClaimShard/ShardTable.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.ts
@@ -4,7 +4,7 @@
 import type { SegmentReference } from '../ShardHead.js';
 
 /** A scan over all keys costs more than a look-up: do it once in a while. */
-const SCAN_INTERVAL = 1000;
+const EXPIRY_SCAN_INTERVAL = 1000;
 
 interface Row {
   entry: ClaimEntry;
@@ -13,7 +13,7 @@
   isInSegment: boolean;
 }
 
-function isRollable(row: Row): boolean {
+function isMovable(row: Row): boolean {
   return !row.isInSegment && row.entry.state === EntryState.Settled;
 }
 
@@ -33,15 +33,15 @@
 
   private segments: SegmentReference[] = [];
 
-  private expired: SegmentReference[] = [];
+  private expiredSegments: SegmentReference[] = [];
 
-  private nextScan: Milliseconds = Number.NEGATIVE_INFINITY;
+  private nextScanAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /** Bytes of the entries in the head. */
   private headSize = 0;
 
   /** Bytes of the settled ones among them. */
-  private settledSize = 0;
+  private settledHeadSize = 0;
 
   get count(): number {
     return this.rows.size;
@@ -51,8 +51,8 @@
     return this.headSize;
   }
 
-  get rollableSize(): number {
-    return this.settledSize;
+  get movableSize(): number {
+    return this.settledHeadSize;
   }
 
   get(name: string, now: Milliseconds): ClaimEntry | undefined {
@@ -69,14 +69,14 @@
     const size = Buffer.byteLength(JSON.stringify(entry));
     const row = { entry, size, isInSegment: false };
     this.rows.set(entry.name, row);
-    this.account(row, 1);
+    this.adjustSizes(row, 1);
   }
 
   remove(name: string): void {
     const row = this.rows.get(name);
     if (row !== undefined) {
       this.rows.delete(name);
-      this.account(row, -1);
+      this.adjustSizes(row, -1);
     }
   }
 
@@ -92,25 +92,25 @@
   }
 
   /** Notes a segment found at the store that no head lists, for removal with the next commit. */
-  dropSegment(reference: SegmentReference): void {
-    this.expired.push(reference);
+  addUnlistedSegment(reference: SegmentReference): void {
+    this.expiredSegments.push(reference);
   }
 
   /** Forgets what has expired. Segments that expired stay listed until a commit drops them. */
   expire(now: Milliseconds): void {
-    if (now < this.nextScan) {
+    if (now < this.nextScanAt) {
       return;
     }
-    this.nextScan = now + SCAN_INTERVAL;
+    this.nextScanAt = now + EXPIRY_SCAN_INTERVAL;
     for (const [name, { entry }] of this.rows) {
       if (entry.expires <= now) {
         this.remove(name);
       }
     }
-    const live = this.segments.filter(({ expires }) => expires > now);
-    if (live.length < this.segments.length) {
-      this.expired.push(...this.segments.filter(({ expires }) => expires <= now));
-      this.segments = live;
+    const unexpired = this.segments.filter(({ expires }) => expires > now);
+    if (unexpired.length < this.segments.length) {
+      this.expiredSegments.push(...this.segments.filter(({ expires }) => expires <= now));
+      this.segments = unexpired;
     }
   }
 
@@ -124,30 +124,30 @@
   }
 
   getExpiredSegments(): SegmentReference[] {
-    return [...this.expired];
+    return [...this.expiredSegments];
   }
 
-  forgetExpired(dropped: readonly SegmentReference[]): void {
-    this.expired = this.expired.filter((segment) => !dropped.includes(segment));
+  clearExpiredSegments(dropped: readonly SegmentReference[]): void {
+    this.expiredSegments = this.expiredSegments.filter((segment) => !dropped.includes(segment));
   }
 
   /** Picks settled entries for the next segment, oldest first, up to a size. */
-  planSegment(limit: number): SegmentPlan | undefined {
-    const picked: ClaimEntry[] = [];
+  planSegment(maxSize: number): SegmentPlan | undefined {
+    const selected: ClaimEntry[] = [];
     let size = 0;
     for (const row of this.rows.values()) {
-      if (isRollable(row) && size + row.size <= limit) {
-        picked.push(row.entry);
+      if (isMovable(row) && size + row.size <= maxSize) {
+        selected.push(row.entry);
         size += row.size;
       }
     }
-    if (picked.length === 0) {
+    if (selected.length === 0) {
       return undefined;
     }
-    const expires = Math.max(...picked.map((entry) => entry.expires));
+    const expires = Math.max(...selected.map((entry) => entry.expires));
     return {
-      names: picked.map((entry) => entry.name),
-      value: JSON.stringify(picked),
+      names: selected.map((entry) => entry.name),
+      value: JSON.stringify(selected),
       expires,
     };
   }
@@ -157,8 +157,8 @@
     this.segments.push(reference);
     for (const name of plan.names) {
       const row = this.rows.get(name);
-      if (row !== undefined && isRollable(row)) {
-        this.account(row, -1);
+      if (row !== undefined && isMovable(row)) {
+        this.adjustSizes(row, -1);
         row.isInSegment = true;
         // All entries of a segment leave together, so that a reader needs one time for all.
         row.entry.expires = plan.expires;
@@ -166,10 +166,10 @@
     }
   }
 
-  private account(row: Row, sign: 1 | -1): void {
+  private adjustSizes(row: Row, sign: 1 | -1): void {
     if (!row.isInSegment) {
       this.headSize += sign * row.size;
-      this.settledSize += isRollable(row) ? sign * row.size : 0;
+      this.settledHeadSize += isMovable(row) ? sign * row.size : 0;
     }
   }
 }
--- a/packages/claims/src/lib/ClaimShard/Takeover.ts
+++ b/packages/claims/src/lib/ClaimShard/Takeover.ts
@@ -4,15 +4,15 @@
 import type { ClaimMember } from '../claimTypes.js';
 import type { ClaimMutation, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
-import { getPreferredWitness, isDoubted, isSameProcess } from '../placement.js';
+import { getPreferredWitness, isSuspect, isSameProcess } from '../placement.js';
 import { createHead, getHeadKey, parseHead } from '../ShardHead.js';
-import type { Doubt, ShardHead } from '../ShardHead.js';
-import { getMovedDoubts, loadTable } from './loadTable.js';
-import type { OwnershipStart } from './Ownership.js';
-import { getDoubtSpan, getEndedSpan } from './Quarantine.js';
+import type { UnresolvedEpoch, ShardHead } from '../ShardHead.js';
+import { getInheritedEpochs, loadTable } from './loadTable.js';
+import type { OwnershipSettings } from './Ownership.js';
+import { getQuarantineDuration, getEndedEpochQuarantineDuration } from './Quarantine.js';
 import type {
-  HeadRead,
-  SegmentsRead,
+  HeadReadResult,
+  SegmentsReadResult,
   ShardContext,
   ShardInput,
   WriteResult,
@@ -21,44 +21,47 @@
 import type { ShardTable } from './ShardTable.js';
 
 /** How a takeover ended. */
-export type TakeoverEnd =
-  | { kind: 'taken'; start: OwnershipStart; proof: TakeoverProof }
+export type TakeoverResult =
+  | { kind: 'taken'; settings: OwnershipSettings; proof: TakeoverProof }
   /** A live daemon owns the shard. */
   | { kind: 'owned'; owner: ClaimMember }
   /** The store gave no answer, or the object moved too often. */
   | { kind: 'failed' };
 
 /** The object as read, and what the takeover learned since. */
-interface Reading {
+interface TakeoverProgress {
   head: ShardHead | undefined;
   version: number;
   sentAt: Milliseconds;
   proof: TakeoverProof;
   mutations: ClaimMutation[];
   /** How long unseen keys are refused, when nobody could say what was granted. */
-  doubtSpan?: Milliseconds;
+  quarantineDuration?: Milliseconds;
 }
 
 type Step =
   | { kind: 'read'; id: number; sentAt: Milliseconds }
-  | { kind: 'seal'; id: number; reading: Reading }
-  | { kind: 'segments'; id: number; reading: Reading }
-  | { kind: 'write'; id: number; start: OwnershipStart; proof: TakeoverProof };
+  | { kind: 'seal'; id: number; progress: TakeoverProgress }
+  | { kind: 'segments'; id: number; progress: TakeoverProgress }
+  | { kind: 'write'; id: number; settings: OwnershipSettings; proof: TakeoverProof };
 
-/** An object that moves this often under a takeover has an owner that lives. */
-const MOVE_LIMIT = 3;
+/** An object that conflicts this often under a takeover has an owner that lives. */
+const MAX_CONFLICTS = 3;
 
 /**
  * Grants may exist that neither the store nor anyone we can reach remembers. How one would notice:
  * the same key granted again after the takeover, and run twice. So unseen keys are refused until
  * any such grant has expired.
  */
-function createDoubts({ head, doubtSpan }: Reading, now: Milliseconds): Doubt[] {
-  if (head?.witness === undefined || doubtSpan === undefined) {
+function createUnresolvedEpochs(
+  { head, quarantineDuration }: TakeoverProgress,
+  now: Milliseconds,
+): UnresolvedEpoch[] {
+  if (head?.witness === undefined || quarantineDuration === undefined) {
     return [];
   }
   const { epoch, owner, witness, sequence } = head;
-  return [{ epoch, owner, witness, sequence, until: now + doubtSpan }];
+  return [{ epoch, owner, witness, sequence, until: now + quarantineDuration }];
 }
 
 /**
@@ -69,13 +72,13 @@
 export class Takeover {
   private step: Step;
 
-  private moves = 0;
+  private conflicts = 0;
 
   constructor(
     private readonly context: ShardContext,
     /** Takeovers of ours whose confirmation was lost. */
     private readonly ownCommits: Set<string>,
-    private readonly onEnd: (end: TakeoverEnd) => void,
+    private readonly onEnd: (end: TakeoverResult) => void,
     now: Milliseconds,
   ) {
     this.step = this.read(now);
@@ -84,23 +87,23 @@
   handle(input: ShardInput, now: Milliseconds): void {
     switch (input.kind) {
       case 'head-read':
-        this.onRead(input.id, input.result, now);
+        this.handleRead(input.id, input.result, now);
         break;
       case 'segments-read':
-        this.onSegments(input.id, input.result, now);
+        this.handleSegments(input.id, input.result, now);
         break;
       case 'written':
-        this.onWritten(input.id, input.result, now);
+        this.handleWritten(input.id, input.result, now);
         break;
-      case 'peer-replied':
-        this.onPeerReply(input.id, input.reply, now);
+      case 'peer-responded':
+        this.handlePeerResponse(input.id, input.response, now);
         break;
       default:
         break;
     }
   }
 
-  private onRead(id: number, result: HeadRead, now: Milliseconds): void {
+  private handleRead(id: number, result: HeadReadResult, now: Milliseconds): void {
     const { step } = this;
     if (step.kind !== 'read' || step.id !== id) {
       return;
@@ -108,28 +111,35 @@
     if (result === NO_ANSWER) {
       this.onEnd({ kind: 'failed' });
     } else {
-      this.onHead(result.object, step.sentAt, now);
+      this.handleHead(result.object, step.sentAt, now);
     }
   }
 
-  private onPeerReply(id: number, reply: ClaimResponse | undefined, now: Milliseconds): void {
+  private handlePeerResponse(
+    id: number,
+    response: ClaimResponse | undefined,
+    now: Milliseconds,
+  ): void {
     const { step } = this;
     if (step.kind !== 'seal' || step.id !== id) {
       return;
     }
-    const { reading } = step;
-    const head = reading.head!;
-    if (reply?.kind === 'sealed') {
-      reading.mutations = reply.mutations.filter(({ sequence }) => sequence > head.sequence);
+    const { progress } = step;
+    const head = progress.head!;
+    if (response?.kind === 'sealed') {
+      progress.mutations = response.mutations.filter(({ sequence }) => sequence > head.sequence);
     } else {
       const { options } = this.context;
-      reading.doubtSpan = reply?.kind === 'gone' ? getEndedSpan(options) : getDoubtSpan(options);
-      reading.proof = TakeoverProof.None;
+      progress.quarantineDuration =
+        response?.kind === 'gone'
+          ? getEndedEpochQuarantineDuration(options)
+          : getQuarantineDuration(options);
+      progress.proof = TakeoverProof.None;
     }
-    this.readSegments(reading, now);
+    this.readSegments(progress, now);
   }
 
-  private onSegments(id: number, result: SegmentsRead, now: Milliseconds): void {
+  private handleSegments(id: number, result: SegmentsReadResult, now: Milliseconds): void {
     const { step } = this;
     if (step.kind !== 'segments' || step.id !== id) {
       return;
@@ -137,11 +147,11 @@
     if (result === NO_ANSWER) {
       this.onEnd({ kind: 'failed' });
     } else {
-      this.finishReading(step.reading, result, now);
+      this.finishReading(step.progress, result, now);
     }
   }
 
-  private onWritten(id: number, result: WriteResult, now: Milliseconds): void {
+  private handleWritten(id: number, result: WriteResult, now: Milliseconds): void {
     const { step } = this;
     if (step.kind !== 'write' || step.id !== id) {
       return;
@@ -152,10 +162,13 @@
     } else if (result.kind === 'accepted') {
       // The last owner may have seen its shard confirmed until our write took effect, and may trust
       // its witness from then on: doubts run from now, not from when the write was sent.
-      const late = now - step.start.provedAt;
-      const doubts = step.start.doubts.map((doubt) => ({ ...doubt, until: doubt.until + late }));
-      const start = { ...step.start, doubts, version: result.version };
-      this.onEnd({ kind: 'taken', start, proof: step.proof });
+      const late = now - step.settings.confirmedAt;
+      const unresolvedEpochs = step.settings.unresolvedEpochs.map((unresolved) => ({
+        ...unresolved,
+        until: unresolved.until + late,
+      }));
+      const settings = { ...step.settings, unresolvedEpochs, version: result.version };
+      this.onEnd({ kind: 'taken', settings, proof: step.proof });
     } else {
       this.restart(now);
     }
@@ -168,30 +181,40 @@
   }
 
   private restart(now: Milliseconds): void {
-    this.moves += 1;
-    if (this.moves >= MOVE_LIMIT) {
+    this.conflicts += 1;
+    if (this.conflicts >= MAX_CONFLICTS) {
       this.onEnd({ kind: 'failed' });
     } else {
       this.step = this.read(now);
     }
   }
 
-  private onHead(object: StoredObject | undefined, sentAt: Milliseconds, now: Milliseconds): void {
+  private handleHead(
+    object: StoredObject | undefined,
+    sentAt: Milliseconds,
+    now: Milliseconds,
+  ): void {
     const head = object === undefined ? undefined : parseHead(object.value);
     const version = object?.version ?? 0;
-    const reading: Reading = { head, version, sentAt, proof: TakeoverProof.Fresh, mutations: [] };
+    const progress: TakeoverProgress = {
+      head,
+      version,
+      sentAt,
+      proof: TakeoverProof.Fresh,
+      mutations: [],
+    };
     if (head === undefined) {
-      this.finishReading(reading, [], now);
+      this.finishReading(progress, [], now);
     } else if (this.ownCommits.has(head.commit)) {
-      this.readSegments({ ...reading, proof: TakeoverProof.OwnCommit }, now);
+      this.readSegments({ ...progress, proof: TakeoverProof.OwnCommit }, now);
     } else if (head.clean) {
-      this.readSegments({ ...reading, proof: TakeoverProof.Clean }, now);
+      this.readSegments({ ...progress, proof: TakeoverProof.Clean }, now);
     } else if (this.isLive(head.owner)) {
       this.onEnd({ kind: 'owned', owner: head.owner });
     } else if (head.witness === undefined) {
-      this.readSegments({ ...reading, proof: TakeoverProof.NoWitness }, now);
+      this.readSegments({ ...progress, proof: TakeoverProof.NoWitness }, now);
     } else {
-      this.seal({ ...reading, proof: TakeoverProof.Sealed }, head, head.witness);
+      this.seal({ ...progress, proof: TakeoverProof.Sealed }, head, head.witness);
     }
   }
 
@@ -204,14 +227,14 @@
     const { self, members } = this.context;
     return (
       !isSameProcess(owner, self) &&
-      members.some((member) => isSameProcess(member, owner) && !isDoubted(member))
+      members.some((member) => isSameProcess(member, owner) && !isSuspect(member))
     );
   }
 
-  private seal(reading: Reading, { epoch }: ShardHead, peer: ClaimMember): void {
+  private seal(progress: TakeoverProgress, { epoch }: ShardHead, peer: ClaimMember): void {
     const { shard, createId, emit } = this.context;
     const id = createId();
-    this.step = { kind: 'seal', id, reading };
+    this.step = { kind: 'seal', id, progress };
     const { incarnation } = peer;
     const role = SealRole.Witness;
     emit({
@@ -222,52 +245,66 @@
     });
   }
 
-  private readSegments(reading: Reading, now: Milliseconds): void {
-    if (reading.head === undefined) {
-      this.finishReading(reading, [], now);
+  private readSegments(progress: TakeoverProgress, now: Milliseconds): void {
+    if (progress.head === undefined) {
+      this.finishReading(progress, [], now);
       return;
     }
     const id = this.context.createId();
-    this.step = { kind: 'segments', id, reading };
+    this.step = { kind: 'segments', id, progress };
     this.context.emit({ kind: 'read-segments', id });
   }
 
-  private finishReading(reading: Reading, objects: StoredObject[], now: Milliseconds): void {
+  private finishReading(
+    progress: TakeoverProgress,
+    objects: StoredObject[],
+    now: Milliseconds,
+  ): void {
     const { shard, options } = this.context;
-    const table = loadTable(shard, reading, objects, options, now);
+    const table = loadTable(shard, progress, objects, options, now);
     if (table === undefined) {
       // A segment that the head names is gone: its owner lives and has written a newer head.
       this.restart(now);
       return;
     }
-    const start = this.createStart(reading, table, now);
-    if (reading.proof === TakeoverProof.OwnCommit) {
-      this.onEnd({ kind: 'taken', start, proof: reading.proof });
+    const settings = this.createOwnershipSettings(progress, table, now);
+    if (progress.proof === TakeoverProof.OwnCommit) {
+      this.onEnd({ kind: 'taken', settings, proof: progress.proof });
     } else {
-      this.write(start, reading, now);
+      this.write(settings, progress, now);
     }
   }
 
-  private createStart(reading: Reading, table: ShardTable, now: Milliseconds): OwnershipStart {
-    const { head, version, sentAt, mutations, proof } = reading;
+  private createOwnershipSettings(
+    progress: TakeoverProgress,
+    table: ShardTable,
+    now: Milliseconds,
+  ): OwnershipSettings {
+    const { head, version, sentAt, mutations, proof } = progress;
     const sequences = mutations.map(({ sequence }) => sequence);
     const sequence = Math.max(head?.sequence ?? 0, ...sequences);
-    const doubts = getMovedDoubts(head, now).concat(createDoubts(reading, now));
+    const unresolvedEpochs = getInheritedEpochs(head, now).concat(
+      createUnresolvedEpochs(progress, now),
+    );
     const { shard, self, members } = this.context;
     const isOwn = proof === TakeoverProof.OwnCommit;
     const epoch = isOwn ? head!.epoch : (head?.epoch ?? 0) + 1;
     const witness = isOwn ? head!.witness : getPreferredWitness(shard, self, members);
     const header = { epoch, witness, clean: false };
-    return { table, header, version, sequence, provedAt: sentAt, doubts };
+    return { table, header, version, sequence, confirmedAt: sentAt, unresolvedEpochs };
   }
 
-  private write(start: OwnershipStart, { version, proof }: Reading, now: Milliseconds): void {
+  private write(
+    settings: OwnershipSettings,
+    { version, proof }: TakeoverProgress,
+    now: Milliseconds,
+  ): void {
     const { shard, self, createId, emit } = this.context;
     const commit = `${self.id}.${self.incarnation}.${createId()}`;
     this.ownCommits.add(commit);
-    const head = createHead(self, { commit, ...start }, now);
+    const head = createHead(self, { commit, ...settings }, now);
     const id = createId();
-    this.step = { kind: 'write', id, start: { ...start, provedAt: now }, proof };
+    this.step = { kind: 'write', id, settings: { ...settings, confirmedAt: now }, proof };
     const value = JSON.stringify(head);
     emit({ kind: 'write', id, key: getHeadKey(shard), value, expectedVersion: version });
   }
--- a/packages/claims/src/lib/ClaimShard/TakeoverCooldown.ts
+++ b/packages/claims/src/lib/ClaimShard/TakeoverCooldown.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimMember } from '../claimTypes.js';
-import { isActive, isDoubted, isSameProcess } from '../placement.js';
+import { isActive, isSuspect, isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
 
 /** How long a daemon leaves a shard alone that it does not own. */
-export class ShardRest {
+export class TakeoverCooldown {
   private until: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /** The living owner for whose sake we rest. */
@@ -15,30 +15,30 @@
   /** Two daemons whose views differ would otherwise take the shard from each other in turn. */
   startAfterLoss(now: Milliseconds): void {
     this.owner = undefined;
-    this.until = now + this.context.options.takeBackDelay;
+    this.until = now + this.context.options.takeoverCooldown;
   }
 
   /**
    * Rests after the owner was found to live. One that shuts down leaves the shard soon, and its
    * offer may get lost: whoever rested for long would turn callers away meanwhile.
    */
-  startAfterLook(owner: ClaimMember, now: Milliseconds): void {
-    const { takeBackDelay, commitInterval } = this.context.options;
-    const member = this.find(owner);
+  startAfterOwnerFound(owner: ClaimMember, now: Milliseconds): void {
+    const { takeoverCooldown, commitInterval } = this.context.options;
+    const member = this.findMember(owner);
     const isStaying = member !== undefined && isActive(member);
     this.owner = owner;
-    this.until = now + (isStaying ? takeBackDelay : commitInterval);
+    this.until = now + (isStaying ? takeoverCooldown : commitInterval);
   }
 
   /** A rest for an owner's sake ends with the owner: its callers would be turned away for nothing. */
   isOver(now: Milliseconds): boolean {
     const { owner } = this;
-    const member = owner === undefined ? undefined : this.find(owner);
-    const hasGone = owner !== undefined && (member === undefined || isDoubted(member));
+    const member = owner === undefined ? undefined : this.findMember(owner);
+    const hasGone = owner !== undefined && (member === undefined || isSuspect(member));
     return hasGone || now >= this.until;
   }
 
-  private find(owner: ClaimMember): ClaimMember | undefined {
+  private findMember(owner: ClaimMember): ClaimMember | undefined {
     return this.context.members.find((member) => isSameProcess(member, owner));
   }
 }
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -11,7 +11,7 @@
   since: Milliseconds;
 }
 
-/** The calls whose reply waits for the store or the witness. */
+/** The calls whose response waits for the store or the witness. */
 export class WaitingCalls {
   private calls: WaitingCall[] = [];
 
@@ -46,20 +46,20 @@
    */
   release(committed: number, witnessed: number, epoch: number): void {
     const safe = Math.max(committed, witnessed);
-    const rest: WaitingCall[] = [];
+    const remaining: WaitingCall[] = [];
     for (const call of this.calls) {
       const { input, sequence } = call;
       if (input.kind === 'claim' && sequence <= safe) {
         const source = sequence <= committed ? AnswerSource.Store : AnswerSource.Witness;
         this.grant(input, source, epoch);
       } else if (input.kind === 'settle' && sequence <= committed) {
-        const reply = { kind: 'settled' as const, durable: true };
-        this.context.emit({ kind: 'reply', call: input.call, reply });
+        const response = { kind: 'settled' as const, durable: true };
+        this.context.emit({ kind: 'respond', call: input.call, response });
       } else {
-        rest.push(call);
+        remaining.push(call);
       }
     }
-    this.calls = rest;
+    this.calls = remaining;
   }
 
   /** Gives up on calls that waited too long; what they asked for may still become safe. */
@@ -67,14 +67,14 @@
     while (this.getNextExpiry() <= now) {
       const { input } = this.calls.shift()!;
       this.context.emit({
-        kind: 'reply',
+        kind: 'respond',
         call: input.call,
-        reply:
+        response:
           input.kind === 'claim'
             ? {
                 kind: 'refused',
                 reason: RefusalReason.Timeout,
-                retryAfter: this.context.options.retryDelayLimit,
+                retryAfter: this.context.options.maxRetryDelay,
                 held: true,
               }
             : { kind: 'settled', durable: false },
@@ -90,8 +90,8 @@
     const { shard, emit } = this.context;
     const { requestId, holder } = input.request;
     const answer = { kind: 'granted' as const };
-    emit({ kind: 'reply', call: input.call, reply: { kind: 'answer', answer } });
-    const facts = { shard, epoch, requestId, holder: holder.id, answer: answer.kind, source };
-    emit({ kind: 'decision', decision: { kind: 'claim-answered', ...facts } });
+    emit({ kind: 'respond', call: input.call, response: { kind: 'answer', answer } });
+    const fields = { shard, epoch, requestId, holder: holder.id, answer: answer.kind, source };
+    emit({ kind: 'event', event: { kind: 'claim-answered', ...fields } });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/WitnessReplicator.ts
+++ b/packages/claims/src/lib/ClaimShard/WitnessReplicator.ts
@@ -4,7 +4,7 @@
 import { Backoff } from './Backoff.js';
 import type { ShardContext } from './shardMessages.js';
 
-interface Asked {
+interface InFlightCall {
   id: number;
   upTo: number;
 }
@@ -14,7 +14,7 @@
  * order and without gaps, one call at a time. A mutation counts as witnessed once the witness
  * remembers it and all before it.
  */
-export class WitnessLink {
+export class WitnessReplicator {
   /** The last mutation the witness is known to remember. */
   witnessed: number;
 
@@ -23,7 +23,7 @@
 
   private log: ClaimMutation[] = [];
 
-  private asked: Asked | undefined;
+  private inFlight: InFlightCall | undefined;
 
   private readonly backoff: Backoff;
 
@@ -34,8 +34,8 @@
     private committed: number,
   ) {
     this.witnessed = committed;
-    const { retryDelay, retryDelayLimit } = context.options;
-    this.backoff = new Backoff(retryDelay, retryDelayLimit);
+    const { retryDelay, maxRetryDelay } = context.options;
+    this.backoff = new Backoff(retryDelay, maxRetryDelay);
   }
 
   get isUsable(): boolean {
@@ -43,20 +43,20 @@
   }
 
   /** Usable and, as far as we know, answering. */
-  get isAnswering(): boolean {
+  get isResponding(): boolean {
     return this.isUsable && !this.backoff.isFailing;
   }
 
-  get hasWork(): boolean {
+  get hasUnwitnessedMutations(): boolean {
     return (this.log.at(-1)?.sequence ?? 0) > this.witnessed;
   }
 
   get retryAt(): Milliseconds {
-    return this.backoff.due;
+    return this.backoff.nextAttemptAt;
   }
 
-  get isWaiting(): boolean {
-    return this.asked !== undefined;
+  get hasCallInFlight(): boolean {
+    return this.inFlight !== undefined;
   }
 
   record(mutation: ClaimMutation): void {
@@ -64,18 +64,18 @@
   }
 
   /** The mutations the store does not have, for a challenger or for the witness of the next epoch. */
-  getLog(): ClaimMutation[] {
+  getUncommittedMutations(): ClaimMutation[] {
     return [...this.log];
   }
 
   /** The store has everything up to a mutation: nobody needs it from here any more. */
-  forgetUpTo(committed: number): void {
+  discardUpTo(committed: number): void {
     this.committed = committed;
     this.log = this.log.filter(({ sequence }) => sequence > committed);
   }
 
   send(now: Milliseconds): void {
-    if (!this.isUsable || this.asked !== undefined || now < this.backoff.due) {
+    if (!this.isUsable || this.inFlight !== undefined || now < this.backoff.nextAttemptAt) {
       return;
     }
     const mutations = this.log.filter(({ sequence }) => sequence > this.witnessed);
@@ -84,35 +84,35 @@
       return;
     }
     const { shard, createId, emit } = this.context;
-    this.asked = { id: createId(), upTo: last.sequence };
+    this.inFlight = { id: createId(), upTo: last.sequence };
     const { epoch, committed } = this;
     const { incarnation } = this.witness!;
     const message = { kind: 'remember' as const, shard, epoch, incarnation, committed, mutations };
-    emit({ kind: 'call-peer', id: this.asked.id, peer: this.witness!, message });
+    emit({ kind: 'call-peer', id: this.inFlight.id, peer: this.witness!, message });
   }
 
   /**
-   * @param isTrusted - whether the owner may still act on its witness's word
-   * @returns whether the reply was for this line
+   * @param isWitnessTrusted - whether the owner may still act on its witness's word
+   * @returns whether the response was for this line
    */
-  onReply(
+  handleResponse(
     id: number,
-    reply: ClaimResponse | undefined,
-    isTrusted: boolean,
+    response: ClaimResponse | undefined,
+    isWitnessTrusted: boolean,
     now: Milliseconds,
   ): boolean {
-    if (this.asked?.id !== id) {
+    if (this.inFlight?.id !== id) {
       return false;
     }
-    const { upTo } = this.asked;
-    this.asked = undefined;
-    if (reply?.kind === 'remembered') {
-      this.backoff.succeed();
-      this.witnessed = isTrusted ? Math.max(this.witnessed, upTo) : this.witnessed;
-    } else if (reply?.kind === 'gone' || reply?.kind === 'epoch-sealed') {
+    const { upTo } = this.inFlight;
+    this.inFlight = undefined;
+    if (response?.kind === 'remembered') {
+      this.backoff.recordSuccess();
+      this.witnessed = isWitnessTrusted ? Math.max(this.witnessed, upTo) : this.witnessed;
+    } else if (response?.kind === 'gone' || response?.kind === 'epoch-sealed') {
       this.isRefused = true;
     } else {
-      this.backoff.fail(now);
+      this.backoff.recordFailure(now);
     }
     return true;
   }
--- a/packages/claims/src/lib/ClaimShard/WitnessSelector.ts
+++ b/packages/claims/src/lib/ClaimShard/WitnessSelector.ts
@@ -4,21 +4,21 @@
 import type { ShardContext } from './shardMessages.js';
 
 /** Whom an owner names as its witness. */
-export class WitnessChoice {
-  /** A witness found to have ended, which the members may go on listing for a while. */
-  private ended: ClaimMember | undefined;
+export class WitnessSelector {
+  /** A witness found to have endedWitness, which the members may go on listing for a while. */
+  private endedWitness: ClaimMember | undefined;
 
   constructor(private readonly context: ShardContext) {}
 
   exclude(witness: ClaimMember | undefined): void {
-    this.ended = witness ?? this.ended;
+    this.endedWitness = witness ?? this.endedWitness;
   }
 
-  get(): ClaimMember | undefined {
+  select(): ClaimMember | undefined {
     const { shard, self, members } = this.context;
-    const { ended } = this;
+    const { endedWitness } = this;
     const candidates = members.filter(
-      (member) => ended === undefined || !isSameProcess(member, ended),
+      (member) => endedWitness === undefined || !isSameProcess(member, endedWitness),
     );
     return getPreferredWitness(shard, self, candidates);
   }
@@ -38,7 +38,7 @@
 
   /** Whether a witness is gone, or nearer than it need be. One that is merely not first stays. */
   isOutdated(witness: ClaimMember | undefined): boolean {
-    const preferred = this.get();
+    const preferred = this.select();
     if (witness === undefined) {
       return preferred !== undefined;
     }
--- a/packages/claims/src/lib/ClaimShard/entries.ts
+++ b/packages/claims/src/lib/ClaimShard/entries.ts
@@ -10,7 +10,7 @@
 /** A running request is remembered for this many retentions: one to end in, one after that. */
 const RUNNING_RETENTIONS = 2;
 
-function getLife(state: EntryState, options: ClaimOptions): Milliseconds {
+function getLifetime(state: EntryState, options: ClaimOptions): Milliseconds {
   return state === EntryState.Running ? RUNNING_RETENTIONS * options.retention : options.retention;
 }
 
@@ -21,7 +21,7 @@
   sequence: number,
   now: Milliseconds,
 ): ClaimEntry {
-  const expires = now + getLife(EntryState.Running, options);
+  const expires = now + getLifetime(EntryState.Running, options);
   return { ...request, state: EntryState.Running, expires, sequence };
 }
 
@@ -45,7 +45,7 @@
 }
 
 /** What another request with the same key is told. */
-export function getAnswerForRepeat(
+export function getResponseForRepeat(
   entry: ClaimEntry,
   request: ClaimRequest,
   context: ShardContext,
@@ -92,5 +92,5 @@
     return known;
   }
   // The span left by the old owner's clock is not known here: remember it longer rather than less.
-  return { ...entry, expires: now + getLife(entry.state, options) };
+  return { ...entry, expires: now + getLifetime(entry.state, options) };
 }
--- a/packages/claims/src/lib/ClaimShard/loadTable.ts
+++ b/packages/claims/src/lib/ClaimShard/loadTable.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimEntry, ClaimMutation } from '../messages.js';
-import { getSegmentKey, moveTime, parseSegmentKey } from '../ShardHead.js';
-import type { Doubt, SegmentReference, ShardHead } from '../ShardHead.js';
+import { getSegmentKey, translateTime, parseSegmentKey } from '../ShardHead.js';
+import type { UnresolvedEpoch, SegmentReference, ShardHead } from '../ShardHead.js';
 import { mergeMutation } from './entries.js';
 import { ShardTable } from './ShardTable.js';
 
@@ -15,9 +15,15 @@
 }
 
 /** The doubts a takeover inherits, by its own clock. */
-export function getMovedDoubts(head: ShardHead | undefined, now: Milliseconds): Doubt[] {
-  const doubts = head?.doubts ?? [];
-  return doubts.map((doubt) => ({ ...doubt, until: moveTime(doubt.until, head!, now) }));
+export function getInheritedEpochs(
+  head: ShardHead | undefined,
+  now: Milliseconds,
+): UnresolvedEpoch[] {
+  const unresolvedEpochs = head?.doubts ?? [];
+  return unresolvedEpochs.map((epoch) => ({
+    ...epoch,
+    until: translateTime(epoch.until, head!, now),
+  }));
 }
 
 function applyMutation(
@@ -56,14 +62,14 @@
 }
 
 /** What no head lists was left behind by a lost write or a lost removal. */
-function dropOthers(
+function dropUnlistedSegments(
   shard: number,
   table: ShardTable,
   listed: ReadonlySet<string>,
   objects: readonly StoredObject[],
 ): void {
   for (const { key, version } of objects.filter((object) => !listed.has(object.key))) {
-    table.dropSegment({ ...parseSegmentKey(shard, key), version, expires: 0 });
+    table.addUnlistedSegment({ ...parseSegmentKey(shard, key), version, expires: 0 });
   }
 }
 
@@ -90,7 +96,7 @@
     return undefined;
   }
   for (const entry of head.entries) {
-    table.put({ ...entry, expires: moveTime(entry.expires, head, now) });
+    table.put({ ...entry, expires: translateTime(entry.expires, head, now) });
   }
   const listed = new Set<string>();
   for (const segment of segments.sort((left, right) => right.version - left.version)) {
@@ -98,7 +104,7 @@
     listed.add(key);
     table.loadSegment(segment, JSON.parse(byKey.get(key)!.value) as ClaimEntry[]);
   }
-  dropOthers(shard, table, listed, objects);
+  dropUnlistedSegments(shard, table, listed, objects);
   mutations.forEach((mutation) => applyMutation(table, mutation, options, now));
   return table;
 }
--- a/packages/claims/src/lib/ClaimShard/shardMessages.ts
+++ b/packages/claims/src/lib/ClaimShard/shardMessages.ts
@@ -9,16 +9,16 @@
 export const NO_ANSWER = 'no-answer';
 
 /** A read of the head. */
-export type HeadRead = { object: StoredObject | undefined } | typeof NO_ANSWER;
+export type HeadReadResult = { object: StoredObject | undefined } | typeof NO_ANSWER;
 
 /** A read of all segments of the shard. */
-export type SegmentsRead = StoredObject[] | typeof NO_ANSWER;
+export type SegmentsReadResult = StoredObject[] | typeof NO_ANSWER;
 
 /** What a conditional write ended in. */
 export type WriteResult = PutResult | typeof NO_ANSWER;
 
 /**
- * A claim or an outcome that waits for its reply.
+ * A claim or an outcome that waits for its response.
  *
  * @internal
  */
@@ -42,11 +42,11 @@
   | { kind: 'take' }
   /** The daemon shuts down. */
   | { kind: 'leave' }
-  | { kind: 'head-read'; id: number; result: HeadRead }
-  | { kind: 'segments-read'; id: number; result: SegmentsRead }
+  | { kind: 'head-read'; id: number; result: HeadReadResult }
+  | { kind: 'segments-read'; id: number; result: SegmentsReadResult }
   | { kind: 'written'; id: number; result: WriteResult }
-  /** `reply` is absent when the peer gave none. */
-  | { kind: 'peer-replied'; id: number; reply: ClaimResponse | undefined }
+  /** `response` is absent when the peer gave none. */
+  | { kind: 'peer-responded'; id: number; response: ClaimResponse | undefined }
   | { kind: 'wake' };
 
 /**
@@ -55,7 +55,7 @@
  * @internal
  */
 export type ShardEffect =
-  | { kind: 'reply'; call: number; reply: ClaimResponse }
+  | { kind: 'respond'; call: number; response: ClaimResponse }
   | { kind: 'read-head'; id: number }
   | { kind: 'read-segments'; id: number }
   | { kind: 'write'; id: number; key: string; value: string; expectedVersion: number }
@@ -64,7 +64,7 @@
   | { kind: 'wake'; at: Milliseconds }
   /** A head commit took effect that made `claims` grants durable. */
   | { kind: 'committed'; claims: number }
-  | { kind: 'decision'; decision: ClaimEvent };
+  | { kind: 'event'; event: ClaimEvent };
 
 /**
  * What the parts of a shard share.
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.test.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.test.ts
@@ -12,8 +12,8 @@
 }
 
 function remember(epoch: number, committed: number, ...mutations: ClaimMutation[]) {
-  const place = { shard: 3, epoch, incarnation: INCARNATION };
-  return { kind: 'remember' as const, ...place, committed, mutations };
+  const epochKey = { shard: 3, epoch, incarnation: INCARNATION };
+  return { kind: 'remember' as const, ...epochKey, committed, mutations };
 }
 
 function seal(epoch: number, incarnation = INCARNATION) {
@@ -25,8 +25,8 @@
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(remember(1, 0, mutation(1, 'painotuote/old'), mutation(2)), 0);
     witness.handle(remember(1, 1, mutation(3)), 0);
-    const reply = witness.handle(seal(1), 0);
-    expect(reply).toEqual({ kind: 'sealed', mutations: [mutation(3)] });
+    const response = witness.handle(seal(1), 0);
+    expect(response).toEqual({ kind: 'sealed', mutations: [mutation(3)] });
   });
 
   // Symptom: a repeat of a running hold is granted. Sequence: the network delivers a copy of an
@@ -35,8 +35,8 @@
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(remember(1, 0, mutation(2)), 0);
     witness.handle(remember(1, 0, mutation(1)), 0);
-    const reply = witness.handle(seal(1), 0);
-    expect(reply).toEqual({ kind: 'sealed', mutations: [mutation(2)] });
+    const response = witness.handle(seal(1), 0);
+    expect(response).toEqual({ kind: 'sealed', mutations: [mutation(2)] });
   });
 
   it('acknowledges nothing of a sealed epoch, and goes on with the next', () => {
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
@@ -10,7 +10,7 @@
  */
 export type WitnessMessage = Extract<ClaimMessage, { kind: 'remember' | 'seal' }>;
 
-interface Remembered {
+interface WitnessedMutation {
   mutation: ClaimMutation;
   receivedAt: Milliseconds;
 }
@@ -28,13 +28,13 @@
  */
 export class ClaimWitness {
   /** Memory by `shard/epoch`, then by name: the latest mutation of each. */
-  private readonly memory = new Map<string, Map<string, Remembered>>();
+  private readonly memory = new Map<string, Map<string, WitnessedMutation>>();
 
   /** The highest sealed epoch of each shard; never forgotten, one number a shard. */
-  private readonly sealed = new Map<number, number>();
+  private readonly sealedEpochs = new Map<number, number>();
 
   /**
-   * @param incarnation - of this process: what an earlier one remembered is lost, so questions for
+   * @param incarnation - of this process: what an earlier one remembered is lost, so pendingSeals for
    * it are answered `gone`, never with an empty memory
    */
   constructor(
@@ -64,14 +64,14 @@
   /** Forgets what has outlived every claim. Call it now and then. */
   expire(now: Milliseconds): void {
     const oldest = now - MEMORY_RETENTIONS * this.options.retention;
-    for (const [place, names] of this.memory) {
-      for (const [name, { receivedAt }] of names) {
+    for (const [epochKey, mutationsByName] of this.memory) {
+      for (const [name, { receivedAt }] of mutationsByName) {
         if (receivedAt < oldest) {
-          names.delete(name);
+          mutationsByName.delete(name);
         }
       }
-      if (names.size === 0) {
-        this.memory.delete(place);
+      if (mutationsByName.size === 0) {
+        this.memory.delete(epochKey);
       }
     }
   }
@@ -81,35 +81,37 @@
     now: Milliseconds,
   ): ClaimResponse {
     const { shard, epoch, committed, mutations } = message;
-    if (epoch <= (this.sealed.get(shard) ?? 0)) {
+    if (epoch <= (this.sealedEpochs.get(shard) ?? 0)) {
       return { kind: 'epoch-sealed' };
     }
-    const names = this.getNames(shard, epoch);
-    for (const [name, { mutation }] of names) {
+    const mutationsByName = this.getMutationsByName(shard, epoch);
+    for (const [name, { mutation }] of mutationsByName) {
       if (mutation.sequence <= committed) {
-        names.delete(name);
+        mutationsByName.delete(name);
       }
     }
     for (const mutation of mutations) {
       // A late copy of an earlier message must not replace what came after it.
-      if (mutation.sequence > (names.get(mutation.name)?.mutation.sequence ?? committed)) {
-        names.set(mutation.name, { mutation, receivedAt: now });
+      if (
+        mutation.sequence > (mutationsByName.get(mutation.name)?.mutation.sequence ?? committed)
+      ) {
+        mutationsByName.set(mutation.name, { mutation, receivedAt: now });
       }
     }
     return { kind: 'remembered' };
   }
 
   private seal({ shard, epoch }: Extract<WitnessMessage, { kind: 'seal' }>): ClaimResponse {
-    this.sealed.set(shard, Math.max(epoch, this.sealed.get(shard) ?? 0));
-    const names = this.memory.get(`${shard}/${epoch}`)?.values() ?? [];
-    const mutations = [...names].map(({ mutation }) => mutation);
+    this.sealedEpochs.set(shard, Math.max(epoch, this.sealedEpochs.get(shard) ?? 0));
+    const remembered = this.memory.get(`${shard}/${epoch}`)?.values() ?? [];
+    const mutations = [...remembered].map(({ mutation }) => mutation);
     return { kind: 'sealed', mutations: mutations.sort((a, b) => a.sequence - b.sequence) };
   }
 
-  private getNames(shard: number, epoch: number): Map<string, Remembered> {
-    const place = `${shard}/${epoch}`;
-    const names = this.memory.get(place) ?? new Map<string, Remembered>();
-    this.memory.set(place, names);
-    return names;
+  private getMutationsByName(shard: number, epoch: number): Map<string, WitnessedMutation> {
+    const epochKey = `${shard}/${epoch}`;
+    const mutationsByName = this.memory.get(epochKey) ?? new Map<string, WitnessedMutation>();
+    this.memory.set(epochKey, mutationsByName);
+    return mutationsByName;
   }
 }
--- a/packages/claims/src/lib/ShardHead.ts
+++ b/packages/claims/src/lib/ShardHead.ts
@@ -28,7 +28,7 @@
  * An epoch whose witness gave no word at the takeover: what its owner granted without the store is
  * unknown until `until`.
  */
-export interface Doubt {
+export interface UnresolvedEpoch {
   epoch: number;
   owner: ClaimMember;
   witness: ClaimMember;
@@ -52,7 +52,7 @@
   /** The owner has promised to grant nothing more in this epoch. */
   clean: boolean;
   writtenAt: Milliseconds;
-  doubts: Doubt[];
+  doubts: UnresolvedEpoch[];
   segments: SegmentList[];
   entries: ClaimEntry[];
 }
@@ -62,7 +62,7 @@
   commit: string;
   header: Pick<ShardHead, 'epoch' | 'witness' | 'clean'>;
   sequence: number;
-  doubts: Doubt[];
+  unresolvedEpochs: UnresolvedEpoch[];
   table: { getSegments(): SegmentReference[]; getHeadEntries(): ClaimEntry[] };
 }
 
@@ -79,9 +79,10 @@
 
 /** The head as its owner writes it now. */
 export function createHead(owner: ClaimMember, content: HeadContent, now: Milliseconds): ShardHead {
-  const { commit, header, sequence, doubts, table } = content;
+  const { commit, header, sequence, unresolvedEpochs, table } = content;
   const segments = listSegments(table.getSegments(), now);
   const entries = table.getHeadEntries();
+  const doubts = unresolvedEpochs;
   return { owner, ...header, commit, sequence, writtenAt: now, doubts, segments, entries };
 }
 
@@ -109,13 +110,17 @@
 }
 
 /** A time of another owner's clock, moved to ours: what was left of the span then is left now. */
-export function moveTime(time: Milliseconds, head: ShardHead, now: Milliseconds): Milliseconds {
+export function translateTime(
+  time: Milliseconds,
+  head: ShardHead,
+  now: Milliseconds,
+): Milliseconds {
   return now + Math.max(0, time - head.writtenAt);
 }
 
 /** The writer and number in a segment's store key. */
 export function parseSegmentKey(shard: number, key: string): { writer: string; number: number } {
-  const rest = key.slice(getSegmentPrefix(shard).length);
-  const end = rest.lastIndexOf('/');
-  return { writer: rest.slice(0, end), number: Number(rest.slice(end + 1)) };
+  const path = key.slice(getSegmentPrefix(shard).length);
+  const separator = path.lastIndexOf('/');
+  return { writer: path.slice(0, separator), number: Number(path.slice(separator + 1)) };
 }
--- a/packages/claims/src/lib/placement.ts
+++ b/packages/claims/src/lib/placement.ts
@@ -35,7 +35,7 @@
 }
 
 /** Whether a member gives no answer at the moment. */
-export function isDoubted({ standing }: ClaimMember): boolean {
+export function isSuspect({ standing }: ClaimMember): boolean {
   return standing === MemberStanding.Doubted;
 }
 
--- a/packages/claims/src/test/ClaimHistory.ts
+++ b/packages/claims/src/test/ClaimHistory.ts
@@ -6,7 +6,7 @@
 interface Invocation {
   key: string;
   fingerprint: string;
-  answer?: ClaimResult;
+  result?: ClaimResult;
 }
 
 /** A grant: the request runs from here on, as far as anyone can tell. */
@@ -34,14 +34,19 @@
   }
 
   /** Checks an answer, and notes a grant. @throws Error naming the promise that is broken */
-  answer(invocation: Invocation, answer: ClaimResult, daemon: TestDaemon, now: Milliseconds): void {
-    Object.assign(invocation, { answer });
-    switch (answer.kind) {
+  recordResult(
+    invocation: Invocation,
+    result: ClaimResult,
+    daemon: TestDaemon,
+    now: Milliseconds,
+  ): void {
+    Object.assign(invocation, { result });
+    switch (result.kind) {
       case 'granted':
-        this.grant(invocation, answer.handle, daemon, now);
+        this.recordGrant(invocation, result.handle, daemon, now);
         break;
       case 'settled':
-        this.checkSettled(invocation, answer);
+        this.checkSettled(invocation, result);
         break;
       case 'mismatch':
         this.checkMismatch(invocation);
@@ -51,7 +56,7 @@
     }
   }
 
-  private grant(
+  private recordGrant(
     { key, fingerprint }: Invocation,
     handle: ClaimHandle,
     daemon: TestDaemon,
--- a/packages/claims/src/test/ClaimWorld.ts
+++ b/packages/claims/src/test/ClaimWorld.ts
@@ -19,11 +19,11 @@
 
   failure: Error | undefined;
 
-  private isCalm = true;
+  private isReliable = true;
 
   constructor(private readonly scheduler: fc.Scheduler) {
     const deliver = async (label: string) => {
-      if (!this.isCalm) {
+      if (!this.isReliable) {
         await this.scheduler.schedule(Promise.resolve(), label);
       }
     };
@@ -31,7 +31,7 @@
   }
 
   /** The daemon in a role, by what the store says now. */
-  pick(role: Role): TestDaemon {
+  getDaemon(role: Role): TestDaemon {
     const { daemons, store } = this.cluster;
     if (typeof role === 'number') {
       return daemons[role]!;
@@ -44,17 +44,17 @@
   /** Lets the shard find its first owner before anything goes wrong. */
   async start(): Promise<void> {
     await this.cluster.run(1000);
-    this.isCalm = false;
+    this.isReliable = false;
   }
 
   claim(daemon: TestDaemon, key: string, fingerprint: string): void {
     const invocation = this.history.invoke(key, fingerprint);
-    const now = () => this.cluster.base.now();
+    const now = () => this.cluster.clock.now();
     this.cluster
       .claim(daemon, key, fingerprint)
-      .then(async (answer) => {
+      .then(async (result) => {
         if (!daemon.isCrashed) {
-          this.history.answer(invocation, answer, daemon, now());
+          this.history.recordResult(invocation, result, daemon, now());
         }
       })
       .catch((error: Error) => {
@@ -89,10 +89,10 @@
   }
 
   /** Moves time in steps; `flow` says how many messages get through after each. */
-  async advance(span: Milliseconds, flow: number): Promise<void> {
+  async advance(span: Milliseconds, deliveriesPerStep: number): Promise<void> {
     for (let step = 0; step < ADVANCE_STEPS; step += 1) {
       // eslint-disable-next-line no-await-in-loop
-      await this.deliver(flow);
+      await this.deliver(deliveriesPerStep);
       // eslint-disable-next-line no-await-in-loop
       await this.cluster.run(span / ADVANCE_STEPS);
     }
@@ -105,24 +105,24 @@
   }
 
   /** Ends all faults but wrong views. */
-  mend(): void {
+  clearFaults(): void {
     const { cluster } = this;
-    cluster.store.fault('up');
-    cluster.store.cut.clear();
-    cluster.cuts.clear();
+    cluster.store.setFault('up');
+    cluster.store.unreachableFrom.clear();
+    cluster.brokenLinks.clear();
     cluster.daemons.forEach((daemon) => daemon.resume());
     cluster.daemons.filter(({ isCrashed }) => isCrashed).forEach((old) => cluster.restart(old));
   }
 
   /** Ends all faults and lets everything come to rest. */
-  async calm(): Promise<void> {
-    this.isCalm = true;
-    this.mend();
+  async recover(): Promise<void> {
+    this.isReliable = true;
+    this.clearFaults();
     this.cluster.store.losses = 0;
-    this.cluster.lostReplies = 0;
-    this.cluster.lookAll();
+    this.cluster.lostResponses = 0;
+    this.cluster.updateAllMembers();
     await this.deliver(Number.POSITIVE_INFINITY);
-    const { witnessSpan, retention, claimTimeout } = TEST_OPTIONS;
-    await this.cluster.run(witnessSpan! + 3 * retention! + claimTimeout!);
+    const { witnessTrustTimeout, retention, claimTimeout } = TEST_OPTIONS;
+    await this.cluster.run(witnessTrustTimeout! + 3 * retention! + claimTimeout!);
   }
 }
--- a/packages/claims/src/test/TestCluster.ts
+++ b/packages/claims/src/test/TestCluster.ts
@@ -21,13 +21,13 @@
   callTimeout: 300,
   storeTimeout: 200,
   witnessDelay: 50,
-  witnessSpan: 20_000,
+  witnessTrustTimeout: 20_000,
   verifyInterval: 3000,
   moveDelay: 500,
-  minimumTenure: 1000,
-  takeBackDelay: 2500,
+  minTenure: 1000,
+  takeoverCooldown: 2500,
   retryDelay: 20,
-  retryDelayLimit: 400,
+  maxRetryDelay: 400,
 };
 
 function createMember(index: number, incarnation: number): ClaimMember {
@@ -45,16 +45,16 @@
 
 /** Several daemons, a store and a network in one process, on one clock. */
 export class TestCluster {
-  readonly base = new ManualClock(1);
+  readonly clock = new ManualClock(1);
 
   /** Pairs of ids that cannot reach one another, as `a-b`. */
-  readonly cuts = new Set<string>();
+  readonly brokenLinks = new Set<string>();
 
   /** Every message a daemon sent, for late copies. */
   readonly sent: ClaimMessage[] = [];
 
   /** Replies (not requests) to lose between daemons. */
-  lostReplies = 0;
+  lostResponses = 0;
 
   readonly daemons: TestDaemon[] = [];
 
@@ -84,9 +84,9 @@
   }
 
   /** Everyone that runs sees who lives. */
-  lookAll(): void {
+  updateAllMembers(): void {
     const live = this.getLive();
-    this.daemons.filter(({ isCrashed }) => !isCrashed).forEach((daemon) => daemon.look(live));
+    this.daemons.filter(({ isCrashed }) => !isCrashed).forEach((daemon) => daemon.setMembers(live));
   }
 
   /** Starts a process anew on the same instance; only itself knows of it at first. */
@@ -118,7 +118,7 @@
     });
     await drain();
     while (!isDone) {
-      this.base.runNext();
+      this.clock.runNext();
       // One turn after the other, until the promise is fulfilled.
       // eslint-disable-next-line no-await-in-loop
       await drain();
@@ -127,41 +127,42 @@
   }
 
   async run(span: Milliseconds): Promise<void> {
-    const end = this.base.now() + span;
+    const end = this.clock.now() + span;
     await drain();
-    while (this.base.runNext(end)) {
+    while (this.clock.runNext(end)) {
       // One timer after the other, each with all that follows from it.
       // eslint-disable-next-line no-await-in-loop
       await drain();
     }
-    this.base.advance(end - this.base.now());
+    this.clock.advance(end - this.clock.now());
     await drain();
   }
 
-  getDecisions<Kind extends ClaimEvent['kind']>(kind: Kind): Extract<ClaimEvent, { kind: Kind }>[] {
+  getEvents<Kind extends ClaimEvent['kind']>(kind: Kind): Extract<ClaimEvent, { kind: Kind }>[] {
     type Wanted = Extract<ClaimEvent, { kind: Kind }>;
-    const isWanted = (decision: ClaimEvent): decision is Wanted => decision.kind === kind;
-    return this.daemons.flatMap(({ decisions }) => decisions.filter(isWanted));
+    const isWanted = (event: ClaimEvent): event is Wanted => event.kind === kind;
+    return this.daemons.flatMap(({ events }) => events.filter(isWanted));
   }
 
-  loseReply(): void {
-    this.lostReplies += 1;
+  loseResponse(): void {
+    this.lostResponses += 1;
   }
 
-  cut(left: TestDaemon, right: TestDaemon): void {
-    this.cuts.add(`${left.member.id}-${right.member.id}`);
-    this.cuts.add(`${right.member.id}-${left.member.id}`);
+  breakLink(left: TestDaemon, right: TestDaemon): void {
+    this.brokenLinks.add(`${left.member.id}-${right.member.id}`);
+    this.brokenLinks.add(`${right.member.id}-${left.member.id}`);
   }
 
   private start(member: ClaimMember, members: readonly ClaimMember[]): TestDaemon {
-    const { base, options, store } = this;
+    const { clock, options, store } = this;
     const transport = (daemon: TestDaemon) => ({
-      call: (peer: ClaimMember, message: ClaimMessage) => this.carry(daemon, peer, message),
+      call: (peer: ClaimMember, message: ClaimMessage) =>
+        this.deliverMessage(daemon, peer, message),
     });
-    return new TestDaemon({ member, base, options, store, transport, members });
+    return new TestDaemon({ member, baseClock: clock, options, store, transport, members });
   }
 
-  private async carry(
+  private async deliverMessage(
     from: TestDaemon,
     peer: ClaimMember,
     message: ClaimMessage,
@@ -171,7 +172,7 @@
     await this.deliver(`${id} to ${peer.id}: ${message.kind}`);
     // Whoever listens at the address, as with a real connection.
     const target = this.daemons.find(({ member }) => member.address === peer.address)!;
-    if (this.cuts.has(`${id}-${peer.id}`) || target.isCrashed) {
+    if (this.brokenLinks.has(`${id}-${peer.id}`) || target.isCrashed) {
       await from.pass();
       throw new Error('unreachable');
     }
@@ -180,8 +181,8 @@
     await target.pass();
     await this.deliver(`${peer.id} to ${id}: ${reply.kind}`);
     await from.pass();
-    if (this.cuts.has(`${id}-${peer.id}`) || this.lostReplies > 0) {
-      this.lostReplies = Math.max(0, this.lostReplies - 1);
+    if (this.brokenLinks.has(`${id}-${peer.id}`) || this.lostResponses > 0) {
+      this.lostResponses = Math.max(0, this.lostResponses - 1);
       throw new Error('reply lost');
     }
     return reply;
--- a/packages/claims/src/test/TestDaemon.ts
+++ b/packages/claims/src/test/TestDaemon.ts
@@ -9,7 +9,7 @@
 /** What a daemon under test is started with. */
 export interface TestDaemonSettings {
   member: ClaimMember;
-  base: ManualClock;
+  baseClock: ManualClock;
   options: Partial<ClaimOptions>;
   store: TestStore;
   transport: (daemon: TestDaemon) => ClaimTransport;
@@ -21,7 +21,7 @@
 
 /** One process: it can be paused, which holds its messages and timers, and it can crash. */
 export class TestDaemon implements Clock {
-  readonly decisions: ClaimEvent[] = [];
+  readonly events: ClaimEvent[] = [];
 
   readonly claims: ClaimManager;
 
@@ -49,7 +49,7 @@
       store: store.connect(member.id, () => this.pass()),
       transport: transport(this),
       getMembers: () => this.members,
-      onEvent: (decision) => this.decisions.push(decision),
+      onEvent: (event) => this.events.push(event),
     });
   }
 
@@ -58,7 +58,7 @@
   }
 
   now(): Milliseconds {
-    return this.settings.base.now() + this.offset;
+    return this.settings.baseClock.now() + this.offset;
   }
 
   setTimer(delay: Milliseconds, callback: () => void): Timer {
@@ -68,7 +68,7 @@
         callback();
       }
     };
-    this.settings.base.setTimer(delay, () => {
+    this.settings.baseClock.setTimer(delay, () => {
       this.hold(this.heldTimers).then(run);
     });
     return {
@@ -102,7 +102,7 @@
     this.isCrashed = true;
   }
 
-  look(members: readonly ClaimMember[]): void {
+  setMembers(members: readonly ClaimMember[]): void {
     this.members = members;
     this.claims.handleMembersChange();
   }
--- a/packages/claims/src/test/TestStore.ts
+++ b/packages/claims/src/test/TestStore.ts
@@ -19,7 +19,7 @@
   onLoss: ((daemon: string) => void) | undefined;
 
   /** Daemons that cannot reach it. */
-  readonly cut = new Set<string>();
+  readonly unreachableFrom = new Set<string>();
 
   private readonly objects = new Map<string, StoredObject>();
 
@@ -27,7 +27,7 @@
 
   constructor(private readonly deliver: Deliver) {}
 
-  fault(kind: 'down' | 'up' | 'lose'): void {
+  setFault(kind: 'down' | 'up' | 'lose'): void {
     this.isDown = kind === 'down';
     this.losses += kind === 'lose' ? 1 : 0;
   }
@@ -59,7 +59,7 @@
     act: () => Value,
   ): Promise<Value> {
     await this.deliver(`${daemon} ${label}`);
-    const isReached = !this.isDown && !this.cut.has(daemon);
+    const isReached = !this.isDown && !this.unreachableFrom.has(daemon);
     const value = isReached ? act() : undefined;
     const isLost = label.startsWith('put claims/') && isReached && this.losses > 0;
     if (isLost) {
--- a/packages/claims/src/test/claimCommands.ts
+++ b/packages/claims/src/test/claimCommands.ts
@@ -35,9 +35,9 @@
 
 type Act = (world: ClaimWorld, daemon: TestDaemon) => void;
 
-function onDaemon(label: string, act: Act): fc.Arbitrary<Command> {
+function createDaemonCommand(label: string, act: Act): fc.Arbitrary<Command> {
   return role.map(
-    (picked) => new Command(`${label}(${picked})`, (world) => act(world, world.pick(picked))),
+    (picked) => new Command(`${label}(${picked})`, (world) => act(world, world.getDaemon(picked))),
   );
 }
 
@@ -46,7 +46,7 @@
   .map(
     ([index, key, print]) =>
       new Command(`claim(${index}, k${key})`, (world) =>
-        world.claim(world.pick(index), `k${key}`, print === 0 ? 'other' : 'print'),
+        world.claim(world.getDaemon(index), `k${key}`, print === 0 ? 'other' : 'print'),
       ),
   );
 
@@ -66,20 +66,22 @@
 const advance = fc
   .tuple(fc.constantFrom(10, 60, 250, 600, 1200, 11_000, 33_000), fc.constantFrom(0, 2, 50, 50, 50))
   .map(
-    ([span, flow]) =>
-      new Command(`advance(${span}, ${flow})`, (world) => world.advance(span, flow)),
+    ([span, deliveriesPerStep]) =>
+      new Command(`advance(${span}, ${deliveriesPerStep})`, (world) =>
+        world.advance(span, deliveriesPerStep),
+      ),
   );
 
 const store = fc
   .constantFrom('down', 'up', 'lose')
-  .map((kind) => new Command(`store(${kind})`, ({ cluster }) => cluster.store.fault(kind)));
+  .map((kind) => new Command(`store(${kind})`, ({ cluster }) => cluster.store.setFault(kind)));
 
 const joinStore = fc.constant(
-  new Command('join-store', ({ cluster }) => cluster.store.cut.clear()),
+  new Command('join-store', ({ cluster }) => cluster.store.unreachableFrom.clear()),
 );
 
-const cutStore = onDaemon('cut-store', ({ cluster }, { member }) =>
-  cluster.store.cut.add(member.id),
+const cutStore = createDaemonCommand('cut-store', ({ cluster }, { member }) =>
+  cluster.store.unreachableFrom.add(member.id),
 );
 
 const cutPeers = fc
@@ -87,46 +89,50 @@
   .map(
     ([left, right]) =>
       new Command(`cut(${left}, ${right})`, (world) =>
-        world.cluster.cut(world.pick(left), world.pick(right)),
+        world.cluster.breakLink(world.getDaemon(left), world.getDaemon(right)),
       ),
   );
 
-const heal = fc.constant(new Command('heal', ({ cluster }) => cluster.cuts.clear()));
+const heal = fc.constant(new Command('heal', ({ cluster }) => cluster.brokenLinks.clear()));
 
-const loseReply = fc.constant(new Command('lose-reply', ({ cluster }) => cluster.loseReply()));
+const loseResponse = fc.constant(
+  new Command('lose-response', ({ cluster }) => cluster.loseResponse()),
+);
 
-const look = fc.tuple(role, fc.nat({ max: 15 })).map(
+const setMembers = fc.tuple(role, fc.nat({ max: 15 })).map(
   ([index, hidden]) =>
-    new Command(`look(${index}, hidden ${hidden})`, (world) => {
+    new Command(`set-members(${index}, hidden ${hidden})`, (world) => {
       const members = world.cluster
         .getLive()
         // eslint-disable-next-line no-bitwise
         .filter((_, place) => ((hidden >> place) & 1) === 0);
-      world.pick(index).look(members);
+      world.getDaemon(index).setMembers(members);
     }),
 );
 
-const lookAll = fc.constant(new Command('look-all', ({ cluster }) => cluster.lookAll()));
+const updateAllMembers = fc.constant(
+  new Command('update-all-members', ({ cluster }) => cluster.updateAllMembers()),
+);
 
-const pause = onDaemon('pause', (_, daemon) => daemon.pause());
+const pause = createDaemonCommand('pause', (_, daemon) => daemon.pause());
 
-const resume = onDaemon('resume', (_, daemon) => daemon.resume());
+const resume = createDaemonCommand('resume', (_, daemon) => daemon.resume());
 
-const restart = onDaemon('restart', ({ cluster }, daemon) => {
+const restart = createDaemonCommand('restart', ({ cluster }, daemon) => {
   cluster.restart(daemon);
 });
 
 const restartBoth = fc.constant(
   new Command('restart-both', (world) => {
-    const ends = [world.pick('owner'), world.pick('witness')];
+    const ends = [world.getDaemon('owner'), world.getDaemon('witness')];
     ends.forEach((daemon) => world.cluster.restart(daemon));
-    world.cluster.lookAll();
+    world.cluster.updateAllMembers();
   }),
 );
 
-const crash = onDaemon('crash', (_, daemon) => daemon.crash());
+const crash = createDaemonCommand('crash', (_, daemon) => daemon.crash());
 
-const mend = fc.constant(new Command('mend', (world) => world.mend()));
+const clearFaults = fc.constant(new Command('clear-faults', (world) => world.clearFaults()));
 
 /** Sequences of everything that can happen. */
 export const claimCommands = fc.commands(
@@ -134,16 +140,16 @@
     ...Array<typeof claim>(8).fill(claim),
     ...Array<typeof advance>(8).fill(advance),
     ...Array<typeof settle>(3).fill(settle),
-    ...Array<typeof mend>(3).fill(mend),
+    ...Array<typeof clearFaults>(3).fill(clearFaults),
     deliver,
     store,
     joinStore,
     cutStore,
     cutPeers,
     heal,
-    loseReply,
-    look,
-    lookAll,
+    loseResponse,
+    setMembers,
+    updateAllMembers,
     pause,
     resume,
     restart,
--- a/packages/claims/src/test/claimScenario.ts
+++ b/packages/claims/src/test/claimScenario.ts
@@ -4,13 +4,13 @@
 import type { Deliver } from './TestStore.js';
 
 /** The outcome of a hold that was placed. */
-export const RAN: ClaimOutcome = {
+export const ANSWERED: ClaimOutcome = {
   kind: 'answered',
   answer: { kind: 'whole', status: 201, headers: { 'content-type': 'text/plain' }, body: 'held' },
 };
 
 /** Four daemons by what they do for the only shard. */
-export interface Roles {
+export interface ClusterRoles {
   cluster: TestCluster;
   owner: TestDaemon;
   witness: TestDaemon;
@@ -20,7 +20,7 @@
 }
 
 /** Starts four daemons and lets the shard find its owner. */
-export async function start(deliver?: Deliver): Promise<Roles> {
+export async function startCluster(deliver?: Deliver): Promise<ClusterRoles> {
   const cluster = new TestCluster(4, TEST_OPTIONS, deliver);
   await cluster.run(1000);
   const [owner, witness, next, other] = cluster.getOrder();
@@ -28,7 +28,7 @@
 }
 
 /** The handle of a claim that must have been granted. */
-export function getHandle(answer: ClaimResult): ClaimHandle {
-  expect(answer.kind).toBe('granted');
-  return (answer as Extract<ClaimResult, { kind: 'granted' }>).handle;
+export function expectGranted(result: ClaimResult): ClaimHandle {
+  expect(result.kind).toBe('granted');
+  return (result as Extract<ClaimResult, { kind: 'granted' }>).handle;
 }
