--- a/packages/claims/src/lib/ClaimCounters.ts
+++ b/packages/claims/src/lib/ClaimCounters.ts
@@ -1,23 +1,23 @@
 /**
- * What a daemon's claims cost, counted since its start.
+ * What the claims of a daemon have cost since it started.
  *
  * @public
  */
 export interface ClaimCounters {
   /** Head commits confirmed by the store. */
   commits: number;
-  /** Grants that those commits made durable; divided by `commits`: claims per commit. */
+  /** Grants made durable by those commits. Divided by `commits`: claims per commit. */
   committedClaims: number;
   storeReads: number;
   storeLists: number;
-  /** Conditional writes sent, of heads and segments. */
+  /** Conditional writes of heads and segments sent to the store. */
   storeWrites: number;
   storeDeletes: number;
-  /** Characters written. */
+  /** Characters written to the store. */
   storeWrittenSize: number;
-  /** Store calls that gave no answer. */
+  /** Store calls that failed or timed out. */
   storeFailures: number;
-  /** Calls to other daemons, those to witnesses among them. */
+  /** Calls to other daemons, including those to witnesses. */
   peerCalls: number;
   witnessCalls: number;
 }
--- a/packages/claims/src/lib/ClaimEvent.ts
+++ b/packages/claims/src/lib/ClaimEvent.ts
@@ -2,64 +2,67 @@
 import type { ClaimResult, RefusalReason } from './claimTypes.js';
 import type { ClaimResponse, OwnerResponse } from './messages.js';
 
-/** What made a claim's answer final. */
+/** What made the response to a claim final. */
 export enum AnswerSource {
   /** A commit at the store. */
   Store = 'store',
-  /** The witness's memory, while the store gave no answer. */
+  /** The memory of the witness, while the store did not respond. */
   Witness = 'witness',
-  /** What the owner knew already. */
+  /** State that the owner already had. */
   Memory = 'memory',
 }
 
-/** How a new owner learned what the last one may have granted without the store. */
+/** How a new owner learned which claims the previous owner granted without the store. */
 export enum TakeoverProof {
-  /** No owner before. */
+  /** There was no previous owner. */
   Fresh = 'fresh',
-  /** The last owner had handed the shard over. */
+  /** The previous owner had handed the shard over. */
   Clean = 'clean',
-  /** The last owner had no witness, so it granted nothing without the store. */
+  /** The previous owner had no witness, so it granted nothing without the store. */
   NoWitness = 'no-witness',
-  /** The witness gave its memory and sealed the epoch. */
+  /** The witness returned the mutations it remembered and sealed the epoch. */
   Sealed = 'sealed',
-  /** Our own takeover, whose confirmation was lost, is found in the store. */
+  /** The store holds an earlier takeover by this daemon whose confirmation was lost. */
   OwnCommit = 'own-commit',
-  /** None: the shard is in quarantine. */
+  /** No proof: the shard is in quarantine. */
   None = 'none',
 }
 
-/** Why a shard left its owner. */
+/** Why an owner lost a shard. */
 export enum LossCause {
-  /** A commit of ours met a newer owner's. */
+  /** A commit conflicted with one of a newer owner. */
   Conflict = 'conflict',
-  /** A commit of ours met a newer owner's, who has left the shard since: nobody owns it. */
+  /**
+   * A commit conflicted with one of a newer owner that has released the shard since: it has no
+   * owner.
+   */
   Vacant = 'vacant',
-  /** A challenger that could not reach the witness asked us to let go. */
+  /** A new owner that could not reach the witness asked this owner to release the shard. */
   Challenged = 'challenged',
   HandedOver = 'handed-over',
 }
 
 /**
- * One daemon that was asked for a claim.
+ * One call to a daemon in the search for the owner of a shard.
  *
  * @public
  */
 export interface OwnerCall {
   peer: string;
-  /** `none`: no answer in time. */
+  /** `none`: no response in time. */
   reply: ClaimResponse['kind'] | 'none';
-  /** When it was asked, by the entry daemon's clock. */
+  /** When the call was sent, by the entry daemon's clock. */
   at: Milliseconds;
   spent: Milliseconds;
 }
 
 /**
- * Each event of this package, for the daemon's log.
+ * An event of this package, for the log of the daemon.
  *
  * @public
  */
 export type ClaimEvent =
-  /** An entry daemon's claim ended. */
+  /** A claim ended at its entry daemon. */
   | {
       kind: 'claim-ended';
       shard: number;
@@ -68,10 +71,13 @@
       reason?: RefusalReason;
       calls: number;
       spent: Milliseconds;
-      /** Whom it asked last, where the claim failed or took several calls: which one was slow. */
+      /**
+       * The last daemons asked, if the claim failed or took several calls: shows which one was
+       * slow.
+       */
       tries?: readonly OwnerCall[];
     }
-  /** An owner answered a claim. */
+  /** An owner responded to a claim. */
   | {
       kind: 'claim-answered';
       shard: number;
--- a/packages/claims/src/lib/ClaimManager/ClaimClient.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimClient.ts
@@ -8,10 +8,10 @@
 import type { OwnerRouter } from './OwnerRouter.js';
 import type { OwnerSearchResponse, OwnerSearch } from './OwnerSearch.js';
 
-/** A search that goes in circles must not make its log line long. */
+/** Limits the length of a log line when a search runs in circles. */
 const MAX_LOGGED_CALLS = 8;
 
-/** What a seeker needs of the daemon around it. */
+/** What a client needs from its daemon. */
 export interface ClaimClientSettings {
   self: ClaimMember;
   clock: Clock;
@@ -22,7 +22,7 @@
   onEvent: (event: ClaimEvent) => void;
 }
 
-/** The entry daemon's side of a claim: asks the owner, and gives up cleanly. */
+/** The entry daemon's side of a claim: asks the owner, and releases the key if it gives up. */
 export class ClaimClient {
   constructor(private readonly settings: ClaimClientSettings) {}
 
@@ -58,8 +58,9 @@
     startedAt: Milliseconds,
   ): ClaimResult {
     const { clock, options, reporter } = this.settings;
-    // A frozen process reads a grant long after it was sent, when the key may have expired and been
-    // granted again. So a grant counts only within the time that owners and witnesses allow for.
+    // A process that was suspended may read a grant long after it was sent, when the key may have
+    // expired and been granted to another. So a grant counts only within the time that owners and
+    // witnesses allow for.
     const isLate = clock.now() - startedAt > options.claimTimeout;
     const { response } = search;
     if (response?.kind === 'answer' && response.answer.kind !== 'granted') {
@@ -69,10 +70,10 @@
       return { kind: 'granted', handle };
     }
     if (search.isUncertain || isLate || (response?.kind === 'refused' && response.held)) {
-      // The claim may be remembered although this daemon never uses it: give the key back.
+      // The claim may be remembered although this daemon never uses it, so release the key.
       reporter.report(handle, { kind: 'not-run' });
     }
-    // While the deadline isn't over, the key was this try's until it gave it back just now.
+    // Before the deadline, the key belonged to this attempt until it was released just now.
     const isOurs = response?.kind === 'answer' && clock.now() < handle.deadline;
     return this.getRefusal(response, search.isUncertain, isOurs);
   }
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -30,7 +30,7 @@
 type SealMessage = Extract<ClaimMessage, { kind: 'seal' }>;
 
 /**
- * One daemon's part in claims: entry, owner and witness at once.
+ * One daemon's part in claims: entry daemon, owner and witness at once.
  *
  * @example
  * ```ts
@@ -99,19 +99,19 @@
     this.scheduleMaintenance();
   }
 
-  /** What claims have cost since the start. */
+  /** What the claims of this daemon have cost since it started. */
   getCounters(): ClaimCounters {
     return { ...this.counters };
   }
 
-  /** The shards this daemon owns now. */
+  /** The shards that this daemon owns now. */
   getOwnedShards(): number[] {
     return this.runners.flatMap((runner, shard) => (runner.isOwned ? [shard] : []));
   }
 
   /**
-   * Asks for the right to run a request. Ends within the claim timeout; dispatch only on `granted`,
-   * and only before the handle's deadline.
+   * Claims the right to run a request. Ends within the claim timeout. The request may be dispatched
+   * only on `granted`, and only before the deadline of the handle.
    *
    * @example
    * ```ts
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Reports how a granted request ended. Nobody needs to wait for the promise: it resolves once
-   * the store has the outcome. `not-run` needs proof, since it frees the key at once.
+   * Reports how a granted request ended. Callers need not wait for the promise, which resolves once
+   * the store has the outcome. `not-run` requires proof, because it releases the key at once.
    *
    * @example
    * ```ts
@@ -141,10 +141,10 @@
   }
 
   /**
-   * Takes a message that a peer sent through its transport.
+   * Handles a message that a peer sent through its transport.
    *
-   * @param from - the peer's id
-   * @throws StepError when this daemon has been disposed of: the peer asks elsewhere
+   * @param from - the id of the peer
+   * @throws StepError when this daemon has been disposed of; the peer then asks another one
    * @example
    * ```ts
    * mesh.handle('claims', (from, message: ClaimMessage) => claims.handle(from, message));
@@ -174,12 +174,12 @@
     }
   }
 
-  /** Call it whenever `getMembers` would answer something new. */
+  /** Must be called whenever the result of `getMembers` has changed. */
   handleMembersChange(): void {
     const members = this.getMembers();
     this.runners.forEach((runner) => runner.handle({ kind: 'members', members }));
-    // Shards move only after a rest, and not again with each further change: a flapping member
-    // would otherwise drag them back and forth.
+    // Shards move only after a delay that further changes do not restart. Otherwise a member that
+    // keeps leaving and rejoining would move them back and forth.
     this.rebalanceTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
       this.rebalanceTimer = undefined;
       this.rebalance();
@@ -187,12 +187,12 @@
   }
 
   /**
-   * Hands all shards over to their next owners and waits until the outcomes reported so far are at
-   * the store. Call it on a graceful shutdown, after the last request ended; claims of this daemon
-   * go on working.
+   * Hands all shards over to their next owners and waits until the store has the outcomes reported
+   * so far. Call it on a graceful shutdown, after the last request has ended. Claims of this daemon
+   * continue to work.
    *
    * @param timeout - how long to wait, in milliseconds; what is not done by then is left to the
-   * others, who take over as after a crash
+   * other daemons, as after a crash
    * @example
    * ```ts
    * await claims.handOver(5000);
@@ -208,7 +208,7 @@
     return { ownedShards, unreportedOutcomes: this.reporter.size };
   }
 
-  /** Stops everything at once; what peers wait for here ends without an answer. */
+  /** Stops all activity at once. Calls of peers that are waiting end without a response. */
   dispose(): void {
     this.isDisposed = true;
     this.rebalanceTimer?.cancel();
@@ -227,7 +227,7 @@
     this.runners.forEach((runner) => runner.handle({ kind: 'rebalance' }));
   }
 
-  /** Looks again at what a lost message or an outage may have left undone. */
+  /** Periodically repeats what a lost message or an outage may have prevented. */
   private scheduleMaintenance(): void {
     const { clock } = this.settings;
     this.maintenanceTimer = clock.setTimer(this.options.verifyInterval, () => {
@@ -267,7 +267,7 @@
       return undefined;
     }
     if (isSameProcess(peer, self)) {
-      // Not within the caller's own turn: a shard must not be entered while it emits effects.
+      // Deferred, because a shard must not be entered while it emits effects.
       return withTimeout(
         clock,
         timeout,
--- a/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimSettings.ts
@@ -6,38 +6,38 @@
 import type { ClaimMessage, ClaimResponse } from '../messages.js';
 
 /**
- * How daemons reach one another.
+ * How daemons reach each other.
  *
  * @public
  */
 export interface ClaimTransport {
   /**
-   * Delivers a message to a peer's {@link ClaimManager.handle} and brings back its response. Rejects,
-   * or never ends, when there is none: whether the message arrived is then unknown.
+   * Delivers a message to {@link ClaimManager.handle} of a peer and returns its response. Rejects
+   * or never settles when there is none; the message may then have arrived or not.
    */
   call(peer: ClaimMember, message: ClaimMessage): Promise<ClaimResponse>;
 }
 
 /**
- * What a manager is given.
+ * The constructor arguments of a claim manager.
  *
  * @public
  */
 export interface ClaimSettings {
   self: ClaimMember;
   clock: Clock;
-  /** Values that differ from the defaults. */
+  /** Options that differ from the defaults. */
   options?: Partial<ClaimOptions>;
   store: PlatformStore;
   transport: ClaimTransport;
-  /** The members that have not ended, by this daemon's view, with what it may expect of each. */
+  /** The members that have not ended, by this daemon's view, with what to expect of each. */
   getMembers: () => readonly ClaimMember[];
   /** Called with every event, for the log. */
   onEvent?: (event: ClaimEvent) => void;
 }
 
 /**
- * What a hand-over could not finish in time; zeros mean a clean end.
+ * What a handover could not finish in time. Zeros mean that it completed.
  *
  * @public
  */
--- a/packages/claims/src/lib/ClaimManager/LayoutGuard.ts
+++ b/packages/claims/src/lib/ClaimManager/LayoutGuard.ts
@@ -8,9 +8,9 @@
 }
 
 /**
- * Refuses to take shards while the store says that keys are cut into another number of them. With
- * two numbers at once, a key would belong to two shards, each granting it: the same request would
- * run twice without any error.
+ * Prevents takeovers while the store says that the keys are divided into another number of shards.
+ * With two numbers in use at once, a key would belong to two shards that each grant it, and its
+ * request would run twice without any error.
  */
 export class LayoutGuard {
   private found: number | undefined;
@@ -25,7 +25,7 @@
     return this.found !== undefined && this.found !== this.shards;
   }
 
-  /** @returns whether the layout is known to be ours */
+  /** @returns whether the layout in the store is known to be the one of this daemon */
   async check(): Promise<boolean> {
     if (this.found === undefined) {
       this.found = await this.find();
@@ -46,7 +46,7 @@
     }
     const layout: Layout = { shards: this.shards };
     const written = await this.store.put(LAYOUT_KEY, JSON.stringify(layout), 0);
-    // After a conflict or without an answer, the next check reads what stands there.
+    // After a conflict or without a response, the next check reads the stored layout.
     return written !== NO_ANSWER && written.kind === 'accepted' ? this.shards : undefined;
   }
 }
--- a/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
+++ b/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
@@ -4,16 +4,19 @@
 import type { OwnerRouter } from './OwnerRouter.js';
 import { delay } from './timing.js';
 
-/** An entry outlives its request by at most this many retentions. */
+/** An entry outlives its request by at most this many retention periods. */
 const REPORT_RETENTIONS = 2;
 
-/** Longest wait between reports of an outcome that the owner holds but the store does not. */
+/**
+ * Maximum delay in milliseconds between reports of an outcome that the owner has but the store does
+ * not.
+ */
 const MAX_HELD_RETRY_DELAY = 60_000;
 
 /**
- * Reports outcomes to owners until the store has them: an owner that crashes before its commit
- * forgets the outcome, and repeats would be told `in-progress` or `unknown` for a request whose
- * answer is known.
+ * Reports outcomes to owners until the store has them. An owner that crashes before its commit
+ * loses the outcome, and repeats would be told `in-progress` or `unknown` for a request whose
+ * response is known.
  */
 export class OutcomeReporter {
   private readonly pendingReports = new Map<string, Promise<void>>();
@@ -26,12 +29,16 @@
     private readonly router: OwnerRouter,
   ) {}
 
-  /** How many outcomes the store does not have yet. */
+  /** Number of outcomes that the store does not have yet. */
   get size(): number {
     return this.pendingReports.size;
   }
 
-  /** @returns a promise that resolves once the store has the outcome, or the claim has expired */
+  /**
+   * Reports an outcome.
+   *
+   * @returns a promise that resolves once the store has the outcome or the claim has expired
+   */
   report(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
     const { claim } = handle.request;
     const report = this.run(handle, outcome).finally(() => this.pendingReports.delete(claim));
@@ -39,7 +46,7 @@
     return report;
   }
 
-  /** Resolves once the outcomes reported so far are through. */
+  /** Resolves once the store has the outcomes reported so far, or their claims have expired. */
   async flush(): Promise<void> {
     await Promise.all(this.pendingReports.values());
   }
@@ -52,7 +59,7 @@
     const deadline = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
     let retryDelay = this.options.retryDelay;
     while (!this.isDisposed && this.clock.now() < deadline) {
-      // One try after the other, until one is confirmed.
+      // One report at a time, until one is confirmed.
       // eslint-disable-next-line no-await-in-loop
       const state = await this.sendOnce(handle, outcome);
       if (state === 'durable') {
@@ -71,7 +78,7 @@
   ): Promise<'durable' | 'held' | 'failed'> {
     const { shard, request } = handle;
     const { claimTimeout, callTimeout } = this.options;
-    // The owner responses once its commit is confirmed, within the claim timeout.
+    // The owner responds once its commit is confirmed, within the claim timeout.
     const timeout: Milliseconds = claimTimeout + callTimeout;
     const message = { kind: 'settle' as const, shard, request, outcome };
     const { response } = await this.router.send(
--- a/packages/claims/src/lib/ClaimManager/OwnerRouter.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerRouter.ts
@@ -11,7 +11,7 @@
   timeout: Milliseconds,
 ) => Promise<ClaimResponse | undefined>;
 
-/** Where this daemon found each shard's owner last. */
+/** Sends messages to the owners of shards, starting with the owner that this daemon found last. */
 export class OwnerRouter {
   private readonly hints = new Map<number, ClaimMember>();
 
@@ -23,10 +23,10 @@
   ) {}
 
   /**
-   * Sends a message to a shard's owner, whoever that is.
+   * Sends a message to the current owner of a shard.
    *
-   * @param deadline - when to stop looking
-   * @param callTimeout - how long one daemon may take
+   * @param deadline - when to stop searching
+   * @param callTimeout - timeout of the call to one daemon
    */
   async send(
     shard: number,
--- a/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
@@ -4,56 +4,56 @@
 import type { ClaimResponse } from '../messages.js';
 import { delay } from './timing.js';
 
-/** A response of a shard's owner. */
+/** The response of the owner of a shard. */
 export type OwnerSearchResponse = Exclude<ClaimResponse, { kind: 'not-owner' }>;
 
-/** How a search looks at the daemons. */
+/** How a search reaches the daemons. */
 export interface SearchSettings {
   clock: Clock;
   /** When the search ends. */
   deadline: Milliseconds;
-  /** How long one daemon may take. */
+  /** Timeout of the call to one daemon. */
   callTimeout: Milliseconds;
-  /** The wait before the second round; it doubles with each. */
+  /** The delay before the second round. It doubles with each round. */
   retryDelay: Milliseconds;
-  /** Whom to ask, the likeliest owner first. */
+  /** The daemons to ask, the most likely owner first. */
   getCandidates: () => ClaimMember[];
-  /** @returns undefined when the daemon gave no answer in time */
+  /** @returns undefined when the daemon did not respond in time */
   call: (peer: ClaimMember, timeout: Milliseconds) => Promise<ClaimResponse | undefined>;
-  /** The peer turned out not to be the owner, or not to answer. */
+  /** Called when a peer is not the owner or did not respond. */
   onMiss: (peer: ClaimMember) => void;
   onFound: (peer: ClaimMember) => void;
 }
 
 /**
- * One search for a shard's owner: asks the likely ones in turn, follows redirects, and starts over
- * after a wait while the shard is on the move.
+ * One search for the owner of a shard. Asks the likely owners in turn, follows redirects, and
+ * starts over after a delay while the shard is moving.
  */
 export class OwnerSearch {
   response: OwnerSearchResponse | undefined;
 
-  /** The daemons asked so far, in order. */
+  /** The calls made so far, in order. */
   readonly calls: OwnerCall[] = [];
 
-  /** Some call gave no answer: its message may have been acted on. */
+  /** Some call had no response, so its message may have been processed. */
   isUncertain = false;
 
   private candidates: ClaimMember[] = [];
 
   private askedIds = new Set<string>();
 
-  /** In this round the preferred daemon said that it cannot take the shard. */
+  /** In this round, the preferred owner responded that it cannot take over the shard. */
   private hasNoOwner = false;
 
   private hasFailed = false;
 
   constructor(private readonly settings: SearchSettings) {}
 
-  /** Asks until an owner responses, the time is up, or nobody can become the owner. */
+  /** Asks until an owner responds, the deadline passes, or no daemon can become the owner. */
   async run(): Promise<void> {
     const { clock, deadline, retryDelay } = this.settings;
     for (let wait = retryDelay; ; wait *= 2) {
-      // One round after the other: each learns from the redirects of the last.
+      // One round at a time: each learns from the redirects of the last.
       // eslint-disable-next-line no-await-in-loop
       await this.runRound();
       const isHopeless = this.hasNoOwner && !this.hasFailed;
@@ -75,7 +75,7 @@
       const peer = this.candidates.shift()!;
       if (!this.askedIds.has(peer.id)) {
         this.askedIds.add(peer.id);
-        // One daemon after the other: two at once could both act on the message.
+        // One daemon at a time: two at once could both process the message.
         // eslint-disable-next-line no-await-in-loop
         await this.askPeer(peer);
       }
--- a/packages/claims/src/lib/ClaimManager/ShardRunner.ts
+++ b/packages/claims/src/lib/ClaimManager/ShardRunner.ts
@@ -12,7 +12,7 @@
 import type { LayoutGuard } from './LayoutGuard.js';
 import type { StoreGateway } from './StoreGateway.js';
 
-/** What the runners of a daemon share. */
+/** What the shard runners of a daemon share. */
 export interface RunnerContext {
   self: ClaimMember;
   clock: Clock;
@@ -22,13 +22,13 @@
   counters: ClaimCounters;
   createId: () => number;
   onEvent: (event: ClaimEvent) => void;
-  /** @returns undefined when the peer gave no answer in time */
+  /** @returns undefined when the peer did not respond in time */
   callPeer: (peer: ClaimMember, message: ClaimMessage) => Promise<ClaimResponse | undefined>;
 }
 
 type WithoutCall<Input> = Input extends { call: number } ? Omit<Input, 'call'> : never;
 
-/** An input that is answered. */
+/** An input that gets a response. */
 type CallInput = WithoutCall<ShardInput>;
 
 interface PendingCall {
@@ -36,7 +36,7 @@
   reject: (error: Error) => void;
 }
 
-/** The task around one shard: feeds it inputs with the time and does what it wants done. */
+/** Runs one shard: passes it inputs with the current time and performs its effects. */
 export class ShardRunner {
   private readonly shard: ClaimShard;
 
@@ -48,7 +48,9 @@
 
   private releaseListeners: (() => void)[] = [];
 
-  /** The last offer of the shard to a successor, until it is answered or its time is up. */
+  /**
+   * The last offer of the shard to a successor, until the successor responds or the call times out.
+   */
   private lastOffer: Promise<void> = Promise.resolve();
 
   private isDisposed = false;
@@ -67,7 +69,7 @@
     return this.shard.isOwned;
   }
 
-  /** Hands a claim, an outcome or a challenge to the shard and waits for its response. */
+  /** Passes a claim, an outcome or a challenge to the shard and waits for its response. */
   handleCall(input: CallInput): Promise<ClaimResponse> {
     return new Promise((resolve, reject) => {
       const call = this.context.createId();
@@ -88,9 +90,9 @@
   }
 
   /**
-   * Resolves once this daemon does not own the shard and its successor knows: if the process ended
-   * before the offer is out, nobody would own the shard until somebody looks, and holds would be
-   * refused in the meantime.
+   * Resolves once this daemon does not own the shard and the successor has been notified. If the
+   * process ended before the offer is sent, the shard would have no owner until another daemon
+   * checks it, and claims would be refused in the meantime.
    */
   async waitUntilReleased(): Promise<void> {
     if (this.shard.isOwned) {
@@ -130,7 +132,7 @@
         this.write(effect);
         break;
       case 'delete':
-        // A segment left behind costs space, nothing else.
+        // A segment that is left behind only takes up space.
         context.store.delete(effect.key, effect.expectedVersion);
         break;
       case 'call-peer':
--- a/packages/claims/src/lib/ClaimManager/StoreGateway.ts
+++ b/packages/claims/src/lib/ClaimManager/StoreGateway.ts
@@ -11,8 +11,8 @@
 import { withTimeout } from './timing.js';
 
 /**
- * The store as shards see it: each call ends within the store timeout, and every failure is the
- * same "no answer", after which a write may or may not have taken effect.
+ * The store as shards see it. Each call ends within the store timeout, and every failure becomes
+ * {@link NO_ANSWER}, after which a write may or may not have taken effect.
  */
 export class StoreGateway {
   constructor(
--- a/packages/claims/src/lib/ClaimManager/timing.ts
+++ b/packages/claims/src/lib/ClaimManager/timing.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
-/** Resolves after a span of the clock. */
+/** Resolves after a delay on the given clock. */
 export function delay(clock: Clock, span: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
     clock.setTimer(span, resolve);
@@ -8,8 +8,8 @@
 }
 
 /**
- * The promise's value, or a fallback when it fails or takes too long. What arrives later is
- * dropped.
+ * Returns the value of a promise, or the fallback when it rejects or times out. A result that
+ * arrives later is ignored.
  */
 export function withTimeout<Value, Fallback>(
   clock: Clock,
--- a/packages/claims/src/lib/ClaimOptions.ts
+++ b/packages/claims/src/lib/ClaimOptions.ts
@@ -1,64 +1,82 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * The tunables of this package. Every daemon of a region must run with the same values of `shards`,
- * `retention`, `claimTimeout` and `witnessTrustTimeout`: the safety argument compares them across daemons.
+ * The options of this package. Every daemon of a region must run with the same values of `shards`,
+ * `retention`, `claimTimeout` and `witnessTrustTimeout`, because the safety argument compares them
+ * across daemons.
  *
  * @public
  */
 export interface ClaimOptions {
-  /** How many shards the keys are cut into; each has one owner and one object at the store. */
+  /**
+   * Number of shards that the keys are divided into. Each has one owner and one head object in the
+   * store.
+   */
   shards: number;
   /**
    * How long a key is remembered after its request ended. A request that is still running is
-   * remembered for twice as long after its grant, and must end within one retention.
+   * remembered for twice as long after its grant, and must end within one retention period.
    */
   retention: Milliseconds;
-  /** Mean time between the starts of two commits of a shard: bounds the writes a second. */
+  /** Mean time between the starts of two commits of a shard, which limits the write rate. */
   commitInterval: Milliseconds;
-  /** How many commits may start at once after a quiet time, so that a lone claim need not wait. */
+  /**
+   * How many commits may start at once after an idle period, so that a single claim need not wait.
+   */
   commitBurst: number;
   /** How long an outcome may wait for a commit that some claim starts anyway. */
   settleDelay: Milliseconds;
-  /** How long the entry daemon tries for a grant; a grant that arrives later is void. */
+  /** How long the entry daemon waits for a grant. A grant that arrives later is not used. */
   claimTimeout: Milliseconds;
-  /** How long a call to another daemon may take. */
+  /** Timeout of a call to another daemon. */
   callTimeout: Milliseconds;
-  /** How long a call to the store may take before it counts as unanswered. */
+  /** Timeout of a call to the store. */
   storeTimeout: Milliseconds;
-  /** How long a claim waits for the store before the witness is asked as well. */
+  /** How long a claim waits for the store before the witness is called as well. */
   witnessDelay: Milliseconds;
   /**
-   * How long an owner may go on granting on its witness's word after the store last showed that it
-   * owns the shard. Longer carries longer outages, and lengthens the quarantine after a takeover
-   * that can reach neither the old owner nor its witness.
+   * How long an owner may go on granting claims with its witness alone after the store last
+   * confirmed that it owns the shard. A longer value survives longer outages of the store, and
+   * lengthens the quarantine after a takeover that can reach neither the old owner nor its witness.
    */
   witnessTrustTimeout: Milliseconds;
-  /** How often an idle owner reads its object to prove that it still owns it. */
+  /** How often an idle owner reads the head of its shard to verify that it still owns it. */
   verifyInterval: Milliseconds;
-  /** How long a change of the members rests before shards and witnesses move. */
+  /** How long to wait after a change of the members before shards and witnesses move. */
   moveDelay: Milliseconds;
-  /** How long an owner keeps a shard before it hands it over to a preferred member. */
+  /** Minimum time that an owner keeps a shard before it hands it over to a preferred member. */
   minTenure: Milliseconds;
-  /** How long a daemon leaves a shard alone after it lost it or could not take it. */
+  /**
+   * How long a daemon makes no attempt to take over a shard that it lost or failed to take over.
+   */
   takeoverCooldown: Milliseconds;
-  /** First and longest wait between tries at a store, witness or owner that does not answer. */
+  /**
+   * Initial and maximum delay between attempts to reach a store, witness or owner that does not
+   * respond.
+   */
   retryDelay: Milliseconds;
   maxRetryDelay: Milliseconds;
-  /** How many members, in order of preference, an entry daemon asks for a shard's owner. */
+  /**
+   * Maximum number of members, in order of preference, that an entry daemon asks for the owner of a
+   * shard.
+   */
   candidates: number;
-  /** Longest answer kept whole for repeats, in bytes; of a longer one only the status is. */
+  /**
+   * Maximum size in bytes of a response that is stored for repeats. Only the status of a longer one
+   * is stored.
+   */
   maxResponseSize: number;
-  /** Settled entries of more bytes than this are moved from the head into segments. */
+  /** When settled entries in the head exceed this size in bytes, they are moved into segments. */
   segmentThreshold: number;
-  /** Most bytes of one segment object. */
+  /** Maximum size in bytes of one segment object. */
   maxSegmentSize: number;
   /**
-   * Most bytes of entries in a head: beyond it new keys are refused, and of answers only the status
-   * is kept. Well under the megabyte that the store takes.
+   * Maximum size in bytes of the entries in a head. Beyond it new keys are refused, and beyond half
+   * of it only the status of responses is stored. Well below the limit of one megabyte per object
+   * in the store.
    */
   maxHeadSize: number;
-  /** Most keys a shard remembers; new keys are refused beyond it. */
+  /** Maximum number of keys that a shard remembers. New keys are refused beyond it. */
   maxEntries: number;
 }
 
@@ -69,7 +87,7 @@
 const KIBIBYTE = 1024;
 
 /**
- * The defaults, sized for today's fleets of eight or nine daemons.
+ * The default options, sized for fleets of eight or nine daemons.
  *
  * @public
  */
@@ -99,7 +117,7 @@
 };
 
 /**
- * Fills in the defaults and refuses values that would break the promise.
+ * Fills in the defaults and refuses values with which a key could be granted twice.
  *
  * @param overrides - the values that differ from the defaults
  * @throws RangeError naming the option that is out of range
--- a/packages/claims/src/lib/ClaimShard/Backoff.ts
+++ b/packages/claims/src/lib/ClaimShard/Backoff.ts
@@ -1,6 +1,9 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** When to try again at something that does not answer: at once, then ever more rarely. */
+/**
+ * When to retry a call that fails: immediately after the first failure, then with exponentially
+ * growing delays. The first failure may be no more than a lost response.
+ */
 export class Backoff {
   private failures = 0;
 
@@ -23,7 +26,7 @@
     return this.failures > 0;
   }
 
-  /** More than one failure in a row: not merely a lost answer. */
+  /** More than one failure in a row, so not just a lost response. */
   get hasRepeatedFailures(): boolean {
     return this.failures > 1;
   }
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -14,23 +14,29 @@
 
 type SettleCall = Extract<ShardCall, { kind: 'settle' }>;
 
-/** What the processor needs of the ownership around it. */
+/** What the processor needs from the ownership that it belongs to. */
 export interface CallProcessorHost {
   getEpoch(): number;
-  /** Whether keys may have been granted that the table does not hold. */
+  /** Whether keys may have been granted that the table does not contain. */
   isQuarantined(): boolean;
   getSequence(): number;
-  /** Whether the store or the witness can make a new grant safe, as far as we know. */
+  /** Whether the store or the witness can make a new grant durable, as far as is known. */
   canGrant(now: Milliseconds): boolean;
-  /** Has a commit made by `due` that changes nothing. @returns its sequence */
+  /**
+   * Requests a commit by `due` even if nothing changes.
+   *
+   * @returns the sequence number of the commit
+   */
   requireCommit(due: Milliseconds): number;
-  /** Notes a change of the table; `due` is when a commit must start at the latest. */
+  /** Records a change of the table. `due` is when a commit must start at the latest. */
   mutate(name: string, claim: string, entry: ClaimEntry | undefined, due: Milliseconds): void;
 }
 
-/** Answers claims and takes outcomes while the shard is owned. */
+/** Processes claims and outcomes while the shard is owned. */
 export class CallProcessor {
-  /** Claims given up by their entry daemon, with the time until which a late copy is refused. */
+  /**
+   * Claims that their entry daemon gave up on, with the time until which late copies are refused.
+   */
   private readonly abandoned = new Map<string, Milliseconds>();
 
   constructor(
@@ -44,7 +50,7 @@
     const { request } = input;
     const entry = this.table.get(request.name, now);
     if (entry?.claim === request.claim && entry.state === EntryState.Running) {
-      // The same try again, after its first response was lost: it waits for the same mutation.
+      // The same attempt again after its first response was lost: it waits for the same mutation.
       this.waiting.add({ input, sequence: entry.sequence, since: now });
     } else if (entry !== undefined) {
       this.respond(input, getResponseForRepeat(entry, request, this.context, now));
@@ -75,10 +81,11 @@
   }
 
   /**
-   * The commit that answers an outcome of a claim that is not in the table. It may have been released or
-   * have expired; or this daemon lost the shard without knowing, and another one has the claim. Called
-   * stored here, the outcome would be reported no more, and repeats of a request that was answered
-   * would be told that it runs. The commit shows whose shard it is.
+   * Requests the commit after which an outcome is confirmed whose claim is not in the table. The
+   * claim may have been released or have expired, or another daemon may have it because this one
+   * lost the shard without knowing. If the outcome were confirmed without a commit, it would not be
+   * reported again, and repeats of a request that was answered would be told that it is in
+   * progress. The commit proves who owns the shard.
    */
   private requestOwnershipProof(now: Milliseconds): number {
     return this.host.requireCommit(now + this.context.options.settleDelay);
@@ -86,14 +93,18 @@
 
   private recordOutcome(entry: ClaimEntry, outcome: ClaimOutcome, now: Milliseconds): void {
     const { options } = this.context;
-    // During a long outage nothing leaves the head: keep it under the store's limit.
+    // During a long outage no entries leave the head, so it must be kept below the limit of the
+    // store.
     const isFull = this.table.size >= options.maxHeadSize / 2;
     const stored = truncateOutcome(outcome, isFull ? 0 : options.maxResponseSize);
     const changed = applyOutcome(entry, stored, options, now);
     this.host.mutate(entry.name, entry.claim, changed, now + options.settleDelay);
   }
 
-  /** The outcome of a grant that was lost with the last owner and its witness. */
+  /**
+   * Restores an entry from the outcome of a grant that was lost with the previous owner and its
+   * witness.
+   */
   private restoreFromOutcome({ request, outcome }: SettleCall, now: Milliseconds): void {
     if (outcome.kind !== 'not-run') {
       const sequence = this.host.getSequence() + 1;
@@ -104,8 +115,8 @@
   private claimNewKey(input: ClaimCall, now: Milliseconds): void {
     const { options } = this.context;
     const { request } = input;
-    // A full shard that refuses everything has nothing to commit, and a commit is when old keys are
-    // cleared out otherwise: it would stay full for good.
+    // Expired keys are otherwise removed by commits, but a full shard that refuses every claim has
+    // nothing to commit. Without this call it would stay full for good.
     this.table.expire(now);
     if (!this.host.canGrant(now)) {
       this.refuse(input, RefusalReason.StoreUnavailable);
@@ -119,9 +130,9 @@
   }
 
   /**
-   * Remembers a claim as given up. Without it, a copy of the claim that the network delivers after
-   * the release would take the key for a request that no longer exists, and every repeat would be
-   * told `in-progress` until it expires.
+   * Remembers that a claim was given up. Otherwise a copy of the claim that the network delivers
+   * after the release would take the key for a request that no longer exists, and every repeat
+   * would be told `in-progress` until it expires.
    */
   private abandon(claim: string, now: Milliseconds): void {
     this.abandoned.set(claim, now + this.context.options.retention);
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -18,8 +18,8 @@
   | { kind: 'owning'; ownership: Ownership };
 
 /**
- * One daemon's part in one shard: a state machine without I/O. Inputs and the time go in through
- * {@link ClaimShard.handle}, effects come out through the context's `emit`.
+ * One daemon's part in one shard: a state machine without I/O. Inputs and the current time are
+ * passed to {@link ClaimShard.handle}, and effects are passed to the context's `emit`.
  *
  * @internal
  */
@@ -29,17 +29,17 @@
   /** Calls that wait for a takeover in progress. */
   private queuedCalls: ShardCall[] = [];
 
-  /** Takeovers of ours whose confirmation was lost. */
+  /** Takeovers by this daemon whose confirmation was lost. */
   private readonly ownCommits = new Set<string>();
 
   private readonly ownerTracker: OwnerTracker;
 
-  /** The last owner has left the shard to us since the takeover in progress began. */
+  /** The previous owner has offered the shard since the takeover in progress began. */
   private hasPendingOffer = false;
 
   private isLeaving = false;
 
-  /** The time of the input being handled. */
+  /** The time of the input that is being handled. */
   private now: Milliseconds = 0;
 
   private wakeAt: Milliseconds = Number.POSITIVE_INFINITY;
@@ -125,13 +125,14 @@
     return getOwnerOrder(shard, members)[0]?.id === self.id;
   }
 
-  /** Whether to look at the object now, and to take the shard if nobody has it. */
+  /** Whether to read the head now and to take over the shard if it has no owner. */
   private mayTakeOver(): boolean {
     if (this.isLeaving || !this.ownerTracker.mayAttemptTakeover(this.now)) {
       return false;
     }
-    // A takeover of ours may have taken effect unconfirmed: the others would send everyone here,
-    // and we would send them away, for as long as nobody looks.
+    // A takeover by this daemon may have taken effect without a confirmation. Other daemons would
+    // then redirect all callers here, and this one would redirect them away, until the head is
+    // read.
     return this.ownCommits.size > 0 || this.isPreferred();
   }
 
@@ -161,7 +162,8 @@
         throw exhaustiveSwitchError(result);
     }
     if (this.hasPendingOffer) {
-      // The offer came while we were reading what the last owner had not written yet.
+      // The offer arrived while this daemon was reading a head that the previous owner had not yet
+      // updated.
       this.startTakeover();
     }
     this.releaseQueuedCalls();
@@ -170,7 +172,7 @@
   private handleTakeoverFailure(): void {
     const isFirst = this.ownerTracker.recordFailure(this.now);
     if (isFirst && this.queuedCalls.length > 0) {
-      // One lost answer is no outage: try once more before the callers are turned away.
+      // A single lost response is no outage, so try once more before the callers are refused.
       this.startTakeover();
     }
   }
@@ -209,8 +211,9 @@
   }
 
   /**
-   * A newer owner asks us to let an epoch go. It has taken the shard at the store already, so any
-   * epoch of ours up to that one is over, also one whose confirmation we still wait for.
+   * Handles the request of a newer owner to release an epoch. That owner has already taken over the
+   * shard at the store, so every epoch of this daemon up to that one has ended, including one whose
+   * confirmation is still outstanding.
    */
   private handleChallenge(call: number, epoch: number): void {
     const { phase } = this;
--- a/packages/claims/src/lib/ClaimShard/CommitLoop.ts
+++ b/packages/claims/src/lib/ClaimShard/CommitLoop.ts
@@ -9,31 +9,31 @@
 import type { HeadReadResult, ShardContext, WriteResult } from './shardMessages.js';
 import type { SegmentPlan, ShardTable } from './ShardTable.js';
 
-/** What a commit says of the shard besides its entries. */
+/** What a commit says about the shard besides its entries. */
 export interface CommitHeader {
   epoch: number;
   witness?: ClaimMember;
   clean: boolean;
 }
 
-/** A head write of this owner. */
+/** A write of the head by this owner. */
 export interface Commit {
   id: string;
   header: CommitHeader;
   sequence: number;
-  /** Expired segments it no longer lists. */
+  /** Expired segments that the head no longer lists. */
   dropped: SegmentReference[];
   sentAt: Milliseconds;
 }
 
-/** What the loop needs of the owner around it. */
+/** What the loop needs from the ownership that it belongs to. */
 export interface CommitLoopHost {
   /** The last mutation made. */
   getSequence(): number;
   createHead(commitId: string, header: CommitHeader, now: Milliseconds): ShardHead;
   /** A commit took effect. */
   onCommitted(commit: Commit, now: Milliseconds): void;
-  /** The object is another owner's, who may have left it since. */
+  /** The head in the store is another owner's, which may have released the shard since. */
   onLost(head: ShardHead | undefined): void;
 }
 
@@ -43,22 +43,25 @@
   | { kind: 'read'; id: number; sentAt: Milliseconds };
 
 /**
- * Group commit of one shard: one conditional write of the head at a time, holding every mutation
- * made so far, on average no more often than the commit interval. A write without an answer is
- * looked up by its commit id.
+ * Group commit of one shard: one conditional write of the head at a time, containing all mutations
+ * made so far, on average no more often than the commit interval. After a write without a response,
+ * the head is read back and the write recognized by its commit id.
  */
 export class CommitLoop {
-  /** When the store last showed that the shard is ours: the moment that call was sent. */
+  /**
+   * When the store last confirmed that this daemon owns the shard: the time at which that call was
+   * sent.
+   */
   confirmedAt: Milliseconds;
 
   committed: number;
 
-  /** What the next commit says of the shard. */
+  /** The header of the next commit. */
   nextHeader: CommitHeader;
 
   private pending: Pending | undefined;
 
-  /** Writes that may have taken effect, by commit id, with the one in flight. */
+  /** Writes that may have taken effect, including the one in flight, by commit id. */
   private readonly unconfirmed = new Map<string, Commit>();
 
   private mustReadBack = false;
@@ -71,7 +74,7 @@
     private readonly context: ShardContext,
     private readonly table: ShardTable,
     private readonly host: CommitLoopHost,
-    /** What the store is known to say. */
+    /** The last header that the store has confirmed. */
     private header: CommitHeader,
     private version: number,
     start: { sequence: number; confirmedAt: Milliseconds },
@@ -83,20 +86,20 @@
     this.backoff = new Backoff(context.options.retryDelay, context.options.maxRetryDelay);
   }
 
-  /** The last call gave no answer. */
+  /** The last call to the store had no response. */
   get isStoreUnresponsive(): boolean {
     return this.backoff.isFailing;
   }
 
-  /** The store gave no answer to the look-up after a lost answer either. */
+  /** The read after a write without a response had no response either. */
   get isStoreDown(): boolean {
     return this.backoff.hasRepeatedFailures;
   }
 
   /**
-   * Whether the witness named by the confirmed header may be relied on: no write that names
-   * another one may have taken effect, and the store showed us as the owner not too long ago. A new
-   * owner that cannot reach the witness counts on the second.
+   * Whether the owner may rely on the witness of the confirmed header: no write that names another
+   * witness may have taken effect, and the store must have confirmed the ownership recently. A new
+   * owner that cannot reach the witness relies on the second condition.
    */
   isWitnessTrusted(now: Milliseconds): boolean {
     const isHeaderCertain = [...this.unconfirmed.values()].every(
@@ -105,7 +108,7 @@
     return isHeaderCertain && now - this.confirmedAt <= this.context.options.witnessTrustTimeout;
   }
 
-  /** Asks for a commit that starts by a time. */
+  /** Requests a commit that starts by the given time. */
   request(at: Milliseconds): void {
     this.rateLimiter.request(at);
   }
@@ -245,8 +248,8 @@
     result: Exclude<WriteResult, typeof NO_ANSWER>,
   ): void {
     if (result.kind === 'conflict') {
-      // The name is taken, which only a repeated delivery of our own write explains: the next try
-      // uses a new name, and what is left behind is removed at the next takeover.
+      // The key exists already, which only a repeated delivery of this write can explain. The next
+      // attempt uses a new key, and the object left behind is deleted after the next takeover.
       return;
     }
     const { version } = result;
@@ -258,7 +261,7 @@
     emit({ kind: 'event', event: { kind: 'segment-written', shard, epoch, ...sizes } });
   }
 
-  /** The store showed the object at some moment after `sentAt`. */
+  /** Handles the head as the store had it at some time after `sentAt`. */
   private handleHead(
     object: StoredObject | undefined,
     sentAt: Milliseconds,
@@ -267,8 +270,8 @@
     if (object?.version === this.version) {
       this.confirmedAt = Math.max(this.confirmedAt, sentAt);
       if (this.unconfirmed.size > 0) {
-        // It may still take effect later: keep its id, and write again on the same version, so that
-        // only one of the two can.
+        // It may still take effect later. Keep its id, and write again with the same expected
+        // version, so that only one of the two writes can take effect.
         this.request(now);
       }
       return;
@@ -282,7 +285,7 @@
     }
   }
 
-  /** A commit of ours is what the store says. */
+  /** The store holds a commit of this owner. */
   private confirmCommit(
     commit: Commit,
     version: number,
@@ -294,7 +297,7 @@
     this.confirmedAt = Math.max(this.confirmedAt, sentAt);
     this.committed = commit.sequence;
     const hasLater = [...this.unconfirmed.keys()].at(-1) !== commit.id;
-    // The others carried an older version: none of them can take effect any more.
+    // The other writes expected an older version, so none of them can take effect any more.
     this.unconfirmed.clear();
     if (hasLater) {
       this.request(now);
--- a/packages/claims/src/lib/ClaimShard/OwnerHint.ts
+++ b/packages/claims/src/lib/ClaimShard/OwnerHint.ts
@@ -8,13 +8,13 @@
   until: Milliseconds;
 }
 
-/** Who owned the shard when this daemon last looked, for redirects. */
+/** The owner of a shard at this daemon's last read of the head, for redirects. */
 export class OwnerHint {
   private hint: Hint | undefined;
 
   constructor(private readonly context: ShardContext) {}
 
-  /** The owner, while it lives in our view or was read of just now. */
+  /** Returns the owner while it is alive in this daemon's view or was read recently. */
   get(now: Milliseconds): ClaimMember | undefined {
     const { hint } = this;
     if (hint === undefined) {
--- a/packages/claims/src/lib/ClaimShard/OwnerTracker.ts
+++ b/packages/claims/src/lib/ClaimShard/OwnerTracker.ts
@@ -7,9 +7,12 @@
 import { TakeoverCooldown } from './TakeoverCooldown.js';
 import type { ShardContext } from './shardMessages.js';
 
-/** What a daemon that does not own a shard believes: who does, and from when on it may look itself. */
+/**
+ * What a daemon that does not own a shard knows about it: who probably owns it, and when this
+ * daemon may next attempt a takeover.
+ */
 export class OwnerTracker {
-  /** Who owned the shard when we last looked. */
+  /** The owner found at the last read of the head. */
   private readonly hint: OwnerHint;
 
   private readonly backoff: Backoff;
@@ -38,26 +41,26 @@
     this.cooldown.startAfterOwnerFound(owner, now);
   }
 
-  /** The shard is ours. */
+  /** This daemon has taken over the shard. */
   recordTakeover(): void {
     this.backoff.recordSuccess();
     this.hint.clear();
   }
 
-  /** A takeover failed. @returns whether it is the first in a row */
+  /** A takeover failed. @returns whether it is the first failure in a row */
   recordFailure(now: Milliseconds): boolean {
     const isFirst = !this.backoff.isFailing;
     this.backoff.recordFailure(now);
     return isFirst;
   }
 
-  /** The shard left us. */
+  /** This daemon has lost the shard. */
   recordLoss(cause: LossCause, newOwner: ClaimMember | undefined, now: Milliseconds): void {
     switch (cause) {
       case LossCause.Vacant:
-        // The newer owner offered it to us while we took ourselves for the owner. Left alone as after
-        // other losses, the shard would have no owner, and its claims would be refused; there is nobody
-        // to take it from us in turn.
+        // The newer owner handed the shard to this daemon, which still believed that it owned it.
+        // With a cooldown as after other losses, the shard would have no owner and its claims would
+        // be refused. No other daemon can take it back in turn, so none is needed.
         this.hint.clear();
         break;
       case LossCause.HandedOver:
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -18,7 +18,7 @@
 import { WitnessSelector } from './WitnessSelector.js';
 import { WitnessReplicator } from './WitnessReplicator.js';
 
-/** What a takeover hands to the owner. */
+/** The state of the shard that a takeover passes to the ownership. */
 export interface OwnershipSettings {
   table: ShardTable;
   header: CommitHeader;
@@ -28,12 +28,12 @@
   unresolvedEpochs: UnresolvedEpoch[];
 }
 
-/** Called once, when the shard is no longer ours. */
+/** Called once, when this daemon no longer owns the shard. */
 export type OwnershipEndHandler = (cause: LossCause, newOwner: ClaimMember | undefined) => void;
 
 /**
- * The owner of a shard between a takeover and the shard's loss. It answers at once what the table
- * knows, and grants once the store or the witness has the grant.
+ * The ownership of a shard, from the takeover until the shard is lost. Claims are answered from the
+ * table at once where possible, and granted once the store or the witness has the grant.
  */
 export class Ownership {
   private readonly table: ShardTable;
@@ -83,7 +83,7 @@
     return this.commitLoop.nextHeader.epoch;
   }
 
-  /** The epoch that the store is known to have. */
+  /** The last epoch that the store has confirmed. */
   get confirmedEpoch(): number {
     return this.replicator.epoch;
   }
@@ -93,12 +93,12 @@
     return !this.commitLoop.isStoreUnresponsive && this.pendingHandOver === undefined;
   }
 
-  /** Takes out the calls that wait. */
+  /** Removes and returns the waiting calls. */
   drain(): ShardCall[] {
     return this.waiting.drain();
   }
 
-  /** What the store does not have yet, for a challenger. */
+  /** The mutations that the store does not have yet, for a new owner. */
   getUncommittedMutations(): ClaimMutation[] {
     return this.replicator.getUncommittedMutations();
   }
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Does whatever is due; call it after every input. */
+  /** Does whatever is due. Must be called after every input. */
   step(now: Milliseconds): void {
     if (this.quarantine.expire(now)) {
       this.endQuarantine(0, now);
@@ -156,7 +156,7 @@
     );
   }
 
-  /** Grants nothing more, commits everything, and marks the shard clean for the successor. */
+  /** Grants nothing more, commits all mutations, and marks the shard as clean for the successor. */
   handOver(successor: ClaimMember | undefined, now: Milliseconds): void {
     this.pendingHandOver = { successor };
     this.commitLoop.nextHeader = { ...this.commitLoop.nextHeader, clean: true };
@@ -194,7 +194,7 @@
     }
   }
 
-  /** Takes in what only the old witness or owner remembered. */
+  /** Merges the mutations that only the old witness or owner remembered. */
   private mergeMutations({ mutations }: ResolvedEpoch, now: Milliseconds): void {
     for (const mutation of mutations) {
       const known = this.table.get(mutation.name, now);
@@ -242,8 +242,8 @@
   }
 
   /**
-   * When the witness is to be asked: at once while the store does not answer, and otherwise when a
-   * claim has waited for the store too long.
+   * When to call the witness: at once while the store does not respond, otherwise when a claim has
+   * waited for the store for too long.
    */
   private getNextWitnessCallTime(now: Milliseconds): Milliseconds {
     const { replicator, commitLoop, waiting, context } = this;
@@ -261,7 +261,7 @@
     return Math.max(wantedAt, replicator.retryAt);
   }
 
-  /** A new witness means a new epoch, so that an epoch has one witness for good. */
+  /** A new witness starts a new epoch, so that an epoch has the same witness throughout. */
   private changeWitness(now: Milliseconds): void {
     const { nextHeader } = this.commitLoop;
     const witness = this.witnessSelector.select();
--- a/packages/claims/src/lib/ClaimShard/Quarantine.ts
+++ b/packages/claims/src/lib/ClaimShard/Quarantine.ts
@@ -7,30 +7,33 @@
 import type { ShardContext } from './shardMessages.js';
 
 /**
- * How long a key may not be granted after a takeover that reached neither the old owner nor its
- * witness: they may both live and go on granting until the old owner's trust runs out, and what
- * was granted last is protected for one retention. The entry daemon may receive a grant as late as
- * its claim timeout.
+ * How long unknown keys are not granted after a takeover that reached neither the old owner nor its
+ * witness. Both may be alive and go on granting until the old owner no longer trusts its witness.
+ * The last grant is then protected for one retention period, and the entry daemon may receive it as
+ * late as the claim timeout allows.
  */
 export function getQuarantineDuration(options: ClaimOptions): Milliseconds {
   return options.witnessTrustTimeout + options.retention + options.claimTimeout;
 }
 
-/** The same once it is proved that the old epoch has ended. */
+/** How long unknown keys are not granted once it is proved that the old epoch has ended. */
 export function getEndedEpochQuarantineDuration(options: ClaimOptions): Milliseconds {
   return options.retention + options.claimTimeout;
 }
 
-/** A unresolved that is cleared up, with the mutations the store did not have. */
+/**
+ * An epoch that has been sealed since the takeover, with the mutations that the store did not have.
+ */
 export interface ResolvedEpoch {
-  unresolved: UnresolvedEpoch;
+  epoch: UnresolvedEpoch;
   mutations: ClaimMutation[];
 }
 
 /**
- * The epochs whose memory-only grants are not known. While there are any, a key that the shard does
- * not remember may have been granted before, and is answered `unknown`. The old witness and the
- * old owner are asked again and again: a network that heals ends the quarantine at once.
+ * The epochs of previous owners whose grants without the store are not known. While there are any,
+ * a key that the shard does not remember may have been granted before, and claims for it are
+ * answered `unknown`. The old witness and the old owner are asked repeatedly, so that the
+ * quarantine ends as soon as either can be reached.
  */
 export class Quarantine {
   private readonly pendingSeals = new Map<number, UnresolvedEpoch>();
@@ -54,7 +57,7 @@
     return Math.min(...this.unresolvedEpochs.map(({ until }) => until), this.getNextSealTime());
   }
 
-  /** @returns whether the last unresolved expired */
+  /** @returns whether the last unresolved epoch has just expired */
   expire(now: Milliseconds): boolean {
     const before = this.unresolvedEpochs.length;
     this.unresolvedEpochs = this.unresolvedEpochs.filter(({ until }) => until > now);
@@ -73,7 +76,8 @@
   }
 
   /**
-   * @returns nothing when the response is not for the quarantine, or what it cleared up, if anything
+   * @returns undefined when the response is not for the quarantine; otherwise the epoch that it
+   * resolved, if any
    */
   handleResponse(
     id: number,
@@ -89,7 +93,8 @@
       return { resolved: undefined };
     }
     if (response?.kind === 'gone') {
-      // Either end of the old epoch is over, so nothing is granted in it from now on.
+      // The owner or the witness of the old epoch has ended, so nothing is granted in it from now
+      // on.
       unresolved.until = Math.min(
         unresolved.until,
         now + getEndedEpochQuarantineDuration(this.context.options),
@@ -100,7 +105,7 @@
     }
     this.unresolvedEpochs = this.unresolvedEpochs.filter((other) => other !== unresolved);
     const mutations = response.mutations.filter(({ sequence }) => sequence > unresolved.sequence);
-    return { resolved: { unresolved, mutations } };
+    return { resolved: { epoch: unresolved, mutations } };
   }
 
   private getNextSealTime(): Milliseconds {
--- a/packages/claims/src/lib/ClaimShard/ShardTable.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.ts
@@ -3,13 +3,15 @@
 import { EntryState } from '../messages.js';
 import type { SegmentReference } from '../ShardHead.js';
 
-/** A scan over all keys costs more than a look-up: do it once in a while. */
+/**
+ * Milliseconds between scans for expired keys, since a scan of all keys costs more than a lookup.
+ */
 const EXPIRY_SCAN_INTERVAL = 1000;
 
 interface Row {
   entry: ClaimEntry;
   size: number;
-  /** Whether a segment holds it, not the head. */
+  /** Whether the entry is stored in a segment and not in the head. */
   isInSegment: boolean;
 }
 
@@ -25,8 +27,8 @@
 }
 
 /**
- * The keys a shard remembers. Entries stand in the head until they are settled and many; then they
- * move into segments, so that a commit does not write the whole retention again.
+ * The keys that a shard remembers. Settled entries stay in the head until they exceed a size, and
+ * are then moved into segments, so that a commit does not rewrite all keys of the retention period.
  */
 export class ShardTable {
   private readonly rows = new Map<string, Row>();
@@ -40,7 +42,7 @@
   /** Bytes of the entries in the head. */
   private headSize = 0;
 
-  /** Bytes of the settled ones among them. */
+  /** Bytes of the settled entries in the head. */
   private settledHeadSize = 0;
 
   get count(): number {
@@ -80,7 +82,10 @@
     }
   }
 
-  /** Takes in a segment read from the store; newer ones first, since a name may stand in two. */
+  /**
+   * Adds the entries of a segment read from the store. The newest segments must be loaded first,
+   * because a name may be in two of them.
+   */
   loadSegment(reference: SegmentReference, entries: readonly ClaimEntry[]): void {
     this.segments.unshift(reference);
     for (const entry of entries) {
@@ -91,12 +96,15 @@
     }
   }
 
-  /** Notes a segment found at the store that no head lists, for removal with the next commit. */
+  /** Records a segment in the store that no head lists, to be deleted after the next commit. */
   addUnlistedSegment(reference: SegmentReference): void {
     this.expiredSegments.push(reference);
   }
 
-  /** Forgets what has expired. Segments that expired stay listed until a commit drops them. */
+  /**
+   * Removes expired entries. Expired segments are kept in a list until a commit that no longer
+   * lists them.
+   */
   expire(now: Milliseconds): void {
     if (now < this.nextScanAt) {
       return;
@@ -131,7 +139,7 @@
     this.expiredSegments = this.expiredSegments.filter((segment) => !dropped.includes(segment));
   }
 
-  /** Picks settled entries for the next segment, oldest first, up to a size. */
+  /** Selects settled entries for the next segment, oldest first, up to a total size. */
   planSegment(maxSize: number): SegmentPlan | undefined {
     const selected: ClaimEntry[] = [];
     let size = 0;
@@ -152,7 +160,7 @@
     };
   }
 
-  /** The segment is in the store: its entries leave the head. */
+  /** Called when the segment is in the store: its entries are no longer part of the head. */
   finishSegment(plan: SegmentPlan, reference: SegmentReference): void {
     this.segments.push(reference);
     for (const name of plan.names) {
@@ -160,7 +168,7 @@
       if (row !== undefined && isMovable(row)) {
         this.adjustSizes(row, -1);
         row.isInSegment = true;
-        // All entries of a segment leave together, so that a reader needs one time for all.
+        // All entries of a segment expire together, so that a reader needs only one time for them.
         row.entry.expires = plan.expires;
       }
     }
--- a/packages/claims/src/lib/ClaimShard/Takeover.ts
+++ b/packages/claims/src/lib/ClaimShard/Takeover.ts
@@ -20,22 +20,22 @@
 import { NO_ANSWER } from './shardMessages.js';
 import type { ShardTable } from './ShardTable.js';
 
-/** How a takeover ended. */
+/** The result of a takeover. */
 export type TakeoverResult =
   | { kind: 'taken'; settings: OwnershipSettings; proof: TakeoverProof }
   /** A live daemon owns the shard. */
   | { kind: 'owned'; owner: ClaimMember }
-  /** The store gave no answer, or the object moved too often. */
+  /** The store did not respond, or the head changed too often. */
   | { kind: 'failed' };
 
-/** The object as read, and what the takeover learned since. */
+/** The head as read, and what the takeover has learned since. */
 interface TakeoverProgress {
   head: ShardHead | undefined;
   version: number;
   sentAt: Milliseconds;
   proof: TakeoverProof;
   mutations: ClaimMutation[];
-  /** How long unseen keys are refused, when nobody could say what was granted. */
+  /** How long unknown keys are refused if the previous epoch could not be sealed. */
   quarantineDuration?: Milliseconds;
 }
 
@@ -45,13 +45,13 @@
   | { kind: 'segments'; id: number; progress: TakeoverProgress }
   | { kind: 'write'; id: number; settings: OwnershipSettings; proof: TakeoverProof };
 
-/** An object that conflicts this often under a takeover has an owner that lives. */
+/** A head that changes this often during a takeover has a live owner. */
 const MAX_CONFLICTS = 3;
 
 /**
- * Grants may exist that neither the store nor anyone we can reach remembers. How one would notice:
- * the same key granted again after the takeover, and run twice. So unseen keys are refused until
- * any such grant has expired.
+ * There may be grants that neither the store nor any reachable daemon remembers. If their keys were
+ * granted again after the takeover, their requests would run twice. So unknown keys are refused
+ * until every such grant has expired.
  */
 function createUnresolvedEpochs(
   { head, quarantineDuration }: TakeoverProgress,
@@ -65,9 +65,9 @@
 }
 
 /**
- * Takes a shard over: reads its object, gets the last witness's memory and seals the epoch there,
- * and commits with a higher epoch. The conditional write fences the last owner at the store, the
- * seal fences it at the witness.
+ * Takes over a shard: reads its head, gets the mutations that the last witness remembers and seals
+ * the epoch there, and commits with a higher epoch. The conditional write fences the previous owner
+ * at the store, and the seal fences it at the witness.
  */
 export class Takeover {
   private step: Step;
@@ -76,7 +76,7 @@
 
   constructor(
     private readonly context: ShardContext,
-    /** Takeovers of ours whose confirmation was lost. */
+    /** Takeovers by this daemon whose confirmation was lost. */
     private readonly ownCommits: Set<string>,
     private readonly onEnd: (end: TakeoverResult) => void,
     now: Milliseconds,
@@ -157,11 +157,11 @@
       return;
     }
     if (result === NO_ANSWER) {
-      // The next try finds the commit by its id if it took effect.
+      // If the commit took effect, the next attempt recognizes it by its id.
       this.onEnd({ kind: 'failed' });
     } else if (result.kind === 'accepted') {
-      // The last owner may have seen its shard confirmed until our write took effect, and may trust
-      // its witness from then on: doubts run from now, not from when the write was sent.
+      // Until this write took effect, the store may have confirmed the previous owner, which may
+      // trust its witness from then on. So the quarantine starts now, not when the write was sent.
       const late = now - step.settings.confirmedAt;
       const unresolvedEpochs = step.settings.unresolvedEpochs.map((unresolved) => ({
         ...unresolved,
@@ -219,9 +219,9 @@
   }
 
   /**
-   * Whether the owner can be asked to hand over, or does so by itself. One that shuts down still
-   * owns its shards: taken from it by force, a shard would be in quarantine until it has told what
-   * it granted, and callers would be told "unknown" for keys that nobody ever used.
+   * Whether the owner can be asked to hand over or will do so by itself. An owner that is shutting
+   * down still owns its shards: if a shard were taken from it by force, it would be in quarantine
+   * until its grants are known, and callers would be told "unknown" for keys that were never used.
    */
   private isLive(owner: ClaimMember): boolean {
     const { self, members } = this.context;
@@ -263,7 +263,7 @@
     const { shard, options } = this.context;
     const table = loadTable(shard, progress, objects, options, now);
     if (table === undefined) {
-      // A segment that the head names is gone: its owner lives and has written a newer head.
+      // A segment that the head lists is missing: the owner is alive and has written a newer head.
       this.restart(now);
       return;
     }
--- a/packages/claims/src/lib/ClaimShard/TakeoverCooldown.ts
+++ b/packages/claims/src/lib/ClaimShard/TakeoverCooldown.ts
@@ -3,24 +3,28 @@
 import { isActive, isSuspect, isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
 
-/** How long a daemon leaves a shard alone that it does not own. */
+/** The time during which a daemon makes no attempt to take over a shard that it does not own. */
 export class TakeoverCooldown {
   private until: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** The living owner for whose sake we rest. */
+  /** The live owner because of which the cooldown was started. */
   private owner: ClaimMember | undefined;
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Two daemons whose views differ would otherwise take the shard from each other in turn. */
+  /**
+   * Starts the cooldown after a loss. Without it, two daemons with different views of the members
+   * would repeatedly take the shard from each other.
+   */
   startAfterLoss(now: Milliseconds): void {
     this.owner = undefined;
     this.until = now + this.context.options.takeoverCooldown;
   }
 
   /**
-   * Rests after the owner was found to live. One that shuts down leaves the shard soon, and its
-   * offer may get lost: whoever rested for long would turn callers away meanwhile.
+   * Starts the cooldown after a live owner was found. It is short if that owner is shutting down:
+   * such an owner releases the shard soon, its offer may be lost, and callers would be refused
+   * during a long cooldown.
    */
   startAfterOwnerFound(owner: ClaimMember, now: Milliseconds): void {
     const { takeoverCooldown, commitInterval } = this.context.options;
@@ -30,7 +34,10 @@
     this.until = now + (isStaying ? takeoverCooldown : commitInterval);
   }
 
-  /** A rest for an owner's sake ends with the owner: its callers would be turned away for nothing. */
+  /**
+   * A cooldown because of a live owner ends early when that owner is gone: callers would be refused
+   * for no reason.
+   */
   isOver(now: Milliseconds): boolean {
     const { owner } = this;
     const member = owner === undefined ? undefined : this.findMember(owner);
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -3,7 +3,7 @@
 import { RefusalReason } from '../claimTypes.js';
 import type { ShardCall, ShardContext } from './shardMessages.js';
 
-/** A call that is answered once a mutation is safe. */
+/** A call that is answered once a mutation is durable. */
 export interface WaitingCall {
   input: ShardCall;
   /** The mutation it waits for. */
@@ -17,7 +17,7 @@
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Since when the claim waits that has waited longest. */
+  /** Start time of the claim that has waited longest; infinite when none waits. */
   getOldestClaim(): Milliseconds {
     const claims = this.calls.filter(({ input }) => input.kind === 'claim');
     return Math.min(...claims.map(({ since }) => since));
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Answers what has become safe: a claim once the store or the witness has it, an outcome only
-   * once the store has it, so that its daemon goes on reporting it until then.
+   * Answers the calls whose mutation is durable: a claim once the store or the witness has it, an
+   * outcome only once the store has it, so that the reporting daemon repeats its report until then.
    */
   release(committed: number, witnessed: number, epoch: number): void {
     const safe = Math.max(committed, witnessed);
@@ -62,7 +62,7 @@
     this.calls = remaining;
   }
 
-  /** Gives up on calls that waited too long; what they asked for may still become safe. */
+  /** Answers the calls that have timed out. Their mutations may still become durable. */
   expire(now: Milliseconds): void {
     while (this.getNextExpiry() <= now) {
       const { input } = this.calls.shift()!;
--- a/packages/claims/src/lib/ClaimShard/WitnessReplicator.ts
+++ b/packages/claims/src/lib/ClaimShard/WitnessReplicator.ts
@@ -10,15 +10,17 @@
 }
 
 /**
- * The owner's line to its epoch's witness: hands it the mutations the store does not have yet, in
- * order and without gaps, one call at a time. A mutation counts as witnessed once the witness
- * remembers it and all before it.
+ * Replicates the mutations that the store does not have yet from the owner to the witness of its
+ * epoch: in order, without gaps, and one call at a time. A mutation counts as witnessed once the
+ * witness remembers it and all earlier ones.
  */
 export class WitnessReplicator {
-  /** The last mutation the witness is known to remember. */
+  /** The last mutation that the witness is known to remember. */
   witnessed: number;
 
-  /** The witness no longer serves this epoch: it restarted, or a challenger sealed the epoch. */
+  /**
+   * The witness no longer serves this epoch: it has restarted, or a new owner has sealed the epoch.
+   */
   isRefused = false;
 
   private log: ClaimMutation[] = [];
@@ -42,7 +44,7 @@
     return this.witness !== undefined && !this.isRefused;
   }
 
-  /** Usable and, as far as we know, answering. */
+  /** Usable and, as far as is known, responding. */
   get isResponding(): boolean {
     return this.isUsable && !this.backoff.isFailing;
   }
@@ -63,12 +65,15 @@
     this.log.push(mutation);
   }
 
-  /** The mutations the store does not have, for a challenger or for the witness of the next epoch. */
+  /**
+   * The mutations that the store does not have, for a new owner or for the witness of the next
+   * epoch.
+   */
   getUncommittedMutations(): ClaimMutation[] {
     return [...this.log];
   }
 
-  /** The store has everything up to a mutation: nobody needs it from here any more. */
+  /** The store has all mutations up to this one, so they are no longer needed here. */
   discardUpTo(committed: number): void {
     this.committed = committed;
     this.log = this.log.filter(({ sequence }) => sequence > committed);
@@ -92,8 +97,8 @@
   }
 
   /**
-   * @param isWitnessTrusted - whether the owner may still act on its witness's word
-   * @returns whether the response was for this line
+   * @param isWitnessTrusted - whether the owner may still rely on its witness alone
+   * @returns whether the response belonged to a call of this replicator
    */
   handleResponse(
     id: number,
--- a/packages/claims/src/lib/ClaimShard/WitnessSelector.ts
+++ b/packages/claims/src/lib/ClaimShard/WitnessSelector.ts
@@ -3,9 +3,9 @@
 import { getPreferredWitness, isActive, isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
 
-/** Whom an owner names as its witness. */
+/** Selects the witness of an owner. */
 export class WitnessSelector {
-  /** A witness found to have endedWitness, which the members may go on listing for a while. */
+  /** A witness known to have ended, which may remain in the list of members for a while. */
   private endedWitness: ClaimMember | undefined;
 
   constructor(private readonly context: ShardContext) {}
@@ -24,9 +24,9 @@
   }
 
   /**
-   * Whether a witness has ended for certain, or ends soon. That can't wait until the members have
-   * settled: if the owner crashed too in the meantime, nobody would know what it granted, and the
-   * shard would refuse new keys for as long as a grant may live.
+   * Whether a witness has ended for certain or is about to. It must then be replaced before the
+   * members have settled: if the owner crashed in the meantime, its grants would be unknown, and
+   * the shard would refuse new keys for as long as a grant may be valid.
    */
   isEnding(witness: ClaimMember | undefined): boolean {
     if (witness === undefined) {
@@ -36,7 +36,10 @@
     return member === undefined || member.standing === MemberStanding.Passive;
   }
 
-  /** Whether a witness is gone, or nearer than it need be. One that is merely not first stays. */
+  /**
+   * Whether a witness is gone, or is in the owner's availability zone although another zone is
+   * possible. A witness that is merely not the most preferred one stays.
+   */
   isOutdated(witness: ClaimMember | undefined): boolean {
     const preferred = this.select();
     if (witness === undefined) {
--- a/packages/claims/src/lib/ClaimShard/entries.ts
+++ b/packages/claims/src/lib/ClaimShard/entries.ts
@@ -7,14 +7,17 @@
 import { isSameProcess } from '../placement.js';
 import type { ShardContext } from './shardMessages.js';
 
-/** A running request is remembered for this many retentions: one to end in, one after that. */
+/**
+ * A running request is remembered for this many retention periods: one in which it must end, and
+ * one after that.
+ */
 const RUNNING_RETENTIONS = 2;
 
 function getLifetime(state: EntryState, options: ClaimOptions): Milliseconds {
   return state === EntryState.Running ? RUNNING_RETENTIONS * options.retention : options.retention;
 }
 
-/** The entry of a new key. */
+/** Creates the entry of a new key. */
 export function createEntry(
   request: ClaimRequest,
   options: ClaimOptions,
@@ -25,7 +28,10 @@
   return { ...request, state: EntryState.Running, expires, sequence };
 }
 
-/** An entry after its outcome; undefined when it proved not to have run and the key is free. */
+/**
+ * Returns an entry after its outcome. Undefined when the request provably did not run and the key
+ * is released.
+ */
 export function applyOutcome(
   entry: ClaimEntry,
   outcome: ClaimOutcome,
@@ -44,7 +50,7 @@
   }
 }
 
-/** What another request with the same key is told. */
+/** The response to another request with the same key. */
 export function getResponseForRepeat(
   entry: ClaimEntry,
   request: ClaimRequest,
@@ -71,11 +77,11 @@
 }
 
 /**
- * What a mutation that only a witness or an old owner remembers makes of an entry. It is later than
- * what the store had, but not later than an outcome reported since.
+ * Merges a mutation that only a witness or an old owner remembers into the entry of its key. The
+ * mutation is later than the state in the store, but not later than an outcome reported since.
  *
- * @param known - what the new owner has of the name
- * @returns the entry to keep, or undefined when the key is free
+ * @param known - the new owner's entry of this name, if any
+ * @returns the entry to keep, or undefined when the key is released
  */
 export function mergeMutation(
   known: ClaimEntry | undefined,
@@ -91,6 +97,6 @@
   if (hasOutcome) {
     return known;
   }
-  // The span left by the old owner's clock is not known here: remember it longer rather than less.
+  // The time left by the old owner's clock is not known here, so the full lifetime is used.
   return { ...entry, expires: now + getLifetime(entry.state, options) };
 }
--- a/packages/claims/src/lib/ClaimShard/loadTable.ts
+++ b/packages/claims/src/lib/ClaimShard/loadTable.ts
@@ -10,11 +10,11 @@
 /** What a takeover has read of a shard. */
 interface ShardSources {
   head: ShardHead | undefined;
-  /** What only the last witness remembered, in order. */
+  /** Mutations that only the previous witness remembered, in order. */
   mutations: readonly ClaimMutation[];
 }
 
-/** The doubts a takeover inherits, by its own clock. */
+/** The unresolved epochs that a takeover inherits, by the local clock. */
 export function getInheritedEpochs(
   head: ShardHead | undefined,
   now: Milliseconds,
@@ -41,7 +41,7 @@
   }
 }
 
-/** The segments a head lists, with their versions as read; undefined when one is missing. */
+/** The segments that a head lists, with the versions read. Undefined when one is missing. */
 function findSegments(
   shard: number,
   head: ShardHead,
@@ -61,7 +61,10 @@
   return found;
 }
 
-/** What no head lists was left behind by a lost write or a lost removal. */
+/**
+ * Marks segments that no head lists for deletion. A write or a deletion whose confirmation was lost
+ * leaves them behind.
+ */
 function dropUnlistedSegments(
   shard: number,
   table: ShardTable,
@@ -74,7 +77,8 @@
 }
 
 /**
- * Builds a shard's table from its head, its segments and the last witness's memory.
+ * Builds the table of a shard from its head, its segments and the mutations of the previous
+ * witness.
  *
  * @param objects - everything under the shard's segment prefix, read after the head
  * @returns undefined when a segment that the head names is missing
--- a/packages/claims/src/lib/ClaimShard/shardMessages.ts
+++ b/packages/claims/src/lib/ClaimShard/shardMessages.ts
@@ -5,20 +5,20 @@
 import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import type { ClaimOptions } from '../ClaimOptions.js';
 
-/** What a store call that gave no answer ended in: it may or may not have taken effect. */
+/** Result of a store call without a response. A write may or may not have taken effect. */
 export const NO_ANSWER = 'no-answer';
 
-/** A read of the head. */
+/** Result of a read of the head. */
 export type HeadReadResult = { object: StoredObject | undefined } | typeof NO_ANSWER;
 
-/** A read of all segments of the shard. */
+/** Result of a read of all segments of the shard. */
 export type SegmentsReadResult = StoredObject[] | typeof NO_ANSWER;
 
-/** What a conditional write ended in. */
+/** Result of a conditional write. */
 export type WriteResult = PutResult | typeof NO_ANSWER;
 
 /**
- * A claim or an outcome that waits for its response.
+ * A claim or an outcome that waits for a response.
  *
  * @internal
  */
@@ -27,30 +27,30 @@
   | { kind: 'settle'; call: number; request: ClaimRequest; outcome: ClaimOutcome };
 
 /**
- * What happens to a shard.
+ * The inputs of a shard.
  *
  * @internal
  */
 export type ShardInput =
   | ShardCall
-  /** A challenger that cannot reach our witness asks us to let the epoch go. */
+  /** A new owner that cannot reach the witness asks this daemon to release the epoch. */
   | { kind: 'challenge'; call: number; epoch: number }
   | { kind: 'members'; members: readonly ClaimMember[] }
-  /** The members have been the same for a while: owners and witnesses may move. */
+  /** The members have not changed for a while, so owners and witnesses may move. */
   | { kind: 'rebalance' }
-  /** The last owner left the shard clean and named us. */
+  /** The previous owner has handed the shard over to this daemon. */
   | { kind: 'take' }
-  /** The daemon shuts down. */
+  /** The daemon is shutting down. */
   | { kind: 'leave' }
   | { kind: 'head-read'; id: number; result: HeadReadResult }
   | { kind: 'segments-read'; id: number; result: SegmentsReadResult }
   | { kind: 'written'; id: number; result: WriteResult }
-  /** `response` is absent when the peer gave none. */
+  /** `response` is undefined when the peer did not respond. */
   | { kind: 'peer-responded'; id: number; response: ClaimResponse | undefined }
   | { kind: 'wake' };
 
 /**
- * What a shard wants done.
+ * The effects that a shard requests.
  *
  * @internal
  */
@@ -77,6 +77,6 @@
   readonly options: ClaimOptions;
   readonly emit: (effect: ShardEffect) => void;
   members: readonly ClaimMember[];
-  /** Identities of effects that are answered, and of commits; never the same twice. */
+  /** Creates the id of a commit or of an effect with a result. Never returns the same id twice. */
   readonly createId: () => number;
 }
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
@@ -4,7 +4,7 @@
 import type { ClaimMessage, ClaimMutation, ClaimResponse } from '../messages.js';
 
 /**
- * What a witness is asked.
+ * The messages that a witness handles.
  *
  * @internal
  */
@@ -15,34 +15,39 @@
   receivedAt: Milliseconds;
 }
 
-/** A running claim is protected for two retentions after its grant; so is the memory of it. */
+/**
+ * A running claim is protected for two retention periods after its grant, and so is its copy at the
+ * witness.
+ */
 const MEMORY_RETENTIONS = 2;
 
 /**
  * Remembers for owners what the store does not have, by shard and epoch: a state machine without
- * I/O. Once a new owner has asked for an epoch, the old owner gets no more acknowledgements for it:
- * a paused or cut-off owner would otherwise go on granting beside the new one, and the same key
- * would run twice.
+ * I/O. After a new owner has sealed an epoch, the old owner gets no more acknowledgements for it.
+ * Otherwise an owner that was paused or cut off would go on granting beside the new one, and the
+ * request of a key would run twice.
  *
  * @internal
  */
 export class ClaimWitness {
-  /** Memory by `shard/epoch`, then by name: the latest mutation of each. */
+  /** The latest mutation of each name, by `shard/epoch` and then by name. */
   private readonly memory = new Map<string, Map<string, WitnessedMutation>>();
 
-  /** The highest sealed epoch of each shard; never forgotten, one number a shard. */
+  /**
+   * The highest sealed epoch of each shard. Never removed, since it is only one number per shard.
+   */
   private readonly sealedEpochs = new Map<number, number>();
 
   /**
-   * @param incarnation - of this process: what an earlier one remembered is lost, so pendingSeals for
-   * it are answered `gone`, never with an empty memory
+   * @param incarnation - of this process; what an earlier incarnation remembered is lost, so
+   * messages to it are answered `gone`, never with an empty memory
    */
   constructor(
     private readonly incarnation: number,
     private readonly options: ClaimOptions,
   ) {}
 
-  /** How many mutations are held. */
+  /** Number of mutations in memory. */
   get size(): number {
     return [...this.memory.values()].reduce((sum, { size }) => sum + size, 0);
   }
@@ -61,7 +66,7 @@
     }
   }
 
-  /** Forgets what has outlived every claim. Call it now and then. */
+  /** Removes mutations that have outlived every claim. Must be called regularly. */
   expire(now: Milliseconds): void {
     const oldest = now - MEMORY_RETENTIONS * this.options.retention;
     for (const [epochKey, mutationsByName] of this.memory) {
@@ -91,7 +96,7 @@
       }
     }
     for (const mutation of mutations) {
-      // A late copy of an earlier message must not replace what came after it.
+      // A late copy of an earlier message must not replace a later mutation.
       if (
         mutation.sequence > (mutationsByName.get(mutation.name)?.mutation.sequence ?? committed)
       ) {
--- a/packages/claims/src/lib/ShardHead.ts
+++ b/packages/claims/src/lib/ShardHead.ts
@@ -2,51 +2,55 @@
 import type { ClaimMember } from './claimTypes.js';
 import type { ClaimEntry } from './messages.js';
 
-/** Settled entries that no longer change, moved out of the head into an object of their own. */
+/**
+ * A segment: settled entries that no longer change, moved out of the head into an object of their
+ * own.
+ */
 export interface SegmentReference {
-  /** The process that wrote it. */
+  /** The process that wrote the segment. */
   writer: string;
-  /** Unique among the writer's. */
+  /** Unique among the segments of this writer. */
   number: number;
   version: number;
-  /** When its youngest entry expires, by the owner's clock. */
+  /** When its last entry expires, by the owner's clock. */
   expires: Milliseconds;
 }
 
 /**
- * The segments of one writer as the head lists them. The head is written with every commit and may
- * list hundreds: field names would be most of it.
+ * The segments of one writer as listed in the head. One array per field, because the head is
+ * written with every commit and may list hundreds of segments: repeated field names would make up
+ * most of it.
  */
 export interface SegmentList {
   writer: string;
   numbers: number[];
-  /** How long each has left at `writtenAt`, in whole milliseconds. */
+  /** Remaining lifetime of each segment at `writtenAt`, in whole milliseconds. */
   lives: Milliseconds[];
 }
 
 /**
- * An epoch whose witness gave no word at the takeover: what its owner granted without the store is
- * unknown until `until`.
+ * An epoch that was not sealed at the takeover. Until `until`, it is unknown which claims its owner
+ * granted without the store.
  */
 export interface UnresolvedEpoch {
   epoch: number;
   owner: ClaimMember;
   witness: ClaimMember;
-  /** Mutations up to this one were in the store. */
+  /** The store had all mutations up to this one. */
   sequence: number;
   until: Milliseconds;
 }
 
 /**
- * A shard's object at the store. All times are by the clock of the owner that wrote it; a reader
- * uses only their distance from `writtenAt`, so that daemons need not agree on the time.
+ * The head of a shard: its main object in the store. All times are by the clock of the owner that
+ * wrote it. A reader uses only their distance from `writtenAt`, so daemons need no common time.
  */
 export interface ShardHead {
   owner: ClaimMember;
-  /** Has exactly one owner and one witness, for good. */
+  /** An epoch has exactly one owner and one witness, which never change. */
   epoch: number;
   witness?: ClaimMember;
-  /** Identity of the write, by which its writer finds it again after a lost confirmation. */
+  /** Id of the write, by which its writer recognizes it after a lost confirmation. */
   commit: string;
   sequence: number;
   /** The owner has promised to grant nothing more in this epoch. */
@@ -57,7 +61,7 @@
   entries: ClaimEntry[];
 }
 
-/** What a head is written from. */
+/** The parts that a head is created from. */
 export interface HeadContent {
   commit: string;
   header: Pick<ShardHead, 'epoch' | 'witness' | 'clean'>;
@@ -77,7 +81,7 @@
   return [...lists.values()];
 }
 
-/** The head as its owner writes it now. */
+/** Creates the head that the owner writes at this time. */
 export function createHead(owner: ClaimMember, content: HeadContent, now: Milliseconds): ShardHead {
   const { commit, header, sequence, unresolvedEpochs, table } = content;
   const segments = listSegments(table.getSegments(), now);
@@ -86,12 +90,12 @@
   return { owner, ...header, commit, sequence, writtenAt: now, doubts, segments, entries };
 }
 
-/** The store key of a shard's object. */
+/** The store key of a shard's head. */
 export function getHeadKey(shard: number): string {
   return `claims/${shard}`;
 }
 
-/** What the store keys of a shard's segments begin with. */
+/** The common prefix of the store keys of a shard's segments. */
 export function getSegmentPrefix(shard: number): string {
   return `claim-segments/${shard}/`;
 }
@@ -104,12 +108,15 @@
   return `${getSegmentPrefix(shard)}${writer}/${number}`;
 }
 
-/** Parses what an owner wrote. @throws SyntaxError when the object is no JSON */
+/** Parses a head read from the store. @throws SyntaxError when the object is not valid JSON */
 export function parseHead(text: string): ShardHead {
   return JSON.parse(text) as ShardHead;
 }
 
-/** A time of another owner's clock, moved to ours: what was left of the span then is left now. */
+/**
+ * Converts a time of the clock that the head was written by to the local clock, as if the head had
+ * just been written: the time left then is the time left now.
+ */
 export function translateTime(
   time: Milliseconds,
   head: ShardHead,
@@ -118,7 +125,7 @@
   return now + Math.max(0, time - head.writtenAt);
 }
 
-/** The writer and number in a segment's store key. */
+/** The writer and number encoded in a segment's store key. */
 export function parseSegmentKey(shard: number, key: string): { writer: string; number: number } {
   const path = key.slice(getSegmentPrefix(shard).length);
   const separator = path.lastIndexOf('/');
--- a/packages/claims/src/lib/claimTypes.ts
+++ b/packages/claims/src/lib/claimTypes.ts
@@ -2,11 +2,14 @@
 
 /** What a daemon may expect of another one that has not ended for certain. */
 export enum MemberStanding {
-  /** It may own shards and witness for others. */
+  /** It may own shards and be a witness for others. */
   Active = 'active',
-  /** It answers and keeps what it has, and gets nothing new: it shuts down, or comes and goes. */
+  /**
+   * It responds and keeps its duties but gets no new ones, because it is shutting down or keeps
+   * leaving and rejoining.
+   */
   Passive = 'passive',
-  /** It does not answer. It may live, but nobody waits for it. */
+  /** It does not respond. It may still be alive, but no other daemon waits for it. */
   Doubted = 'doubted',
 }
 
@@ -17,12 +20,12 @@
  */
 export interface ClaimMember {
   id: string;
-  /** Grows with each start of the process: an older incarnation of the same id has ended. */
+  /** Increases with each start of the process. An older incarnation of the same id has ended. */
   incarnation: number;
   availabilityZone: string;
-  /** Where its peers reach it, as `host:port`. */
+  /** The address at which its peers reach it, as `host:port`. */
   address: string;
-  /** By the view of whoever lists it; active when absent. */
+  /** As seen by the daemon that lists the member; active when absent. */
   standing?: MemberStanding;
 }
 
@@ -37,7 +40,7 @@
 }
 
 /**
- * What a daemon asks before it dispatches a request that may not be repeated.
+ * What an entry daemon asks for before it dispatches a request that must not run twice.
  *
  * @public
  */
@@ -45,13 +48,16 @@
   workspace: string;
   /** The caller's Idempotency-Key. */
   key: string;
-  /** Hash over method, path and body: the same key with another one is a mistake of the caller. */
+  /**
+   * Hash of method, path and body. The same key with a different fingerprint is an error of the
+   * caller.
+   */
   fingerprint: string;
   requestId: string;
 }
 
 /**
- * One try at a key, as the entry daemon sends it to the shard's owner.
+ * One attempt to claim a key, as the entry daemon sends it to the owner of the shard.
  *
  * @public
  */
@@ -60,7 +66,7 @@
   name: string;
   fingerprint: string;
   requestId: string;
-  /** Identity of this try, unique over all daemons and time. */
+  /** Id of this attempt, unique across all daemons and restarts. */
   claim: string;
   holder: ClaimHolder;
 }
@@ -74,14 +80,14 @@
   shard: number;
   request: ClaimRequest;
   /**
-   * By the entry daemon's clock: dispatch only before it, and end the request by then. A run that
-   * outlives it is no longer protected against a second one.
+   * By the entry daemon's clock. The request may be dispatched only before it and must end by then:
+   * a request that runs longer is no longer protected against a second run.
    */
   deadline: Milliseconds;
 }
 
 /**
- * The whole answer of a request that ran.
+ * The complete response of a request that ran.
  *
  * @public
  */
@@ -93,56 +99,60 @@
 }
 
 /**
- * What is kept of an answer for repeats: all of it, or its status when the body was too long.
+ * What is stored of a response for repeats: all of it, or only its status if the body was too long.
  *
  * @public
  */
 export type StoredResponse = CompleteResponse | { kind: 'status-only'; status: number };
 
 /**
- * How a granted request ended. `not-run` needs proof (no byte left the daemon, or a documented
- * refusal) and frees the key; `unknown` is everything that broke after it may have run.
+ * How a granted request ended. `not-run` requires proof (no byte left the daemon, or a documented
+ * refusal) and releases the key. `unknown` covers every failure after which the request may have
+ * run.
  *
  * @public
  */
 export type ClaimOutcome =
   { kind: 'answered'; answer: StoredResponse } | { kind: 'not-run' } | { kind: 'unknown' };
 
-/** Why nobody can tell whether a key's request ran. */
+/** Why it is unknown whether the request of a key ran. */
 export enum UnknownCause {
-  /** The daemon that ran it is gone and left no outcome. */
+  /** The daemon that ran it has ended without reporting an outcome. */
   HolderGone = 'holder-gone',
   /** Its connection broke after it may have run. */
   Broken = 'broken',
-  /** It has been running for longer than the retention. */
+  /** It has been running for longer than the retention period. */
   Overdue = 'overdue',
-  /** The shard's last owner and its witness were both lost: grants may be unknown here. */
+  /**
+   * The last owner of the shard and its witness were both lost, so there may be grants that this
+   * owner does not know of.
+   */
   Quarantine = 'quarantine',
 }
 
-/** Why a claim was refused without running. */
+/** Why a claim was refused and its request not run. */
 export enum RefusalReason {
-  /** The store gives no answer, and the witness cannot stand in. */
+  /** The store does not respond, and the witness cannot replace it. */
   StoreUnavailable = 'store-unavailable',
   /** No reachable daemon owns the shard. */
   NoOwner = 'no-owner',
-  /** No answer in time. */
+  /** No response in time. */
   Timeout = 'timeout',
-  /** The shard remembers as much as it may. */
+  /** The shard has reached its maximum number or size of entries. */
   Overload = 'overload',
   /** This daemon is shutting down. */
   Leaving = 'leaving',
-  /** Daemons disagree on the number of shards. */
+  /** The daemons run with different numbers of shards. */
   LayoutMismatch = 'layout-mismatch',
 }
 
 /**
- * The answer to a claim. Only `granted` allows a dispatch.
+ * The result of a claim. Only `granted` allows a dispatch.
  *
- * `unavailable` says that this try was not run, which is no word on the key: an earlier try may be
- * running for the same caller. Only a grant proves that none is, since it takes effect at the store
- * or the witness. A daemon that heard of no owner doesn't know, nor does an owner that may have
- * lost the shard to another one.
+ * `unavailable` says only that this attempt was not run and nothing about the key: an earlier
+ * attempt of the same caller may be running. Only a grant proves that none is, because it takes
+ * effect at the store or the witness. A daemon that found no owner has no such proof, nor has an
+ * owner that may have lost the shard to another one.
  *
  * @public
  */
@@ -156,6 +166,9 @@
       kind: 'unavailable';
       retryAfter: Milliseconds;
       reason: RefusalReason;
-      /** The key was granted to this try, too late to be used: no other try has run under it. */
+      /**
+       * The key was granted to this attempt, but too late to be used: no other attempt has run
+       * under it.
+       */
       isProvedNotRun: boolean;
     };
--- a/packages/claims/src/lib/messages.ts
+++ b/packages/claims/src/lib/messages.ts
@@ -10,7 +10,7 @@
 
 /** The messages between daemons: plain data, fit for any codec. */
 
-/** Where a key's request stands. */
+/** State of the request of a key. */
 export enum EntryState {
   Running = 'running',
   Settled = 'settled',
@@ -18,8 +18,8 @@
 }
 
 /**
- * What a shard remembers of a key. `expires` is by the clock of whoever holds the entry: when it
- * moves between daemons the span left is what counts.
+ * What a shard remembers of a key. `expires` is by the clock of the daemon that has the entry: when
+ * an entry moves between daemons, its remaining lifetime is what counts.
  *
  * @public
  */
@@ -27,12 +27,13 @@
   state: EntryState;
   answer?: StoredResponse;
   expires: Milliseconds;
-  /** The mutation that last changed it. */
+  /** The mutation that last changed the entry. */
   sequence: number;
 }
 
 /**
- * One change of a shard in the order the owner made it. Without an entry the claim was released.
+ * One change of a shard. Mutations are numbered in the order in which the owner made them. Without
+ * an entry the claim was released.
  *
  * @public
  */
@@ -43,21 +44,21 @@
   entry?: ClaimEntry;
 }
 
-/** Whose word a challenger asks for. */
+/** The role in which a daemon is asked to seal an epoch. */
 export enum SealRole {
   Owner = 'owner',
   Witness = 'witness',
 }
 
 /**
- * What daemons ask one another.
+ * The requests that daemons send each other.
  *
  * @public
  */
 export type ClaimMessage =
   | { kind: 'claim'; shard: number; request: ClaimRequest }
   | { kind: 'settle'; shard: number; request: ClaimRequest; outcome: ClaimOutcome }
-  /** The owner asks its witness to remember mutations; those up to `committed` may be forgotten. */
+  /** The owner asks its witness to remember mutations. Those up to `committed` may be discarded. */
   | {
       kind: 'remember';
       shard: number;
@@ -66,13 +67,13 @@
       committed: number;
       mutations: ClaimMutation[];
     }
-  /** A new owner asks for what the store does not have, and that the epoch ends here. */
+  /** A new owner asks for the mutations that the store does not have, and for the epoch to end. */
   | { kind: 'seal'; shard: number; epoch: number; role: SealRole; incarnation: number }
-  /** The last owner has left the shard clean: take it now. */
+  /** The previous owner has handed the shard over: take it over now. */
   | { kind: 'take'; shard: number };
 
 /**
- * What an owner answers to a claim.
+ * The response of an owner to a claim.
  *
  * @public
  */
@@ -84,21 +85,24 @@
   | { kind: 'unknown'; cause: UnknownCause };
 
 /**
- * What daemons answer one another.
+ * The responses that daemons send each other.
  *
  * @public
  */
 export type ClaimResponse =
   | { kind: 'answer'; answer: OwnerResponse }
-  /** `held`: the claim may be remembered although it was not granted; release it when giving up. */
+  /**
+   * `held`: the claim may be remembered although it was not granted, so it must be released on
+   * giving up.
+   */
   | { kind: 'refused'; reason: RefusalReason; retryAfter: Milliseconds; held: boolean }
   | { kind: 'not-owner'; owner?: ClaimMember }
-  /** `durable`: the store has it; otherwise report it again later. */
+  /** `durable`: the store has the outcome. Otherwise it must be reported again later. */
   | { kind: 'settled'; durable: boolean }
   | { kind: 'remembered' }
   | { kind: 'sealed'; mutations: ClaimMutation[] }
-  /** The epoch is sealed against its owner: it may not grant on this witness's word. */
+  /** The epoch has been sealed: its owner may no longer grant claims with this witness alone. */
   | { kind: 'epoch-sealed' }
-  /** The incarnation asked for has ended, or it has let go of the epoch for good. */
+  /** The requested incarnation has ended, or has released the epoch for good. */
   | { kind: 'gone' }
   | { kind: 'noted' };
--- a/packages/claims/src/lib/placement.ts
+++ b/packages/claims/src/lib/placement.ts
@@ -3,8 +3,8 @@
 import type { ClaimHolder, ClaimMember } from './claimTypes.js';
 
 /**
- * The name a key is remembered by. Encoded, so that a slash in a workspace's name cannot make two
- * workspaces share a key.
+ * The name that a key is stored under. The workspace is encoded, so that a slash in its name cannot
+ * make two workspaces share a key.
  *
  * @example
  * ```ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * The shard a name belongs to.
+ * The shard that a name belongs to.
  *
  * @example
  * ```ts
@@ -29,18 +29,18 @@
   return getHash(name) % shards;
 }
 
-/** Whether duties may be given to a member. */
+/** Whether a member may be given new duties. */
 export function isActive({ standing = MemberStanding.Active }: ClaimMember): boolean {
   return standing === MemberStanding.Active;
 }
 
-/** Whether a member gives no answer at the moment. */
+/** Whether a member does not respond at the moment. */
 export function isSuspect({ standing }: ClaimMember): boolean {
   return standing === MemberStanding.Doubted;
 }
 
 /**
- * The active members in the order in which they should own a shard.
+ * The active members in order of preference for owning a shard.
  *
  * @example
  * ```ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * The witness an owner should name: the most preferred other member, if possible in another
- * availability zone, so that one power cut does not take both.
+ * The witness that an owner should choose: the most preferred other member, if possible in another
+ * availability zone, so that one power failure does not affect both.
  *
  * @returns undefined when the owner is alone
  * @example
@@ -75,7 +75,7 @@
 }
 
 /**
- * Whether two records speak of the same process.
+ * Whether two records refer to the same process.
  *
  * @example
  * ```ts
--- a/packages/claims/src/lib/truncateOutcome.ts
+++ b/packages/claims/src/lib/truncateOutcome.ts
@@ -1,10 +1,11 @@
 import type { ClaimOutcome } from './claimTypes.js';
 
 /**
- * The outcome as it is kept for repeats: of an answer beyond the maxSize only its status, so that a
- * shard's object stays small. A repeat learns that the request ran, and how it ended.
+ * Returns the outcome as it is stored for repeats. A response that exceeds the maximum size is
+ * reduced to its status, so that the objects of a shard stay small. A repeat then still learns that
+ * the request ran, and with which status.
  *
- * @param maxSize - in bytes of the whole answer with its headers
+ * @param maxSize - of the whole response with its headers, in bytes
  * @example
  * ```ts
  * truncateOutcome(outcome, 4096);
