--- a/packages/claims/src/bench/BenchStore.ts
+++ b/packages/claims/src/bench/BenchStore.ts
@@ -1,7 +1,7 @@
 import type { PlatformStore, PutResult, StoreChange, StoredObject } from '@apricotrill/store';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
-/** What the store was asked for. */
+/** Operations that the store has received. */
 export interface StoreCost {
   writes: number;
   reads: number;
@@ -9,11 +9,11 @@
   writtenBytes: number;
 }
 
-/** A store in memory that answers after a fixed time and counts its calls. */
+/** An in-memory store that responds after a fixed time and counts its calls. */
 export class BenchStore implements PlatformStore {
   readonly cost: StoreCost = { writes: 0, reads: 0, deletes: 0, writtenBytes: 0 };
 
-  /** Whether calls are left without any answer. */
+  /** Whether calls get no response. */
   isDown = false;
 
   private readonly objects = new Map<string, StoredObject>();
@@ -27,24 +27,24 @@
 
   get(key: string): Promise<StoredObject | undefined> {
     this.cost.reads += 1;
-    return this.answer(() => this.objects.get(key));
+    return this.respond(() => this.objects.get(key));
   }
 
   list(prefix: string): Promise<StoredObject[]> {
     this.cost.reads += 1;
     const isIn = ({ key }: StoredObject) => key.startsWith(prefix);
-    return this.answer(() => [...this.objects.values()].filter(isIn));
+    return this.respond(() => [...this.objects.values()].filter(isIn));
   }
 
   put(key: string, value: string, expectedVersion: number): Promise<PutResult> {
     this.cost.writes += 1;
     this.cost.writtenBytes += Buffer.byteLength(value);
-    return this.answer(() => this.write(key, value, expectedVersion));
+    return this.respond(() => this.write(key, value, expectedVersion));
   }
 
   delete(key: string, expectedVersion: number): Promise<PutResult> {
     this.cost.deletes += 1;
-    return this.answer(() => this.write(key, undefined, expectedVersion));
+    return this.respond(() => this.write(key, undefined, expectedVersion));
   }
 
   // eslint-disable-next-line class-methods-use-this
@@ -66,7 +66,7 @@
     return { kind: 'accepted', version: this.version };
   }
 
-  private answer<Value>(act: () => Value): Promise<Value> {
+  private respond<Value>(act: () => Value): Promise<Value> {
     return new Promise((resolve) => {
       this.clock.setTimer(this.latency, () => {
         if (!this.isDown) {
--- a/packages/claims/src/bench/ClaimLoad.ts
+++ b/packages/claims/src/bench/ClaimLoad.ts
@@ -1,21 +1,24 @@
 import { createRandom } from '@apricotrill/utils';
 import type { ManualClock, Milliseconds } from '@apricotrill/utils';
 
-/** A load of requests that may not be repeated. */
+/** A load of requests that must not run twice. */
 export interface LoadSettings {
   claimsPerSecond: number;
   /** How long a granted request runs. */
   runTime: Milliseconds;
-  /** How long the load runs before its cost is measured, and while it is. */
+  /** How long the load runs before and during the measurement. */
   warmUp: Milliseconds;
-  measured: Milliseconds;
+  measuredTime: Milliseconds;
   seed: number;
 }
 
-/** One request: resolves once it may run (or may not: false), and settles it after its run. */
+/**
+ * Runs one request. Resolves once it may run (or with false if it may not), and reports its outcome
+ * after it ran.
+ */
 export type RequestAct = (index: number, random: number) => Promise<boolean>;
 
-/** No claim takes longer. */
+/** Time in milliseconds for the last claims to end: no claim takes longer. */
 const DRAIN_TIME = 3000;
 
 function drain(): Promise<void> {
@@ -24,12 +27,14 @@
   });
 }
 
-/** Requests at random moments (exponential gaps), with the latency each had before it could run. */
+/**
+ * Starts requests at random times (exponential gaps) and records the latency before each could run.
+ */
 export class ClaimLoad {
-  /** Of the measured requests that were granted. */
+  /** Latencies of the measured requests that were granted. */
   readonly latencies: Milliseconds[] = [];
 
-  measured = 0;
+  measuredRequests = 0;
 
   private readonly random;
 
@@ -47,15 +52,15 @@
 
   /**
    * @param onMeasure - called when the warm-up ends
-   * @param onMeasured - called when the measured span ends; the last requests end after it
+   * @param onMeasured - called when the measurement ends; the last requests end after it
    */
   async run(onMeasure: () => void, onMeasured: () => void): Promise<void> {
-    const { warmUp, measured } = this.settings;
+    const { warmUp, measuredTime } = this.settings;
     this.scheduleNext();
     await this.advance(warmUp);
     onMeasure();
     this.isMeasured = true;
-    await this.advance(measured);
+    await this.advance(measuredTime);
     this.isMeasured = false;
     onMeasured();
     await this.advance(DRAIN_TIME);
@@ -73,7 +78,7 @@
   private async runOne(): Promise<void> {
     this.started += 1;
     const { isMeasured } = this;
-    this.measured += isMeasured ? 1 : 0;
+    this.measuredRequests += isMeasured ? 1 : 0;
     const startedAt = this.clock.now();
     const isGranted = await this.act(this.started, this.random.next());
     if (isMeasured && isGranted) {
@@ -84,7 +89,7 @@
   private async advance(span: Milliseconds): Promise<void> {
     const end = this.clock.now() + span;
     while (this.clock.runNext(end)) {
-      // One timer after the other, each with all that follows from it.
+      // One timer at a time, each with everything that follows from it.
       // eslint-disable-next-line no-await-in-loop
       await drain();
     }
--- a/packages/claims/src/bench/CostReport.ts
+++ b/packages/claims/src/bench/CostReport.ts
@@ -2,24 +2,24 @@
 import type { ClaimLoad, LoadSettings } from './ClaimLoad.js';
 import type { StoreCost } from './BenchStore.js';
 
-/** What a run is measured under. */
+/** The conditions of a measurement. */
 export interface CostSettings {
   load: LoadSettings;
   storeLatency: Milliseconds;
-  /** One design between two daemons. */
+  /** One way between two daemons. */
   networkLatency: Milliseconds;
   retention: Milliseconds;
-  /** The body of each answer. */
+  /** The body of each response. */
   body: string;
-  /** Whether the store gives no answer while the load is measured. */
+  /** Whether the store does not respond during the measurement. */
   isOutage: boolean;
 }
 
-/** What a design of keeping claims costs, by second where it says so. */
+/** The cost of a design for storing claims, per second where the name says so. */
 export interface CostReport {
   design: string;
   claimsPerSecond: number;
-  /** Of the requests, how many were granted. */
+  /** Share of the requests that were granted. */
   grantedShare: number;
   writesPerSecond: number;
   readsPerSecond: number;
@@ -34,21 +34,21 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
 
-/** Turns counts before and after the measured span into figures by second. */
+/** Converts counts before and after the measurement into rates per second. */
 export function createReport(
   design: string,
-  { load: { measured } }: CostSettings,
+  { load: { measuredTime } }: CostSettings,
   load: ClaimLoad,
   before: StoreCost,
   after: StoreCost,
 ): CostReport {
-  const seconds = measured / 1000;
+  const seconds = measuredTime / 1000;
   const rate = (kind: keyof StoreCost) => (after[kind] - before[kind]) / seconds;
   const sorted = [...load.latencies].sort((left, right) => left - right);
   return {
     design,
-    claimsPerSecond: load.measured / seconds,
-    grantedShare: sorted.length / load.measured,
+    claimsPerSecond: load.measuredRequests / seconds,
+    grantedShare: sorted.length / load.measuredRequests,
     writesPerSecond: rate('writes'),
     readsPerSecond: rate('reads'),
     deletesPerSecond: rate('deletes'),
--- a/packages/claims/src/bench/claimCost.ts
+++ b/packages/claims/src/bench/claimCost.ts
@@ -5,8 +5,8 @@
 import { runOwnedShards } from './runOwnedShards.js';
 
 /**
- * Compares the designs of keeping claims, on a clock of its own: `node dist/bench/claimCost.js`.
- * `--minutes` shortens the retention, and with it the run; the figures are for 15 minutes.
+ * Compares designs for storing claims, on a simulated clock: `node dist/bench/claimCost.js`.
+ * `--minutes` shortens the retention and with it the run. Published figures use 15 minutes.
  */
 
 const MINUTE = 60_000;
@@ -15,14 +15,17 @@
 
 const RETENTION = Number(values.minutes) * MINUTE;
 
-/** The load runs for a retention and a little longer, so that old keys expire while it is measured. */
+/**
+ * The load runs for a little longer than the retention first, so that old keys expire during the
+ * measurement.
+ */
 const WARM_UP = RETENTION + MINUTE;
 
 const BODY = JSON.stringify({ hold: 'h-20481', state: 'placed', note: 'x'.repeat(160) });
 
 function createSettings(claimsPerSecond: number): CostSettings {
   return {
-    load: { claimsPerSecond, runTime: 200, warmUp: WARM_UP, measured: MINUTE, seed: 1 },
+    load: { claimsPerSecond, runTime: 200, warmUp: WARM_UP, measuredTime: MINUTE, seed: 1 },
     storeLatency: 5,
     networkLatency: 1.5,
     retention: RETENTION,
@@ -39,7 +42,7 @@
   ['reads/s', (report) => report.readsPerSecond.toFixed(2)],
   ['deletes/s', (report) => report.deletesPerSecond.toFixed(1)],
   ['KB written/s', (report) => report.kilobytesPerSecond.toFixed(0)],
-  ['claims a commit', ({ claimsPerCommit }) => (claimsPerCommit || 0).toFixed(2)],
+  ['claims per commit', ({ claimsPerCommit }) => (claimsPerCommit || 0).toFixed(2)],
   ['added ms, median', ({ median }) => median.toFixed(1)],
   ['added ms, 99th', ({ ninetyNinth }) => ninetyNinth.toFixed(1)],
 ];
@@ -60,7 +63,7 @@
   const print = (report: CostReport) => printRow(COLUMNS.map(([, show]) => show(report)));
   print(await runObjectPerKey(settings));
   for (const options of designs) {
-    // One run after the other: each holds the keys of a whole retention.
+    // One run at a time: each holds the keys of a whole retention period in memory.
     // eslint-disable-next-line no-await-in-loop
     print(await runOwnedShards(settings, daemons, options));
   }
@@ -71,7 +74,7 @@
 await compare('Today: 5 claims/s at 9 daemons', today, 9, [{ shards: 16, commitInterval: 100 }]);
 
 await compare(
-  'In two years: 420 claims/s, entry simulated by 64 daemons',
+  'In two years: 420 claims/s, entry daemons simulated by 64',
   createSettings(420),
   64,
   [
@@ -83,7 +86,7 @@
 );
 
 await compare(
-  'Today, while the store answers nothing for a minute',
+  'Today, while the store does not respond for a minute',
   { ...today, isOutage: true },
   9,
   [{ shards: 16, commitInterval: 100 }],
--- a/packages/claims/src/bench/runObjectPerKey.ts
+++ b/packages/claims/src/bench/runObjectPerKey.ts
@@ -14,7 +14,10 @@
   });
 }
 
-/** The design not taken: an object for each key, written for the claim, its outcome and its removal. */
+/**
+ * The rejected design: one object per key, written for the claim, for its outcome and for its
+ * deletion.
+ */
 export async function runObjectPerKey(settings: CostSettings): Promise<CostReport> {
   const clock = new ManualClock();
   const store = new BenchStore(clock, settings.storeLatency);
--- a/packages/claims/src/bench/runOwnedShards.ts
+++ b/packages/claims/src/bench/runOwnedShards.ts
@@ -11,7 +11,7 @@
 
 const ZONES = 4;
 
-/** How long the shards have to find their owners before the load starts. */
+/** Time in milliseconds for the shards to find their owners before the load starts. */
 const OWNERSHIP_WARM_UP = 6000;
 
 function createMembers(count: number): ClaimMember[] {
@@ -23,7 +23,7 @@
   }));
 }
 
-/** The daemons of a run, with a network between them that takes a fixed time. */
+/** The daemons of a run, connected by a network with a fixed latency. */
 class BenchFleet {
   readonly store: BenchStore;
 
@@ -47,7 +47,7 @@
     });
   }
 
-  /** The store's cost so far, and the commits with the claims they made durable. */
+  /** The cost of the store so far, and the commits with the claims that they made durable. */
   count(): { cost: StoreCost; commits: number; claims: number } {
     const counters = this.daemons.map((daemon) => daemon.getCounters());
     const commits = counters.reduce((sum, counter) => sum + counter.commits, 0);
@@ -73,9 +73,9 @@
 
   private async deliverMessage(from: ClaimMember, peer: ClaimMember, message: ClaimMessage) {
     await this.delayMessage();
-    const reply = await this.daemons[Number(peer.address)]!.handle(from.id, message);
+    const response = await this.daemons[Number(peer.address)]!.handle(from.id, message);
     await this.delayMessage();
-    return reply;
+    return response;
   }
 
   private delayMessage(): Promise<void> {
@@ -85,7 +85,7 @@
   }
 }
 
-/** The design taken: shards with owners that commit in groups. */
+/** The chosen design: shards whose owners commit claims in groups. */
 export async function runOwnedShards(
   settings: CostSettings,
   daemons: number,
@@ -108,7 +108,7 @@
   });
   const witness =
     options.witnessDelay === undefined ? '' : `, witness after ${options.witnessDelay} ms`;
-  const design = `${options.shards} shards, a commit each ${options.commitInterval} ms${witness}`;
+  const design = `${options.shards} shards, one commit per ${options.commitInterval} ms${witness}`;
   const report = createReport(design, settings, load, before.cost, after.cost);
   fleet.daemons.forEach((daemon) => daemon.dispose());
   const claimsPerCommit = (after.claims - before.claims) / (after.commits - before.commits);
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.test.ts
@@ -3,8 +3,8 @@
 
 const RETENTION = TEST_OPTIONS.retention!;
 
-describe('a claim while all is well', () => {
-  it('is granted once, whichever daemon asks, and repeats get the answer', async () => {
+describe('a claim without faults', () => {
+  it('is granted once, whichever daemon asks, and repeats get the response', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     const handle = expectGranted(await cluster.ask(other, 'hold'));
     expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
@@ -17,7 +17,7 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('granted');
   });
 
-  it('frees the key when the request proved not to have run, for its own claim only', async () => {
+  it('releases the key when its request provably did not run, but only for its own claim', async () => {
     const { cluster, other, next } = await startCluster();
     const first = expectGranted(await cluster.ask(other, 'hold'));
     await cluster.complete(other.claims.recordOutcome(first, { kind: 'not-run' }));
@@ -26,7 +26,7 @@
     expect((await cluster.ask(other, 'hold')).kind).toBe('in-progress');
   });
 
-  it('moves with the shard on a graceful shutdown, and leaves no quarantine', async () => {
+  it('moves with the shard on a graceful shutdown, without a quarantine', async () => {
     const { cluster, owner, next, other } = await startCluster();
     const handle = expectGranted(await cluster.ask(other, 'hold'));
     other.claims.recordOutcome(handle, ANSWERED);
@@ -41,9 +41,8 @@
     expect(proofs.sort()).toEqual(['clean', 'fresh']);
   });
 
-  // Symptom: holds refused while the daemons are replaced one by one. Sequence: claims arrive while
-  // their shard is between two owners. Cause: an offer that comes while the next owner still reads
-  // what the last one has not written yet is forgotten.
+  // Claims were refused while daemons were replaced one by one: an offer that arrived while the
+  // next owner was reading a head not yet updated by the last one was dropped.
   it('is not refused during a rolling restart', async () => {
     const { cluster } = await startCluster();
     const kinds: string[] = [];
@@ -56,7 +55,7 @@
       const before = ask('before');
       const done = leaving.claims.handOver(2000);
       const answers = Promise.all([...before, ...ask('during')]);
-      // One daemon after the other, as operators do it.
+      // One daemon at a time, as in an operator's rolling restart.
       // eslint-disable-next-line no-await-in-loop
       await cluster.complete(done);
       cluster.restart(leaving);
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -35,10 +35,10 @@
  * @example
  * ```ts
  * const claims = new ClaimManager({ self, clock, store, transport, getMembers });
- * const answer = await claims.claim({ workspace, key, fingerprint, requestId });
- * if (answer.kind === 'granted') {
+ * const result = await claims.claim({ workspace, key, fingerprint, requestId });
+ * if (result.kind === 'granted') {
  *   const outcome = await run(request);
- *   claims.settle(answer.handle, outcome);
+ *   claims.recordOutcome(result.handle, outcome);
  * }
  * ```
  * @public
@@ -115,7 +115,7 @@
    *
    * @example
    * ```ts
-   * const answer = await claims.claim({ workspace, key, fingerprint, requestId });
+   * const result = await claims.claim({ workspace, key, fingerprint, requestId });
    * ```
    */
   async claim(query: ClaimQuery): Promise<ClaimResult> {
@@ -133,7 +133,7 @@
    *
    * @example
    * ```ts
-   * claims.settle(handle, { kind: 'answered', answer });
+   * claims.recordOutcome(handle, { kind: 'answered', answer });
    * ```
    */
   recordOutcome(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
--- a/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
+++ b/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
@@ -57,7 +57,7 @@
 
   private async run(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
     const deadline = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
-    let retryDelay = this.options.retryDelay;
+    let nextDelay = this.options.retryDelay;
     while (!this.isDisposed && this.clock.now() < deadline) {
       // One report at a time, until one is confirmed.
       // eslint-disable-next-line no-await-in-loop
@@ -66,9 +66,9 @@
         return;
       }
       const limit = state === 'held' ? MAX_HELD_RETRY_DELAY : this.options.maxRetryDelay;
-      retryDelay = Math.min(retryDelay * 2, limit);
+      nextDelay = Math.min(nextDelay * 2, limit);
       // eslint-disable-next-line no-await-in-loop
-      await delay(this.clock, retryDelay);
+      await delay(this.clock, nextDelay);
     }
   }
 
--- a/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
+++ b/packages/claims/src/lib/ClaimManager/OwnerSearch.ts
@@ -52,16 +52,16 @@
   /** Asks until an owner responds, the deadline passes, or no daemon can become the owner. */
   async run(): Promise<void> {
     const { clock, deadline, retryDelay } = this.settings;
-    for (let wait = retryDelay; ; wait *= 2) {
+    for (let nextDelay = retryDelay; ; nextDelay *= 2) {
       // One round at a time: each learns from the redirects of the last.
       // eslint-disable-next-line no-await-in-loop
       await this.runRound();
       const isHopeless = this.hasNoOwner && !this.hasFailed;
-      if (this.response !== undefined || isHopeless || clock.now() + wait >= deadline) {
+      if (this.response !== undefined || isHopeless || clock.now() + nextDelay >= deadline) {
         return;
       }
       // eslint-disable-next-line no-await-in-loop
-      await delay(clock, wait);
+      await delay(clock, nextDelay);
     }
   }
 
--- a/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
@@ -6,9 +6,8 @@
 const WITNESS_TRUST_TIMEOUT = TEST_OPTIONS.witnessTrustTimeout!;
 
 describe('a claim under faults', () => {
-  // Symptom: a hold is refused, or reported as running elsewhere, although its claim is stored.
-  // Sequence: the commit takes effect and its confirmation is lost. Cause: the owner takes its own
-  // commit for a newer owner's unless it looks for the commit's id.
+  // After a lost confirmation, an owner that did not look for the id of its commit took that commit
+  // for a newer owner's, and refused a claim that the store had.
   it('is granted when its confirmation was lost', async () => {
     const { cluster, owner, other } = await startCluster();
     cluster.store.setFault('lose');
@@ -17,9 +16,8 @@
     expect(owner.claims.getOwnedShards()).toEqual([0]);
   });
 
-  // Symptom: a hold placed twice. Sequence: the store is down; the owner grants on its witness's
-  // word and crashes; the store is back; the next owner has only the object. Cause: the witness is
-  // not asked for what it remembers.
+  // The owner granted a claim with its witness alone while the store was down, and crashed. A next
+  // owner that read only the head, without the witness's memory, granted the key again.
   it('is found by the next owner when only the witness remembers it', async () => {
     const { cluster, owner, next, other } = await startCluster();
     cluster.store.setFault('down');
@@ -31,10 +29,10 @@
     expect((await cluster.ask(next, 'new')).kind).toBe('granted');
   });
 
-  // Symptom: a payment notice sent twice. Sequence: the owner is paused; another takes the shard;
-  // the old one wakes, with the store or without it. Cause: its commit overwrites the new owner's,
-  // or the witness was asked for its memory without sealing the epoch and still acknowledges.
-  it.each([true, false])('is not granted by an owner that slept, store cut: %s', async (isCut) => {
+  // A paused owner resumed after another daemon had taken the shard. It granted the key again if
+  // its commit could overwrite the new owner's, or if the witness had returned its memory without
+  // sealing the epoch and still acknowledged mutations.
+  it.each([true, false])('is not granted by a paused owner, store cut off: %s', async (isCut) => {
     const { cluster, owner, next, other } = await startCluster();
     owner.pause();
     cluster.updateAllMembers();
@@ -51,10 +49,10 @@
     expect(next.claims.getOwnedShards()).toEqual([0]);
   });
 
-  // Symptom: a hold placed twice. Sequence: during an outage the owner grants on its witness's
-  // word; both restart; the witness's new process remembers nothing. Cause: an empty memory is
-  // taken for "nothing was granted", or the next owner but one does not know of the doubt.
-  it('is answered unknown while a lost witness may have known it', async () => {
+  // Owner and witness both restarted after grants without the store. The empty memory of the new
+  // witness process must not count as proof that nothing was granted, and the following owner must
+  // inherit the quarantine.
+  it('is answered unknown while a lost witness may have remembered it', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     cluster.store.setFault('down');
     expectGranted(await cluster.ask(other, 'hold'));
@@ -75,10 +73,10 @@
     expect((await cluster.ask(other, 'hold')).kind).toBe('granted');
   });
 
-  // Symptom: a notice sent twice, hours into a network split. Sequence: owner and witness are cut
-  // off from the store and from the others; the others take the shard, wait and grant; the old
-  // owner grants the same key. Cause: the old owner's trust in its witness has no end.
-  it('is not granted on either side of a split while the other side may grant it', async () => {
+  // Owner and witness were cut off from the store and from the other daemons, which took over the
+  // shard, waited and granted. An old owner that trusted its witness without a time limit granted
+  // the same key again hours later.
+  it('is not granted on either side of a partition while the other side may grant it', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     const here = [owner, witness];
     const there = [next, other];
@@ -98,10 +96,10 @@
     expect((await cluster.ask(next, 'late')).kind).toBe('granted');
   });
 
-  // Symptom: a hold placed twice. Sequence: the next owner cannot reach the witness, but reaches
-  // the old owner, which has lost the store; told that the epoch has ended, it shortens its
-  // quarantine. Cause: the old owner answers and goes on granting.
-  it('is not granted by an owner that a challenger asked to let go', async () => {
+  // The next owner could not reach the witness but reached the old owner, which had lost the store.
+  // Told that the epoch had ended, it shortened the quarantine. An old owner that responded so and
+  // went on granting caused a second run.
+  it('is not granted by an owner that was asked to release the shard', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     cluster.store.unreachableFrom.add(owner.member.id);
     [next, other].forEach((daemon) => cluster.breakLink(daemon, witness));
@@ -114,10 +112,10 @@
     expect((await cluster.ask(owner, 'new')).kind).not.toBe('granted');
   });
 
-  // Symptom: a hold placed twice. Sequence: the owner names a new witness, the confirmation is
-  // lost and then the store; it grants on the old witness's word and crashes; the next owner asks
-  // the new witness. Cause: trust in a witness that the object may no longer name.
-  it('is not granted on the word of a witness that the object may not name', async () => {
+  // The owner named a new witness, the confirmation of that write was lost, and then the store
+  // failed. It granted with the old witness and crashed, and the next owner asked the new witness:
+  // an owner must not trust a witness that the head may no longer name.
+  it('is not granted with a witness that the head may no longer name', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     cluster.store.setFault('lose');
     cluster.store.onLoss = (id) => cluster.store.unreachableFrom.add(id);
@@ -131,9 +129,9 @@
     expect(other.claims.getOwnedShards()).toEqual([]);
   });
 
-  // Symptom: a hold placed twice. Sequence: the entry daemon is frozen while its grant is under
-  // way; it wakes after the key expired and was granted to another. Cause: a late grant is used.
-  it('is not granted to a daemon that slept through the claim timeout', async () => {
+  // An entry daemon was suspended while its grant was on the way, and resumed after the key had
+  // expired and been granted to another. A grant that arrives too late must not be used.
+  it('is not granted to a daemon that was paused beyond the claim timeout', async () => {
     const { cluster, owner, next, other } = await startCluster();
     cluster.store.setFault('down');
     const asleep = cluster.claim(other, 'hold');
@@ -143,16 +141,16 @@
     await cluster.run(1000);
     expectGranted(await cluster.ask(next, 'hold'));
     other.resume();
-    // What the daemon can't know: the key was granted to another since, and may have run.
+    // The daemon cannot know that the key was granted to another since and may have run.
     const result = await cluster.complete(asleep);
     expect(result).toMatchObject({ kind: 'unavailable', isProvedNotRun: false });
     expect(owner.claims.getOwnedShards()).toEqual([0]);
   });
 
-  // Symptom: a caller is told that nobody knows whether its hold ran, though nothing ran. Sequence: the
-  // entry daemon is paused while its grant is under way, for less than keys are kept. Cause: a grant
-  // that comes too late for use is still a proof.
-  it('is proved not run when its grant came too late', async () => {
+  // An entry daemon was paused while its grant was on the way, for less than the retention. Its
+  // caller was told that the state of the request was unknown, although a late grant still proves
+  // that nothing ran.
+  it('is proved not to have run when its grant arrived too late', async () => {
     const { cluster, next, other } = await startCluster();
     const asleep = cluster.claim(other, 'hold');
     other.pause();
@@ -164,10 +162,9 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('granted');
   });
 
-  // Symptom: a hold is called "not run" while it runs, and is placed twice. Sequence: it is granted and
-  // runs; its caller asks again at a daemon to which no owner answers. Cause: no grant of this try
-  // taken for a proof that no other try was granted.
-  it('is not called "not run" by a daemon that reaches no owner', async () => {
+  // A daemon that reached no owner took the missing grant of its own attempt as proof that no
+  // attempt was granted. It called a running request "not run", and the request ran twice.
+  it('is not reported as not run by a daemon that reaches no owner', async () => {
     const { cluster, owner, next, other } = await startCluster();
     expectGranted(await cluster.ask(other, 'hold'));
     owner.pause();
@@ -177,9 +174,8 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
   });
 
-  // Symptom: a repeat is told `unknown` although the request ended well. Sequence: its outcome is
-  // held by the owner and its witness, which crash before the commit. Cause: the outcome is
-  // reported only once.
+  // An outcome was reported only once. Owner and witness crashed before the commit, and repeats
+  // were told `unknown` although the request had ended well.
   it('keeps its outcome when the owner crashes before storing it', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
     const handle = expectGranted(await cluster.ask(other, 'hold'));
@@ -194,10 +190,9 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('settled');
   });
 
-  // Symptom: a hold is told "in progress" for half an hour, though nothing runs. Sequence: the
-  // grant's response is lost and the entry daemon gives up; a copy of its claim comes late. Cause: the
-  // key is not given back, or is taken again for a claim that no longer exists.
-  it('is given back by a daemon that gave up, late copies notwithstanding', async () => {
+  // The response with a grant was lost and the entry daemon gave up, then a copy of its claim
+  // arrived late. Repeats were told "in progress" for half an hour although nothing ran.
+  it('is released by a daemon that gave up, even if a copy of it arrives late', async () => {
     const { cluster, owner, next, other } = await startCluster();
     cluster.breakLink(other, owner);
     cluster.store.setFault('down');
@@ -214,10 +209,10 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('granted');
   });
 
-  // Symptom: the answer of a hold is lost, and its key is free while it runs. Sequence: the witness
-  // remembers a claim that has since been released at the store, and the key granted anew; the
-  // owner crashes. Cause: the witness's older word replaces the store's newer one.
-  it('is not undone by what a witness remembers from before', async () => {
+  // The witness remembered a claim that had since been released at the store and the key granted
+  // anew. If its older mutation replaced the newer state after a crash of the owner, the outcome
+  // was lost and the key was free while the request ran.
+  it('is not overwritten by an older mutation of a witness', async () => {
     const { cluster, owner, next, other } = await startCluster();
     cluster.store.setFault('down');
     const first = expectGranted(await cluster.ask(other, 'hold'));
@@ -231,7 +226,7 @@
     expect((await cluster.ask(next, 'hold')).kind).toBe('settled');
   });
 
-  it('ends as unknown when the daemon that ran it died', async () => {
+  it('is answered unknown when the daemon that ran it has crashed', async () => {
     const { cluster, next, other } = await startCluster();
     expectGranted(await cluster.ask(other, 'hold'));
     other.crash();
@@ -239,14 +234,14 @@
     expect(await cluster.ask(next, 'hold')).toEqual({ kind: 'unknown', cause: 'holder-gone' });
   });
 
-  it('is refused at once, without a proof, while neither store nor witness answers', async () => {
+  it('is refused at once, without proof that it did not run, if neither store nor witness responds', async () => {
     const { cluster, owner, witness, other } = await startCluster();
     cluster.store.setFault('down');
     await cluster.run(TEST_OPTIONS.verifyInterval!);
     witness.crash();
     await cluster.ask(other, 'first');
     const before = cluster.clock.now();
-    // The owner may have lost the shard to one that granted the key.
+    // The owner may have lost the shard to another daemon that granted the key.
     const result = await cluster.ask(other, 'second');
     expect(result).toMatchObject({ kind: 'unavailable', isProvedNotRun: false });
     expect(cluster.clock.now() - before).toBeLessThan(TEST_OPTIONS.callTimeout!);
--- a/packages/claims/src/lib/ClaimManager/claims.fuzz.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claims.fuzz.test.ts
@@ -7,10 +7,10 @@
 const SEED = 1;
 
 describe('claims of several daemons under faults', () => {
-  // Symptom: an order held twice, or a caller told of an answer that is not its own.
-  // Sequence: claims at four daemons while messages are delivered in any order or lost, the store
-  // goes down or loses confirmations, daemons pause, crash and restart, and views disagree.
-  // Cause looked for: any interleaving in which two owners, or one owner twice, grant a key.
+  // Four daemons claim keys while messages are delivered in any order or lost, the store goes down
+  // or loses confirmations, daemons pause, crash and restart, and views of the members differ. No
+  // interleaving may let two owners, or one owner twice, grant the same key, or give a caller the
+  // response to another request.
   it('grant a key at most once, and work again once the faults have ended', async () => {
     const property = fc.asyncProperty(
       fc.scheduler(),
--- a/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
+++ b/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
@@ -4,7 +4,7 @@
 import type { TestDaemon } from '../../test/TestDaemon.js';
 import { MemberStanding } from '../claimTypes.js';
 
-/** Everyone that runs sees a member in this standing. */
+/** Sets the standing of one member in the view of every running daemon. */
 function lookAt(cluster: TestCluster, seen: TestDaemon, standing: MemberStanding): void {
   const members = cluster
     .getLive()
@@ -14,11 +14,10 @@
     .forEach((daemon) => daemon.setMembers(members));
 }
 
-describe('a claim among members that come and go', () => {
-  // Symptom: in a rolling restart a caller with a new key is told "unknown". Sequence: the owner
-  // announces that it shuts down and still owns its shard; the next daemon is asked. Cause: who gets
-  // no new duties is taken for gone, and its shard is taken from it by force.
-  it('stays with an owner that shuts down until it hands over', async () => {
+describe('a claim while members shut down or stop responding', () => {
+  // In a rolling restart, an owner that had announced its shutdown was treated as gone, and its
+  // shard was taken by force. Callers with new keys were told "unknown".
+  it('stays with an owner that is shutting down until it hands over', async () => {
     const { cluster, owner, next, other } = await startCluster();
     lookAt(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
@@ -29,9 +28,9 @@
     expect(proofs.sort()).toEqual(['clean', 'fresh']);
   });
 
-  // Symptom: holds are refused for seconds in a rolling restart. Sequence: the owner hands its shard
-  // over and ends while the offer to the next one is on its way. Cause: it waits for the store only.
-  it('is handed over only once the next owner knows', async () => {
+  // The owner ended while its offer to the next owner was on the way, because it waited only for
+  // the store. Claims were refused for seconds in a rolling restart.
+  it('is handed over only once the next owner has been notified', async () => {
     let take = () => {};
     const deliver = (message: string) =>
       message.endsWith('take')
@@ -51,8 +50,8 @@
     expect(cluster.getEvents('shard-taken')).toHaveLength(2);
   });
 
-  // The same, where the offer is lost and the next owner has looked too early.
-  it('is taken by whoever is asked next when the offer was lost', async () => {
+  // The same when the offer is lost and the next owner has read the head too early.
+  it('is taken over by the next daemon asked when the offer was lost', async () => {
     const { cluster, owner, next, other } = await startCluster();
     lookAt(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
@@ -66,8 +65,8 @@
     expectGranted(await cluster.ask(other, 'two'));
   });
 
-  // Symptom: a caller is told that nobody knows whether its hold ran, while it runs. Sequence: the
-  // daemon that runs it shuts down, or is slow to answer for a moment. Cause: as above.
+  // The daemon that runs a request is shutting down or responds slowly for a moment. Treated as
+  // gone, it made callers hear that the state of the request was unknown.
   it.each([MemberStanding.Passive, MemberStanding.Doubted])(
     'is in progress while the daemon that runs it is %s',
     async (standing) => {
@@ -78,9 +77,9 @@
     },
   );
 
-  // Symptom: a shard refuses new keys for a quarter of an hour after two crashes, the store up all
-  // the time. Sequence: the witness starts again; a moment later its owner crashes. Cause: the owner
-  // goes on naming a process that has ended until the members have settled.
+  // The witness restarted, and a moment later its owner crashed. The owner had kept naming the
+  // ended process until the members settled, so the shard refused new keys for a quarter of an hour
+  // although the store was up.
   it('has a new witness at once when the old one has ended', async () => {
     const { cluster, owner, witness, next } = await startCluster();
     cluster.restart(witness);
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -42,7 +42,7 @@
   constructor(
     private readonly context: ShardContext,
     private readonly table: ShardTable,
-    private readonly waiting: WaitingCalls,
+    private readonly waitingCalls: WaitingCalls,
     private readonly host: CallProcessorHost,
   ) {}
 
@@ -51,7 +51,7 @@
     const entry = this.table.get(request.name, now);
     if (entry?.claim === request.claim && entry.state === EntryState.Running) {
       // The same attempt again after its first response was lost: it waits for the same mutation.
-      this.waiting.add({ input, sequence: entry.sequence, since: now });
+      this.waitingCalls.add({ input, sequence: entry.sequence, since: now });
     } else if (entry !== undefined) {
       this.respond(input, getResponseForRepeat(entry, request, this.context, now));
     } else if (this.isAbandoned(request.claim, now)) {
@@ -77,7 +77,7 @@
     const kept = this.table.get(request.name, now);
     const sequence =
       kept?.claim === request.claim ? kept.sequence : this.requestOwnershipProof(now);
-    this.waiting.add({ input, sequence, since: now });
+    this.waitingCalls.add({ input, sequence, since: now });
   }
 
   /**
@@ -125,7 +125,7 @@
     } else {
       const entry = createEntry(request, options, this.host.getSequence() + 1, now);
       this.host.mutate(entry.name, entry.claim, entry, now);
-      this.waiting.add({ input, sequence: entry.sequence, since: now });
+      this.waitingCalls.add({ input, sequence: entry.sequence, since: now });
     }
   }
 
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
@@ -29,7 +29,7 @@
   },
 };
 
-/** The shard's harness, with what it wanted done since the last input. */
+/** The state machine of a shard, with the effects that its last input caused. */
 class ShardHarness {
   effects: ShardEffect[] = [];
 
@@ -61,7 +61,7 @@
     return this.effects.find((effect): effect is Wanted => effect.kind === kind)!;
   }
 
-  /** Answers the read under way, and one of segments if it follows. */
+  /** Answers the read in progress, and the read of segments if one follows. */
   read(result: HeadReadResult, now: number, id = this.get('read-head').id): void {
     this.handle({ kind: 'head-read', id, result }, now);
     this.readSegments(now);
@@ -83,10 +83,10 @@
 }
 
 describe('ClaimShard', () => {
-  // Symptom: a key granted twice, a moment apart from the end of a quarantine. Sequence: the write
-  // that takes the shard is slow; the last owner sees its shard confirmed meanwhile and trusts its
-  // witness from then on. Cause: the quarantine is counted from before the write.
-  it('counts a quarantine from when its takeover took effect', () => {
+  // A quarantine counted from before the write of the takeover ended too early: until that write
+  // took effect, the store could confirm the previous owner, which then trusted its witness for
+  // longer. A key was granted twice.
+  it('counts the quarantine from when the takeover took effect', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     harness.read(createRead({}), 110);
@@ -105,10 +105,9 @@
     expect(harness.get('event').event.kind).toBe('quarantine-ended');
   });
 
-  // Symptom: a shard in quarantine although nobody died. Sequence: a takeover takes effect, its
-  // confirmation is lost, and its witness is not reachable. Cause: the owner does not recognise its
-  // own commit, and takes itself for a last owner whose grants it cannot know.
-  it('recognises its own takeover after a lost confirmation', () => {
+  // An owner that did not recognize its own commit after a lost confirmation took itself for a
+  // previous owner with unknown grants, and put the shard into quarantine.
+  it('recognizes its own takeover after a lost confirmation', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     harness.read({ object: undefined }, 110);
@@ -120,10 +119,9 @@
     expect(harness.get('call-peer')).toBeUndefined();
   });
 
-  // Symptom: claims of a shard are refused for seconds after its owner left gracefully. Sequence:
-  // the next owner reads the object, the last one writes and offers it, the read arrives. Cause: an
-  // offer during a takeover is dropped, and the object is left alone for a while.
-  it('takes up an offer that came while it was reading', () => {
+  // An offer that arrived during a takeover was dropped and a cooldown started, so claims were
+  // refused for seconds after a graceful handover.
+  it('accepts an offer that arrives while it reads the head', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     const { id } = harness.get('read-head');
@@ -133,10 +131,9 @@
     expect(harness.get('write').expectedVersion).toBe(11);
   });
 
-  // Symptom: the store's writes rise and claims are slow for as long as two views differ. Sequence:
-  // each of two daemons believes the other dead and takes the shard back with the next claim.
-  // Cause: no rest after a loss.
-  it('leaves a shard alone for a while after it lost it', () => {
+  // Without a cooldown after a loss, two daemons that each believed the other dead took the shard
+  // from each other with every claim, which made the store's writes rise and claims slow.
+  it('makes no attempt to take a shard back during the cooldown after a loss', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     harness.read({ object: undefined }, 100);
@@ -153,14 +150,10 @@
     expect(harness.get('read-head')).toBeDefined();
   });
 
-  // At a restart of all daemons in turn, holds were refused for up to five seconds after a planned
-  // hand-over. Two daemons had both taken a shard as the fleet came up; the first one, whom nobody had
-  // asked since, still took itself for the owner. The second one left the shard to it when it
-  // stopped, and the offer was dropped, since it owned the shard already. Its next commit met the
-  // other's, and it left the shard alone as after a loss, sending callers to the daemon that had
-  // stopped. The log of shard 7: `shard-left cause=handed-over to=daemon-4` at 09.248, at daemon-4
-  // `shard-left cause=conflict to=daemon-1` at 09.728 and `shard-taken proof=clean` at 15.000.
-  it('takes a shard at once that it lost to an owner who has left it since', () => {
+  // A shard was handed to a daemon that still believed that it owned it, so the offer was dropped.
+  // Its next commit conflicted, and it started a cooldown as after any loss: claims were refused
+  // for up to five seconds of a rolling restart of all daemons.
+  it('takes over a shard at once when the new owner has released it since', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     harness.read({ object: undefined }, 100);
@@ -189,13 +182,10 @@
     });
   });
 
-  // A hold was answered, and for two minutes each repeat was told that it runs. Its daemon had taken the
-  // shard as the fleet came up, lost it unasked to another, and ran the hold under the other's grant. As
-  // the hold ended the other was killed, so it reported the outcome to itself; it still took itself for the owner,
-  // knew no such key, and said that the store has the outcome. So it was reported no more, and the next owner
-  // knew only of the grant. In the log: `settle kind=answered` at 34.256, `shard-left epoch=1 cause=conflict` at
-  // 34.280, and from 39.332 on `claim-answered answer=in-progress`, 2,000 times.
-  it('calls an outcome stored only when the store has shown that the shard is still its own', () => {
+  // A daemon that had lost the shard without knowing confirmed an outcome whose claim it did not
+  // have. The outcome was not reported again, and for two minutes every repeat was told that the
+  // request was in progress.
+  it('confirms an outcome only after the store has confirmed that it owns the shard', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
     harness.read({ object: undefined }, 100);
@@ -211,10 +201,9 @@
     expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
   });
 
-  // Symptom: claims of a shard go on seconds later than its owner's end was noticed. Sequence: the
-  // next owner looks just before, and finds an owner that lives. Cause: it rests for the sake of an
-  // owner that has since gone.
-  it('takes a shard as soon as the owner for whose sake it rested has gone', () => {
+  // A daemon that had just found a live owner kept its cooldown after that owner had gone, so
+  // claims of the shard were refused for seconds.
+  it('ends its cooldown when the live owner that caused it is gone', () => {
     const harness = new ShardHarness();
     harness.handle(claim, 100);
     harness.read(createRead({ owner: WITNESS }), 100);
--- a/packages/claims/src/lib/ClaimShard/CommitLoop.ts
+++ b/packages/claims/src/lib/ClaimShard/CommitLoop.ts
@@ -77,11 +77,11 @@
     /** The last header that the store has confirmed. */
     private header: CommitHeader,
     private version: number,
-    start: { sequence: number; confirmedAt: Milliseconds },
+    lastCommit: { sequence: number; confirmedAt: Milliseconds },
   ) {
     this.nextHeader = header;
-    this.committed = start.sequence;
-    this.confirmedAt = start.confirmedAt;
+    this.committed = lastCommit.sequence;
+    this.confirmedAt = lastCommit.confirmedAt;
     this.rateLimiter = new CommitRateLimiter(context.options);
     this.backoff = new Backoff(context.options.retryDelay, context.options.maxRetryDelay);
   }
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -40,9 +40,9 @@
 
   private readonly commitLoop: CommitLoop;
 
-  private readonly processor: CallProcessor;
+  private readonly callProcessor: CallProcessor;
 
-  private readonly waiting: WaitingCalls;
+  private readonly waitingCalls: WaitingCalls;
 
   private readonly quarantine: Quarantine;
 
@@ -64,7 +64,7 @@
     this.table = table;
     this.sequence = sequence;
     this.quarantine = new Quarantine(context, settings.unresolvedEpochs);
-    this.waiting = new WaitingCalls(context);
+    this.waitingCalls = new WaitingCalls(context);
     this.witnessSelector = new WitnessSelector(context);
     this.commitLoop = new CommitLoop(
       context,
@@ -76,7 +76,7 @@
     );
     this.replicator = new WitnessReplicator(context, header.epoch, header.witness, sequence);
     const processorHost = this.createCallProcessorHost();
-    this.processor = new CallProcessor(context, table, this.waiting, processorHost);
+    this.callProcessor = new CallProcessor(context, table, this.waitingCalls, processorHost);
   }
 
   get epoch(): number {
@@ -95,7 +95,7 @@
 
   /** Removes and returns the waiting calls. */
   drain(): ShardCall[] {
-    return this.waiting.drain();
+    return this.waitingCalls.drain();
   }
 
   /** The mutations that the store does not have yet, for a new owner. */
@@ -143,15 +143,15 @@
     if (this.getNextWitnessCallTime(now) <= now) {
       this.replicator.send(now);
     }
-    this.waiting.release(this.commitLoop.committed, this.replicator.witnessed, this.epoch);
-    this.waiting.expire(now);
+    this.waitingCalls.release(this.commitLoop.committed, this.replicator.witnessed, this.epoch);
+    this.waitingCalls.expire(now);
   }
 
   getNextWakeTime(now: Milliseconds): Milliseconds {
     return Math.min(
       this.quarantine.getNextWakeTime(),
       this.commitLoop.getNextWakeTime(),
-      this.waiting.getNextExpiry(),
+      this.waitingCalls.getNextExpiry(),
       this.getNextWitnessCallTime(now),
     );
   }
@@ -168,9 +168,9 @@
       const response = { kind: 'not-owner' as const, owner: this.pendingHandOver.successor };
       this.context.emit({ kind: 'respond', call: input.call, response });
     } else if (input.kind === 'claim') {
-      this.processor.claim(input, now);
+      this.callProcessor.claim(input, now);
     } else {
-      this.processor.settle(input, now);
+      this.callProcessor.settle(input, now);
     }
   }
 
@@ -246,7 +246,7 @@
    * waited for the store for too long.
    */
   private getNextWitnessCallTime(now: Milliseconds): Milliseconds {
-    const { replicator, commitLoop, waiting, context } = this;
+    const { replicator, commitLoop, waitingCalls, context } = this;
     if (
       !replicator.isUsable ||
       replicator.hasCallInFlight ||
@@ -257,7 +257,7 @@
     }
     const wantedAt = commitLoop.isStoreUnresponsive
       ? now
-      : waiting.getOldestClaim() + context.options.witnessDelay;
+      : waitingCalls.getOldestClaim() + context.options.witnessDelay;
     return Math.max(wantedAt, replicator.retryAt);
   }
 
@@ -300,7 +300,7 @@
       emit({ kind: 'event', event });
     }
     if (commit.header.clean) {
-      this.waiting.release(commit.sequence, commit.sequence, epoch);
+      this.waitingCalls.release(commit.sequence, commit.sequence, epoch);
       this.onEnd(LossCause.HandedOver, this.pendingHandOver?.successor);
     }
   }
--- a/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
@@ -26,8 +26,8 @@
   return JSON.parse(cluster.store.read('claims/0')!.value) as ShardHead;
 }
 
-describe('the size of a shard', () => {
-  it('moves settled keys into segments, which the next owner reads and time removes', async () => {
+describe('a shard with many keys', () => {
+  it('moves settled keys into segments, which the next owner reads and which expire', async () => {
     const cluster = new TestCluster(4, OPTIONS);
     await cluster.run(1000);
     await settleMany(cluster, 20);
@@ -53,9 +53,8 @@
     expect(cluster.store.list('claim-segments/0/')).toEqual([]);
   });
 
-  // Symptom: an outage ends, and the store refuses the shard's object as too large for good.
-  // Sequence: nothing can be moved out while the store is down, and keys go on coming.
-  // Cause: no limit but memory.
+  // Settled keys cannot be moved into segments while the store is down. Without a limit the head
+  // grew until the store refused it for good, even after the outage.
   it('is bounded during an outage: bodies are dropped first, then new keys are refused', async () => {
     const cluster = new TestCluster(4, OPTIONS);
     await cluster.run(1000);
@@ -72,9 +71,9 @@
     expect(repeat).toMatchObject({ kind: 'settled', answer: { kind: 'status-only' } });
   });
 
-  // Symptom: a shard refuses every new key for good after a burst. Sequence: it is full; with
-  // nothing granted, nothing is written. Cause: expired keys are only cleared out by a commit.
-  it('is free again when its keys have expired', async () => {
+  // Expired keys were removed only by commits. A full shard that granted nothing had nothing to
+  // commit, so it refused every new key for good.
+  it('accepts new keys again when its keys have expired', async () => {
     const cluster = new TestCluster(4, { ...OPTIONS, maxEntries: 10 });
     await cluster.run(1000);
     await settleMany(cluster, 10);
@@ -85,9 +84,9 @@
     expect((await cluster.ask(daemon, 'more')).kind).toBe('granted');
   });
 
-  // Symptom: a hold placed twice after an upgrade. Sequence: old daemons cut the keys into another
-  // number of shards than new ones. Cause: a key then has two owners that never meet.
-  it('is not served by daemons that count the shards differently', async () => {
+  // After an upgrade, old and new daemons divided the keys into different numbers of shards. A key
+  // then had two owners that did not know of each other, and its request ran twice.
+  it('is not served by daemons configured with another number of shards', async () => {
     const cluster = new TestCluster(2);
     await cluster.run(1000);
     const upgraded = new TestCluster(2, { ...TEST_OPTIONS, shards: 2 }, undefined, cluster.store);
--- a/packages/claims/src/lib/ClaimShard/Takeover.ts
+++ b/packages/claims/src/lib/ClaimShard/Takeover.ts
@@ -78,7 +78,7 @@
     private readonly context: ShardContext,
     /** Takeovers by this daemon whose confirmation was lost. */
     private readonly ownCommits: Set<string>,
-    private readonly onEnd: (end: TakeoverResult) => void,
+    private readonly onEnd: (result: TakeoverResult) => void,
     now: Milliseconds,
   ) {
     this.step = this.read(now);
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.test.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('ClaimWitness', () => {
-  it('gives the latest mutation of each key, without what the store has', () => {
+  it('returns the latest mutation of each key, except those that the store has', () => {
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(remember(1, 0, mutation(1, 'painotuote/old'), mutation(2)), 0);
     witness.handle(remember(1, 1, mutation(3)), 0);
@@ -29,9 +29,9 @@
     expect(response).toEqual({ kind: 'sealed', mutations: [mutation(3)] });
   });
 
-  // Symptom: a repeat of a running hold is granted. Sequence: the network delivers a copy of an
-  // earlier message after a later one. Cause: the copy replaces what came after it.
-  it('keeps the later mutation when an earlier message comes again', () => {
+  // The network delivered a copy of an earlier message after a later one. If the copy replaced the
+  // later mutation, a repeat of a running request was granted.
+  it('keeps the later mutation when an earlier message is delivered again', () => {
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(remember(1, 0, mutation(2)), 0);
     witness.handle(remember(1, 0, mutation(1)), 0);
@@ -39,19 +39,19 @@
     expect(response).toEqual({ kind: 'sealed', mutations: [mutation(2)] });
   });
 
-  it('acknowledges nothing of a sealed epoch, and goes on with the next', () => {
+  it('acknowledges nothing in a sealed epoch, but continues with the next', () => {
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(seal(4), 0);
     expect(witness.handle(remember(4, 0, mutation(1)), 0)).toEqual({ kind: 'epoch-sealed' });
     expect(witness.handle(remember(5, 0, mutation(1)), 0)).toEqual({ kind: 'remembered' });
   });
 
-  it('never answers for an earlier incarnation', () => {
+  it('does not answer for an earlier incarnation', () => {
     const witness = new ClaimWitness(INCARNATION, options);
     expect(witness.handle(seal(1, INCARNATION - 1), 0)).toEqual({ kind: 'gone' });
   });
 
-  it('forgets what has outlived every claim', () => {
+  it('discards mutations that have outlived every claim', () => {
     const witness = new ClaimWitness(INCARNATION, options);
     witness.handle(remember(1, 0, mutation(1)), 0);
     witness.expire(2 * options.retention);
--- a/packages/claims/src/lib/messages.ts
+++ b/packages/claims/src/lib/messages.ts
@@ -8,7 +8,7 @@
   UnknownCause,
 } from './claimTypes.js';
 
-/** The messages between daemons: plain data, fit for any codec. */
+/** The messages between daemons. They are plain data that any codec can encode. */
 
 /** State of the request of a key. */
 export enum EntryState {
--- a/packages/claims/src/test/ClaimHistory.ts
+++ b/packages/claims/src/test/ClaimHistory.ts
@@ -2,14 +2,14 @@
 import type { ClaimResult, ClaimHandle, ClaimOutcome } from '../lib/claimTypes.js';
 import type { TestDaemon } from './TestDaemon.js';
 
-/** A claim a caller made, and what it was told. */
+/** A claim that a caller made, with its result. */
 interface Invocation {
   key: string;
   fingerprint: string;
   result?: ClaimResult;
 }
 
-/** A grant: the request runs from here on, as far as anyone can tell. */
+/** A grant. From here on, the request must be assumed to run. */
 export interface Grant {
   key: string;
   fingerprint: string;
@@ -19,7 +19,7 @@
   outcome?: ClaimOutcome;
 }
 
-/** The oracle: what callers saw, checked as it happens. */
+/** The oracle of the fuzz test: records what callers saw and checks each result. */
 export class ClaimHistory {
   readonly grants: Grant[] = [];
 
@@ -33,7 +33,7 @@
     return invocation;
   }
 
-  /** Checks an answer, and notes a grant. @throws Error naming the promise that is broken */
+  /** Checks a result, and records a grant. @throws Error naming the guarantee that is broken */
   recordResult(
     invocation: Invocation,
     result: ClaimResult,
@@ -68,7 +68,7 @@
     );
     if (other !== undefined) {
       const spans = `${other.handle.request.claim} at ${other.at}, ${handle.request.claim} at ${at}`;
-      throw new Error(`at most once: ${key} granted twice: ${spans}`);
+      throw new Error(`${key} was granted twice: ${spans}`);
     }
     this.grants.push({ key, fingerprint, daemon, handle, at });
   }
@@ -79,10 +79,10 @@
   ): void {
     const grant = this.grants.find(({ handle }) => handle.request.requestId === requestId);
     const { outcome } = grant ?? {};
-    const ran = outcome?.kind === 'answered' ? JSON.stringify(outcome.answer) : undefined;
+    const expected = outcome?.kind === 'answered' ? JSON.stringify(outcome.answer) : undefined;
     const isOfKey = grant?.key === key && grant.fingerprint === fingerprint;
-    if (!isOfKey || ran !== JSON.stringify(answer)) {
-      throw new Error(`whole answers: ${key} was answered with the outcome of ${requestId}`);
+    if (!isOfKey || expected !== JSON.stringify(answer)) {
+      throw new Error(`${key} was answered with the response to ${requestId}`);
     }
   }
 
@@ -91,7 +91,7 @@
       (other) => other.key === key && other.fingerprint !== fingerprint,
     );
     if (!hasOther) {
-      throw new Error(`${key} never had another fingerprint`);
+      throw new Error(`${key} was reported as a mismatch but has had only one fingerprint`);
     }
   }
 }
--- a/packages/claims/src/test/ClaimWorld.ts
+++ b/packages/claims/src/test/ClaimWorld.ts
@@ -6,7 +6,7 @@
 import { drain, TEST_OPTIONS, TestCluster } from './TestCluster.js';
 import type { TestDaemon } from './TestDaemon.js';
 
-/** A daemon by what it does for the shard, or by its place. */
+/** A daemon by its role for the shard, or by its index. */
 export type Role = 'owner' | 'witness' | number;
 
 const ADVANCE_STEPS = 5;
@@ -30,7 +30,7 @@
     this.cluster = new TestCluster(4, TEST_OPTIONS, deliver);
   }
 
-  /** The daemon in a role, by what the store says now. */
+  /** The daemon in a role, according to the store. */
   getDaemon(role: Role): TestDaemon {
     const { daemons, store } = this.cluster;
     if (typeof role === 'number') {
@@ -41,7 +41,7 @@
     return daemons.find(({ member }) => member.id === head?.[role]?.id) ?? daemons[0]!;
   }
 
-  /** Lets the shard find its first owner before anything goes wrong. */
+  /** Lets the shard find its first owner before any fault. */
   async start(): Promise<void> {
     await this.cluster.run(1000);
     this.isReliable = false;
@@ -77,10 +77,10 @@
     grant.daemon.claims.recordOutcome(grant.handle, outcome);
   }
 
-  /** Delivers some of the messages under way, as the scheduler picks them. */
+  /** Delivers some of the messages in flight, in the order that the scheduler chooses. */
   async deliver(count: number): Promise<void> {
     for (let left = count; left > 0 && this.scheduler.count() > 0; left -= 1) {
-      // One after the other: each may send new ones.
+      // One message at a time, since each may cause new ones.
       // eslint-disable-next-line no-await-in-loop
       await this.scheduler.waitOne();
       // eslint-disable-next-line no-await-in-loop
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Moves time in steps; `flow` says how many messages get through after each. */
+  /** Advances time in steps, and delivers up to `deliveriesPerStep` messages before each. */
   async advance(span: Milliseconds, deliveriesPerStep: number): Promise<void> {
     for (let step = 0; step < ADVANCE_STEPS; step += 1) {
       // eslint-disable-next-line no-await-in-loop
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Ends all faults but wrong views. */
+  /** Ends all faults except outdated views of the members. */
   clearFaults(): void {
     const { cluster } = this;
     cluster.store.setFault('up');
@@ -114,7 +114,7 @@
     cluster.daemons.filter(({ isCrashed }) => isCrashed).forEach((old) => cluster.restart(old));
   }
 
-  /** Ends all faults and lets everything come to rest. */
+  /** Ends all faults and runs until every effect of them has passed. */
   async recover(): Promise<void> {
     this.isReliable = true;
     this.clearFaults();
--- a/packages/claims/src/test/TestCluster.ts
+++ b/packages/claims/src/test/TestCluster.ts
@@ -11,7 +11,7 @@
 
 const ZONES = ['helsinki-a', 'helsinki-b', 'espoo', 'vantaa'];
 
-/** Spans in proportion to the defaults, short enough to run through in a test. */
+/** Times in proportion to the defaults, short enough for tests. */
 export const TEST_OPTIONS: Partial<ClaimOptions> = {
   shards: 1,
   retention: 10_000,
@@ -36,24 +36,24 @@
   return { id, incarnation, availabilityZone, address: id };
 }
 
-/** Lets everything run that waits for nothing but its turn. */
+/** Lets all pending callbacks run that wait for no timer. */
 export function drain(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-/** Several daemons, a store and a network in one process, on one clock. */
+/** Several daemons, a store and a network in one process, on a common clock. */
 export class TestCluster {
   readonly clock = new ManualClock(1);
 
-  /** Pairs of ids that cannot reach one another, as `a-b`. */
+  /** Pairs of ids that cannot reach each other, as `a-b`. */
   readonly brokenLinks = new Set<string>();
 
-  /** Every message a daemon sent, for late copies. */
+  /** Every message that a daemon sent, for late copies. */
   readonly sent: ClaimMessage[] = [];
 
-  /** Replies (not requests) to lose between daemons. */
+  /** How many responses (not requests) between daemons to lose. */
   lostResponses = 0;
 
   readonly daemons: TestDaemon[] = [];
@@ -70,7 +70,7 @@
     members.forEach((member) => this.daemons.push(this.start(member, members)));
   }
 
-  /** The daemons in the order in which they should own a shard. */
+  /** The daemons in order of preference for owning a shard. */
   getOrder(shard = 0): TestDaemon[] {
     const order = getOwnerOrder(
       shard,
@@ -83,13 +83,15 @@
     return this.daemons.filter(({ isCrashed }) => !isCrashed).map(({ member }) => member);
   }
 
-  /** Everyone that runs sees who lives. */
+  /** Gives every running daemon the current list of live members. */
   updateAllMembers(): void {
     const live = this.getLive();
     this.daemons.filter(({ isCrashed }) => !isCrashed).forEach((daemon) => daemon.setMembers(live));
   }
 
-  /** Starts a process anew on the same instance; only itself knows of it at first. */
+  /**
+   * Starts a new process on the same instance. At first only the new process itself knows of it.
+   */
   restart(old: TestDaemon): TestDaemon {
     old.crash();
     const index = this.daemons.indexOf(old);
@@ -105,12 +107,12 @@
     return daemon.claims.claim({ workspace: 'painotuote', key, fingerprint, requestId });
   }
 
-  /** Claims and moves time until the answer is there. */
+  /** Claims a key and advances time until the result is there. */
   async ask(daemon: TestDaemon, key: string, fingerprint?: string): Promise<ClaimResult> {
     return this.complete(this.claim(daemon, key, fingerprint));
   }
 
-  /** Moves time until a promise is fulfilled. */
+  /** Advances time until a promise is fulfilled. */
   async complete<Value>(promise: Promise<Value>): Promise<Value> {
     let isDone = false;
     const done = promise.finally(() => {
@@ -119,7 +121,7 @@
     await drain();
     while (!isDone) {
       this.clock.runNext();
-      // One turn after the other, until the promise is fulfilled.
+      // One step at a time, until the promise is fulfilled.
       // eslint-disable-next-line no-await-in-loop
       await drain();
     }
@@ -130,7 +132,7 @@
     const end = this.clock.now() + span;
     await drain();
     while (this.clock.runNext(end)) {
-      // One timer after the other, each with all that follows from it.
+      // One timer at a time, each with everything that follows from it.
       // eslint-disable-next-line no-await-in-loop
       await drain();
     }
@@ -170,21 +172,21 @@
     const { id } = from.member;
     this.sent.push(message);
     await this.deliver(`${id} to ${peer.id}: ${message.kind}`);
-    // Whoever listens at the address, as with a real connection.
+    // The process that currently listens at the address, as with a real connection.
     const target = this.daemons.find(({ member }) => member.address === peer.address)!;
     if (this.brokenLinks.has(`${id}-${peer.id}`) || target.isCrashed) {
       await from.pass();
       throw new Error('unreachable');
     }
     await target.pass();
-    const reply = await target.claims.handle(id, message);
+    const response = await target.claims.handle(id, message);
     await target.pass();
-    await this.deliver(`${peer.id} to ${id}: ${reply.kind}`);
+    await this.deliver(`${peer.id} to ${id}: ${response.kind}`);
     await from.pass();
     if (this.brokenLinks.has(`${id}-${peer.id}`) || this.lostResponses > 0) {
       this.lostResponses = Math.max(0, this.lostResponses - 1);
-      throw new Error('reply lost');
+      throw new Error('response lost');
     }
-    return reply;
+    return response;
   }
 }
--- a/packages/claims/src/test/TestDaemon.ts
+++ b/packages/claims/src/test/TestDaemon.ts
@@ -6,7 +6,7 @@
 import type { ClaimMember } from '../lib/claimTypes.js';
 import type { TestStore } from './TestStore.js';
 
-/** What a daemon under test is started with. */
+/** The constructor arguments of a daemon under test. */
 export interface TestDaemonSettings {
   member: ClaimMember;
   baseClock: ManualClock;
@@ -16,16 +16,16 @@
   members: readonly ClaimMember[];
 }
 
-/** Each process has a clock of its own: nothing may depend on two of them agreeing. */
+/** Each process has its own clock, in milliseconds: no code may depend on two of them agreeing. */
 const OFFSET_PER_INCARNATION = 1_000_003;
 
-/** One process: it can be paused, which holds its messages and timers, and it can crash. */
+/** One process. It can be paused, which holds back its messages and timers, and it can crash. */
 export class TestDaemon implements Clock {
   readonly events: ClaimEvent[] = [];
 
   readonly claims: ClaimManager;
 
-  /** Its view of the members. */
+  /** This daemon's view of the members. */
   members: readonly ClaimMember[];
 
   isCrashed = false;
@@ -78,7 +78,7 @@
     };
   }
 
-  /** Goes through at once, after the pause, or never after a crash. */
+  /** Resolves at once, after the pause, or never after a crash. */
   pass(): Promise<void> {
     return this.hold(this.heldMessages);
   }
@@ -93,7 +93,8 @@
       return;
     }
     this.heldMessages.splice(0).forEach((resolve) => resolve());
-    // What lay in the sockets is read before any timeout runs: the harder order of the two.
+    // Messages that arrived during the pause are handled before the timers, which is the harder
+    // order of the two.
     const timers = this.heldTimers.splice(0);
     setImmediate(() => timers.forEach((resolve) => resolve()));
   }
--- a/packages/claims/src/test/TestStore.ts
+++ b/packages/claims/src/test/TestStore.ts
@@ -1,14 +1,14 @@
 import type { PlatformStore, PutResult, StoreChange, StoredObject } from '@apricotrill/store';
 import { StoreUnavailableError } from '@apricotrill/store';
 
-/** Decides when a message arrives; a fuzz run puts its scheduler here. */
+/** Resolves when a message arrives. A fuzz test passes its scheduler here. */
 export type Deliver = (label: string) => Promise<void>;
 
 function createError(): StoreUnavailableError {
-  return new StoreUnavailableError('no answer', { step: 'store', peer: 'test' });
+  return new StoreUnavailableError('no response', { step: 'store', peer: 'test' });
 }
 
-/** The store in memory, with outages and lost confirmations. */
+/** An in-memory store with outages and lost confirmations. */
 export class TestStore {
   isDown = false;
 
@@ -18,7 +18,7 @@
   /** Called when a confirmation was lost, with the daemon that waits for it. */
   onLoss: ((daemon: string) => void) | undefined;
 
-  /** Daemons that cannot reach it. */
+  /** The daemons that cannot reach the store. */
   readonly unreachableFrom = new Set<string>();
 
   private readonly objects = new Map<string, StoredObject>();
@@ -40,7 +40,7 @@
     return [...this.objects.values()].filter(({ key }) => key.startsWith(prefix));
   }
 
-  /** The store as one daemon reaches it. `pass` holds its messages while it is paused. */
+  /** The store as seen by one daemon. `pass` holds back its messages while it is paused. */
   connect(daemon: string, pass: () => Promise<void>): PlatformStore {
     const call = <Value>(label: string, act: () => Value) => this.call(daemon, pass, label, act);
     return {
--- a/packages/claims/src/test/claimCommands.ts
+++ b/packages/claims/src/test/claimCommands.ts
@@ -4,7 +4,7 @@
 import { drain } from './TestCluster.js';
 import type { TestDaemon } from './TestDaemon.js';
 
-/** The commands need no model: the history is the oracle. */
+/** The commands need no model, because the history is the oracle. */
 type Model = Record<string, never>;
 
 class Command implements fc.AsyncCommand<Model, ClaimWorld> {
@@ -134,7 +134,7 @@
 
 const clearFaults = fc.constant(new Command('clear-faults', (world) => world.clearFaults()));
 
-/** Sequences of everything that can happen. */
+/** Sequences of all kinds of events. */
 export const claimCommands = fc.commands(
   [
     ...Array<typeof claim>(8).fill(claim),
--- a/packages/claims/src/test/claimScenario.ts
+++ b/packages/claims/src/test/claimScenario.ts
@@ -3,18 +3,18 @@
 import type { TestDaemon } from './TestDaemon.js';
 import type { Deliver } from './TestStore.js';
 
-/** The outcome of a hold that was placed. */
+/** The outcome of a request that was answered. */
 export const ANSWERED: ClaimOutcome = {
   kind: 'answered',
   answer: { kind: 'whole', status: 201, headers: { 'content-type': 'text/plain' }, body: 'held' },
 };
 
-/** Four daemons by what they do for the only shard. */
+/** Four daemons by their roles for the only shard. */
 export interface ClusterRoles {
   cluster: TestCluster;
   owner: TestDaemon;
   witness: TestDaemon;
-  /** The next in order of preference, and not the witness. */
+  /** The next in order of preference after the owner that is not the witness. */
   next: TestDaemon;
   other: TestDaemon;
 }
@@ -27,7 +27,7 @@
   return { cluster, owner: owner!, witness: witness!, next: next!, other: other! };
 }
 
-/** The handle of a claim that must have been granted. */
+/** Expects that a claim was granted, and returns its handle. */
 export function expectGranted(result: ClaimResult): ClaimHandle {
   expect(result.kind).toBe('granted');
   return (result as Extract<ClaimResult, { kind: 'granted' }>).handle;
