--- a/packages/claims/src/lib/ClaimManager/ClaimClient.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimClient.ts
@@ -74,8 +74,8 @@
       reporter.report(handle, { kind: 'not-run' });
     }
     // Before the deadline, the key belonged to this attempt until it was released just now.
-    const isOurs = response?.kind === 'answer' && clock.now() < handle.deadline;
-    return this.getRefusal(response, search.isUncertain, isOurs);
+    const isProvedNotRun = response?.kind === 'answer' && clock.now() < handle.deadline;
+    return this.getRefusal(response, search.isUncertain, isProvedNotRun);
   }
 
   private getRefusal(
@@ -88,8 +88,8 @@
       return { kind: 'unavailable', retryAfter, reason, isProvedNotRun };
     }
     const retryAfter = this.settings.options.maxRetryDelay;
-    const hasHeardLate = isUncertain || isProvedNotRun;
-    const reason = hasHeardLate ? RefusalReason.Timeout : RefusalReason.NoOwner;
+    const hasTimedOut = isUncertain || isProvedNotRun;
+    const reason = hasTimedOut ? RefusalReason.Timeout : RefusalReason.NoOwner;
     return { kind: 'unavailable', retryAfter, reason, isProvedNotRun };
   }
 
--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -244,8 +244,8 @@
   ): Promise<ClaimResponse> {
     const { shard, epoch, role, incarnation } = message;
     if (role === SealRole.Owner) {
-      const isUs = incarnation === this.settings.self.incarnation;
-      return isUs
+      const isCurrentIncarnation = incarnation === this.settings.self.incarnation;
+      return isCurrentIncarnation
         ? runner.handleCall({ kind: 'challenge', epoch })
         : Promise.resolve({ kind: 'gone' });
     }
--- a/packages/claims/src/lib/ClaimManager/ShardRunner.ts
+++ b/packages/claims/src/lib/ClaimManager/ShardRunner.ts
@@ -91,7 +91,7 @@
 
   /**
    * Resolves once this daemon does not own the shard and the successor has been notified. If the
-   * process ended before the offer is sent, the shard would have no owner until another daemon
+   * process ended before the offer was sent, the shard would have no owner until another daemon
    * checks it, and claims would be refused in the meantime.
    */
   async waitUntilReleased(): Promise<void> {
@@ -155,8 +155,8 @@
 
   private async readHead(id: number): Promise<void> {
     const { layout, store } = this.context;
-    const isOurs = await layout.check();
-    const result = isOurs ? await store.get(getHeadKey(this.index)) : NO_ANSWER;
+    const isOwnLayout = await layout.check();
+    const result = isOwnLayout ? await store.get(getHeadKey(this.index)) : NO_ANSWER;
     this.handle({ kind: 'head-read', id, result });
   }
 
--- a/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
@@ -78,12 +78,12 @@
   // the same key again hours later.
   it('is not granted on either side of a partition while the other side may grant it', async () => {
     const { cluster, owner, witness, next, other } = await startCluster();
-    const here = [owner, witness];
-    const there = [next, other];
-    here.forEach(({ member }) => cluster.store.unreachableFrom.add(member.id));
-    here.forEach((left) => there.forEach((right) => cluster.breakLink(left, right)));
-    there.forEach((daemon) => daemon.setMembers([next.member, other.member]));
-    here.forEach((daemon) => daemon.setMembers([owner.member, witness.member]));
+    const oneSide = [owner, witness];
+    const otherSide = [next, other];
+    oneSide.forEach(({ member }) => cluster.store.unreachableFrom.add(member.id));
+    oneSide.forEach((left) => otherSide.forEach((right) => cluster.breakLink(left, right)));
+    otherSide.forEach((daemon) => daemon.setMembers([next.member, other.member]));
+    oneSide.forEach((daemon) => daemon.setMembers([owner.member, witness.member]));
     expect((await cluster.ask(next, 'early')).kind).toBe('unknown');
     expectGranted(await cluster.ask(owner, 'early'));
     await cluster.run(WITNESS_TRUST_TIMEOUT - 3000);
@@ -134,7 +134,7 @@
   it('is not granted to a daemon that was paused beyond the claim timeout', async () => {
     const { cluster, owner, next, other } = await startCluster();
     cluster.store.setFault('down');
-    const asleep = cluster.claim(other, 'hold');
+    const pendingClaim = cluster.claim(other, 'hold');
     other.pause();
     await cluster.run(2 * RETENTION + 100);
     cluster.store.setFault('up');
@@ -142,7 +142,7 @@
     expectGranted(await cluster.ask(next, 'hold'));
     other.resume();
     // The daemon cannot know that the key was granted to another since and may have run.
-    const result = await cluster.complete(asleep);
+    const result = await cluster.complete(pendingClaim);
     expect(result).toMatchObject({ kind: 'unavailable', isProvedNotRun: false });
     expect(owner.claims.getOwnedShards()).toEqual([0]);
   });
@@ -152,11 +152,11 @@
   // that nothing ran.
   it('is proved not to have run when its grant arrived too late', async () => {
     const { cluster, next, other } = await startCluster();
-    const asleep = cluster.claim(other, 'hold');
+    const pendingClaim = cluster.claim(other, 'hold');
     other.pause();
     await cluster.run(TEST_OPTIONS.claimTimeout! + 100);
     other.resume();
-    const result = await cluster.complete(asleep);
+    const result = await cluster.complete(pendingClaim);
     expect(result).toMatchObject({ kind: 'unavailable', isProvedNotRun: true });
     await cluster.run(1000);
     expect((await cluster.ask(next, 'hold')).kind).toBe('granted');
@@ -197,10 +197,10 @@
     cluster.breakLink(other, owner);
     cluster.store.setFault('down');
     owner.pause();
-    const given = cluster.claim(other, 'hold');
+    const abandonedClaim = cluster.claim(other, 'hold');
     await cluster.run(0);
     cluster.brokenLinks.clear();
-    expect((await cluster.complete(given)).kind).toBe('unavailable');
+    expect((await cluster.complete(abandonedClaim)).kind).toBe('unavailable');
     const copy = cluster.sent.find(({ kind }) => kind === 'claim')!;
     owner.resume();
     cluster.store.setFault('up');
--- a/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
+++ b/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
@@ -5,10 +5,10 @@
 import { MemberStanding } from '../claimTypes.js';
 
 /** Sets the standing of one member in the view of every running daemon. */
-function lookAt(cluster: TestCluster, seen: TestDaemon, standing: MemberStanding): void {
+function setStanding(cluster: TestCluster, target: TestDaemon, standing: MemberStanding): void {
   const members = cluster
     .getLive()
-    .map((member) => (member === seen.member ? { ...member, standing } : member));
+    .map((member) => (member === target.member ? { ...member, standing } : member));
   cluster.daemons
     .filter(({ isCrashed }) => !isCrashed)
     .forEach((daemon) => daemon.setMembers(members));
@@ -19,7 +19,7 @@
   // shard was taken by force. Callers with new keys were told "unknown".
   it('stays with an owner that is shutting down until it hands over', async () => {
     const { cluster, owner, next, other } = await startCluster();
-    lookAt(cluster, owner, MemberStanding.Passive);
+    setStanding(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
     expectGranted(await cluster.ask(next, 'before'));
     await cluster.complete(owner.claims.handOver(2000));
@@ -53,7 +53,7 @@
   // The same when the offer is lost and the next owner has read the head too early.
   it('is taken over by the next daemon asked when the offer was lost', async () => {
     const { cluster, owner, next, other } = await startCluster();
-    lookAt(cluster, owner, MemberStanding.Passive);
+    setStanding(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
     cluster.daemons
       .filter((daemon) => daemon !== owner)
@@ -72,7 +72,7 @@
     async (standing) => {
       const { cluster, next, other } = await startCluster();
       expectGranted(await cluster.ask(other, 'hold'));
-      lookAt(cluster, other, standing);
+      setStanding(cluster, other, standing);
       expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
     },
   );
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -239,8 +239,8 @@
     }
     const { ownership } = this.phase;
     ownership.handle({ kind: 'rebalance' }, this.now);
-    const isOld = this.now - ownership.startedAt >= this.context.options.minTenure;
-    if (!this.isPreferred() && isOld && ownership.canHandOver) {
+    const isPastMinTenure = this.now - ownership.startedAt >= this.context.options.minTenure;
+    if (!this.isPreferred() && isPastMinTenure && ownership.canHandOver) {
       ownership.handOver(this.getSuccessor(), this.now);
     }
   }
@@ -275,9 +275,9 @@
   }
 
   private redirect(input: ShardCall): void {
-    const isOurs = this.isPreferred() && !this.isLeaving;
+    const isNextOwner = this.isPreferred() && !this.isLeaving;
     const owner =
-      this.ownerTracker.getOwner(this.now) ?? (isOurs ? undefined : this.getSuccessor());
+      this.ownerTracker.getOwner(this.now) ?? (isNextOwner ? undefined : this.getSuccessor());
     this.respond(input.call, { kind: 'not-owner', owner });
   }
 
--- a/packages/claims/src/lib/ClaimShard/Takeover.ts
+++ b/packages/claims/src/lib/ClaimShard/Takeover.ts
@@ -162,10 +162,10 @@
     } else if (result.kind === 'accepted') {
       // Until this write took effect, the store may have confirmed the previous owner, which may
       // trust its witness from then on. So the quarantine starts now, not when the write was sent.
-      const late = now - step.settings.confirmedAt;
+      const writeTime = now - step.settings.confirmedAt;
       const unresolvedEpochs = step.settings.unresolvedEpochs.map((unresolved) => ({
         ...unresolved,
-        until: unresolved.until + late,
+        until: unresolved.until + writeTime,
       }));
       const settings = { ...step.settings, unresolvedEpochs, version: result.version };
       this.onEnd({ kind: 'taken', settings, proof: step.proof });
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -45,11 +45,11 @@
    * outcome only once the store has it, so that the reporting daemon repeats its report until then.
    */
   release(committed: number, witnessed: number, epoch: number): void {
-    const safe = Math.max(committed, witnessed);
+    const durable = Math.max(committed, witnessed);
     const remaining: WaitingCall[] = [];
     for (const call of this.calls) {
       const { input, sequence } = call;
-      if (input.kind === 'claim' && sequence <= safe) {
+      if (input.kind === 'claim' && sequence <= durable) {
         const source = sequence <= committed ? AnswerSource.Store : AnswerSource.Witness;
         this.grant(input, source, epoch);
       } else if (input.kind === 'settle' && sequence <= committed) {
--- a/packages/claims/src/lib/ShardHead.ts
+++ b/packages/claims/src/lib/ShardHead.ts
@@ -86,8 +86,16 @@
   const { commit, header, sequence, unresolvedEpochs, table } = content;
   const segments = listSegments(table.getSegments(), now);
   const entries = table.getHeadEntries();
-  const doubts = unresolvedEpochs;
-  return { owner, ...header, commit, sequence, writtenAt: now, doubts, segments, entries };
+  return {
+    owner,
+    ...header,
+    commit,
+    sequence,
+    writtenAt: now,
+    doubts: unresolvedEpochs,
+    segments,
+    entries,
+  };
 }
 
 /** The store key of a shard's head. */
