--- a/packages/claims/src/lib/ClaimManager/ShardRunner.ts
+++ b/packages/claims/src/lib/ClaimManager/ShardRunner.ts
@@ -118,7 +118,7 @@
   private runEffect(effect: ShardEffect): void {
     const { context } = this;
     switch (effect.kind) {
-      case 'respond':
+      case 'reply':
         this.calls.get(effect.call)?.resolve(effect.response);
         this.calls.delete(effect.call);
         break;
@@ -145,7 +145,7 @@
         context.counters.commits += 1;
         context.counters.committedClaims += effect.claims;
         break;
-      case 'event':
+      case 'decision':
         context.onEvent(effect.event);
         break;
       default:
--- a/packages/claims/src/lib/ClaimShard/CallProcessor.ts
+++ b/packages/claims/src/lib/ClaimShard/CallProcessor.ts
@@ -150,19 +150,19 @@
 
   private respond(input: ClaimCall, response: OwnerResponse): void {
     const { shard, emit } = this.context;
-    emit({ kind: 'respond', call: input.call, response: { kind: 'answer', answer: response } });
+    emit({ kind: 'reply', call: input.call, response: { kind: 'answer', answer: response } });
     const { requestId, holder } = input.request;
     const source = AnswerSource.Memory;
     const fields = { shard, epoch: this.host.getEpoch(), requestId, holder: holder.id, source };
-    emit({ kind: 'event', event: { kind: 'claim-answered', answer: response.kind, ...fields } });
+    emit({ kind: 'decision', event: { kind: 'claim-answered', answer: response.kind, ...fields } });
   }
 
   private refuse(input: ClaimCall, reason: RefusalReason): void {
     const { shard, emit, options } = this.context;
     const retryAfter = options.maxRetryDelay;
     const response = { kind: 'refused' as const, reason, retryAfter, held: false };
-    emit({ kind: 'respond', call: input.call, response });
+    emit({ kind: 'reply', call: input.call, response });
     const { requestId } = input.request;
-    emit({ kind: 'event', event: { kind: 'claim-refused', shard, requestId, reason } });
+    emit({ kind: 'decision', event: { kind: 'claim-refused', shard, requestId, reason } });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
@@ -97,12 +97,12 @@
     expect(write.expectedVersion).toBe(11);
     const result = { kind: 'accepted' as const, version: 12 };
     harness.handle({ kind: 'written', id: write.id, result }, 900);
-    expect(harness.get('event').event).toMatchObject({ kind: 'shard-taken', proof: 'none' });
+    expect(harness.get('decision').event).toMatchObject({ kind: 'shard-taken', proof: 'none' });
     const end = 900 + getQuarantineDuration(options);
     harness.handle({ kind: 'wake' }, end - 1);
-    expect(harness.get('event')).toBeUndefined();
+    expect(harness.get('decision')).toBeUndefined();
     harness.handle({ kind: 'wake' }, end);
-    expect(harness.get('event').event.kind).toBe('quarantine-ended');
+    expect(harness.get('decision').event.kind).toBe('quarantine-ended');
   });
 
   // An owner that did not recognize its own commit after a lost confirmation took itself for a
@@ -115,7 +115,7 @@
     harness.handle({ kind: 'written', id: write.id, result: NO_ANSWER }, 120);
     harness.handle({ kind: 'rebalance' }, 200);
     harness.read({ object: { key: 'claims/0', value: write.value, version: 7 } }, 210);
-    expect(harness.get('event').event).toMatchObject({ kind: 'shard-taken', epoch: 1 });
+    expect(harness.get('decision').event).toMatchObject({ kind: 'shard-taken', epoch: 1 });
     expect(harness.get('call-peer')).toBeUndefined();
   });
 
@@ -143,9 +143,9 @@
     const { id } = harness.get('write');
     const current = Object(createRead({})).object;
     harness.handle({ kind: 'written', id, result: { kind: 'conflict', current } }, 210);
-    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
+    expect(harness.get('reply').response).toEqual({ kind: 'not-owner', owner: GONE });
     harness.handle(claim, 210 + options.takeoverCooldown - 1);
-    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
+    expect(harness.get('reply').response).toEqual({ kind: 'not-owner', owner: GONE });
     harness.handle(claim, 210 + options.takeoverCooldown);
     expect(harness.get('read-head')).toBeDefined();
   });
@@ -167,7 +167,7 @@
       { kind: 'written', id: harness.get('write').id, result: { kind: 'conflict', current } },
       210,
     );
-    expect(harness.get('respond')).toBeUndefined();
+    expect(harness.get('reply')).toBeUndefined();
     harness.read(left, 220);
     const taken = { kind: 'accepted' as const, version: 12 };
     harness.handle({ kind: 'written', id: harness.get('write').id, result: taken }, 230);
@@ -176,7 +176,7 @@
       { kind: 'written', id: granting.id, result: { kind: 'accepted', version: 13 } },
       240,
     );
-    expect(harness.get('respond').response).toEqual({
+    expect(harness.get('reply').response).toEqual({
       kind: 'answer',
       answer: { kind: 'granted' },
     });
@@ -193,12 +193,12 @@
     harness.handle({ kind: 'written', id: harness.get('write').id, result }, 100);
     const { request } = claim;
     harness.handle({ kind: 'settle', call: 2, request, outcome: { kind: 'unknown' } }, 200);
-    expect(harness.get('respond')).toBeUndefined();
+    expect(harness.get('reply')).toBeUndefined();
     harness.handle({ kind: 'wake' }, 200 + options.settleDelay);
     const { id } = harness.get('write');
     const current = Object(createRead({})).object;
     harness.handle({ kind: 'written', id, result: { kind: 'conflict', current } }, 1300);
-    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: GONE });
+    expect(harness.get('reply').response).toEqual({ kind: 'not-owner', owner: GONE });
   });
 
   // A daemon that had just found a live owner kept its cooldown after that owner had gone, so
@@ -207,7 +207,7 @@
     const harness = new ShardHarness();
     harness.handle(claim, 100);
     harness.read(createRead({ owner: WITNESS }), 100);
-    expect(harness.get('respond').response).toEqual({ kind: 'not-owner', owner: WITNESS });
+    expect(harness.get('reply').response).toEqual({ kind: 'not-owner', owner: WITNESS });
     harness.handle(claim, 101);
     expect(harness.get('read-head')).toBeUndefined();
     harness.handle({ kind: 'members', members: [SELF!] }, 102);
--- a/packages/claims/src/lib/ClaimShard/ClaimShard.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.ts
@@ -187,7 +187,7 @@
     const { shard, emit } = this.context;
     const { epoch, witness } = settings.header;
     const event = { kind: 'shard-taken' as const, shard, epoch, witness: witness?.id, proof };
-    emit({ kind: 'event', event });
+    emit({ kind: 'decision', event });
   }
 
   private handleOwnershipEnd(cause: LossCause, newOwner: ClaimMember | undefined): void {
@@ -198,7 +198,10 @@
     this.phase = { kind: 'idle' };
     const { shard, emit } = this.context;
     const { epoch } = ownership;
-    emit({ kind: 'event', event: { kind: 'shard-left', shard, epoch, to: newOwner?.id, cause } });
+    emit({
+      kind: 'decision',
+      event: { kind: 'shard-left', shard, epoch, to: newOwner?.id, cause },
+    });
     this.queuedCalls.push(...ownership.drain());
     this.ownerTracker.recordLoss(cause, newOwner, this.now);
     if (cause === LossCause.HandedOver && newOwner !== undefined) {
@@ -282,6 +285,6 @@
   }
 
   private respond(call: number, response: ClaimResponse): void {
-    this.context.emit({ kind: 'respond', call, response });
+    this.context.emit({ kind: 'reply', call, response });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/CommitLoop.ts
+++ b/packages/claims/src/lib/ClaimShard/CommitLoop.ts
@@ -239,7 +239,7 @@
 
   private emitStoreEvent(kind: 'store-unavailable' | 'store-answers'): void {
     const { shard, emit } = this.context;
-    emit({ kind: 'event', event: { kind, shard, epoch: this.header.epoch } });
+    emit({ kind: 'decision', event: { kind, shard, epoch: this.header.epoch } });
   }
 
   private handleSegmentWritten(
@@ -258,7 +258,7 @@
     const { shard, emit } = this.context;
     const { epoch } = this.header;
     const sizes = { entries: plan.names.length, size: plan.value.length };
-    emit({ kind: 'event', event: { kind: 'segment-written', shard, epoch, ...sizes } });
+    emit({ kind: 'decision', event: { kind: 'segment-written', shard, epoch, ...sizes } });
   }
 
   /** Handles the head as the store had it at some time after `sentAt`. */
--- a/packages/claims/src/lib/ClaimShard/Ownership.ts
+++ b/packages/claims/src/lib/ClaimShard/Ownership.ts
@@ -166,7 +166,7 @@
   private handleCall(input: ShardCall, now: Milliseconds): void {
     if (this.pendingHandOver !== undefined) {
       const response = { kind: 'not-owner' as const, owner: this.pendingHandOver.successor };
-      this.context.emit({ kind: 'respond', call: input.call, response });
+      this.context.emit({ kind: 'reply', call: input.call, response });
     } else if (input.kind === 'claim') {
       this.callProcessor.claim(input, now);
     } else {
@@ -212,7 +212,7 @@
     const { shard, emit } = this.context;
     this.commitLoop.request(now);
     emit({
-      kind: 'event',
+      kind: 'decision',
       event: { kind: 'quarantine-ended', shard, epoch: this.epoch, merged },
     });
   }
@@ -297,7 +297,7 @@
       this.replicator = new WitnessReplicator(this.context, epoch, witness, commit.sequence);
       later.forEach((mutation) => this.replicator.record(mutation));
       const event = { kind: 'witness-changed' as const, shard, epoch, witness: witness?.id };
-      emit({ kind: 'event', event });
+      emit({ kind: 'decision', event });
     }
     if (commit.header.clean) {
       this.waitingCalls.release(commit.sequence, commit.sequence, epoch);
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -54,7 +54,7 @@
         this.grant(input, source, epoch);
       } else if (input.kind === 'settle' && sequence <= committed) {
         const response = { kind: 'settled' as const, durable: true };
-        this.context.emit({ kind: 'respond', call: input.call, response });
+        this.context.emit({ kind: 'reply', call: input.call, response });
       } else {
         remaining.push(call);
       }
@@ -67,7 +67,7 @@
     while (this.getNextExpiry() <= now) {
       const { input } = this.calls.shift()!;
       this.context.emit({
-        kind: 'respond',
+        kind: 'reply',
         call: input.call,
         response:
           input.kind === 'claim'
@@ -90,8 +90,8 @@
     const { shard, emit } = this.context;
     const { requestId, holder } = input.request;
     const answer = { kind: 'granted' as const };
-    emit({ kind: 'respond', call: input.call, response: { kind: 'answer', answer } });
+    emit({ kind: 'reply', call: input.call, response: { kind: 'answer', answer } });
     const fields = { shard, epoch, requestId, holder: holder.id, answer: answer.kind, source };
-    emit({ kind: 'event', event: { kind: 'claim-answered', ...fields } });
+    emit({ kind: 'decision', event: { kind: 'claim-answered', ...fields } });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/shardMessages.ts
+++ b/packages/claims/src/lib/ClaimShard/shardMessages.ts
@@ -55,7 +55,7 @@
  * @internal
  */
 export type ShardEffect =
-  | { kind: 'respond'; call: number; response: ClaimResponse }
+  | { kind: 'reply'; call: number; response: ClaimResponse }
   | { kind: 'read-head'; id: number }
   | { kind: 'read-segments'; id: number }
   | { kind: 'write'; id: number; key: string; value: string; expectedVersion: number }
@@ -64,7 +64,7 @@
   | { kind: 'wake'; at: Milliseconds }
   /** A head commit took effect that made `claims` grants durable. */
   | { kind: 'committed'; claims: number }
-  | { kind: 'event'; event: ClaimEvent };
+  | { kind: 'decision'; event: ClaimEvent };
 
 /**
  * What the parts of a shard share.
