--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -14,15 +14,15 @@
   ClaimQuery,
 } from '../claimTypes.js';
 import { ClaimWitness } from '../ClaimWitness/ClaimWitness.js';
-import { getKeptOutcome } from '../getKeptOutcome.js';
+import { truncateOutcome } from '../truncateOutcome.js';
 import type { ClaimMessage, ClaimResponse } from '../messages.js';
 import { SealRole } from '../messages.js';
 import { isSameProcess } from '../placement.js';
-import { ClaimSeeker } from './ClaimSeeker.js';
+import { ClaimClient } from './ClaimClient.js';
 import type { ClaimSettings, HandOverResult } from './ClaimSettings.js';
 import { LayoutGuard } from './LayoutGuard.js';
 import { OutcomeReporter } from './OutcomeReporter.js';
-import { OwnerRoute } from './OwnerRoute.js';
+import { OwnerRouter } from './OwnerRouter.js';
 import { ShardRunner } from './ShardRunner.js';
 import { StoreGateway } from './StoreGateway.js';
 import { withTimeout } from './timing.js';
@@ -30,15 +30,15 @@
 type SealMessage = Extract<ClaimMessage, { kind: 'seal' }>;
 
 /**
- * One daemon's part in claims: entry, owner and witness at once.
+ * One daemon's part in claims: entry daemon, owner and witness at once.
  *
  * @example
  * ```ts
  * const claims = new ClaimManager({ self, clock, store, transport, getMembers });
- * const answer = await claims.claim({ workspace, key, fingerprint, requestId });
- * if (answer.kind === 'granted') {
+ * const result = await claims.claim({ workspace, key, fingerprint, requestId });
+ * if (result.kind === 'granted') {
  *   const outcome = await run(request);
- *   claims.settle(answer.handle, outcome);
+ *   claims.recordOutcome(result.handle, outcome);
  * }
  * ```
  * @public
@@ -56,13 +56,13 @@
 
   private readonly reporter: OutcomeReporter;
 
-  private readonly seeker: ClaimSeeker;
+  private readonly client: ClaimClient;
 
-  private readonly onDecision: (decision: ClaimEvent) => void;
+  private readonly onEvent: (event: ClaimEvent) => void;
 
-  private moveTimer: Timer | undefined;
+  private rebalanceTimer: Timer | undefined;
 
-  private upkeepTimer: Timer | undefined;
+  private maintenanceTimer: Timer | undefined;
 
   private isDisposed = false;
 
@@ -70,79 +70,81 @@
     const { self, clock } = settings;
     const options = createClaimOptions(settings.options);
     this.options = options;
-    this.onDecision = settings.onEvent ?? (() => {});
+    this.onEvent = settings.onEvent ?? (() => {});
     const store = new StoreGateway(settings.store, clock, options, this.counters);
-    this.layout = new LayoutGuard(store, options.shards, (found) => this.onMismatch(found));
+    this.layout = new LayoutGuard(store, options.shards, (found) =>
+      this.handleLayoutMismatch(found),
+    );
     this.witness = new ClaimWitness(self.incarnation, options);
     let lastId = 0;
     const createId = () => {
       lastId += 1;
       return lastId;
     };
-    const { counters, layout, onDecision } = this;
+    const { counters, layout, onEvent } = this;
     const callPeer = (peer: ClaimMember, message: ClaimMessage, timeout = options.callTimeout) =>
       this.callPeer(peer, message, timeout);
-    const route = new OwnerRoute(clock, options, () => this.getMembers(), callPeer);
-    this.reporter = new OutcomeReporter(clock, options, route);
+    const router = new OwnerRouter(clock, options, () => this.getMembers(), callPeer);
+    this.reporter = new OutcomeReporter(clock, options, router);
     const { reporter } = this;
-    const around = { self, clock, options, createId, onDecision };
-    this.seeker = new ClaimSeeker({ ...around, route, reporter });
-    const runnerAround = { ...around, store, layout, counters, callPeer };
+    const sharedSettings = { self, clock, options, createId, onEvent };
+    this.client = new ClaimClient({ ...sharedSettings, router, reporter });
+    const runnerContext = { ...sharedSettings, store, layout, counters, callPeer };
     const members = this.getMembers();
     this.runners = Array.from(
       { length: options.shards },
-      (_, shard) => new ShardRunner(shard, runnerAround, members),
+      (_, shard) => new ShardRunner(shard, runnerContext, members),
     );
     this.handleMembersChange();
-    this.startUpkeep();
+    this.scheduleMaintenance();
   }
 
-  /** What claims have cost since the start. */
+  /** What the claims of this daemon have cost since it started. */
   getCounters(): ClaimCounters {
     return { ...this.counters };
   }
 
-  /** The shards this daemon owns now. */
+  /** The shards that this daemon owns now. */
   getOwnedShards(): number[] {
     return this.runners.flatMap((runner, shard) => (runner.isOwned ? [shard] : []));
   }
 
   /**
-   * Asks for the right to run a request. Ends within the claim timeout; dispatch only on `granted`,
-   * and only before the handle's deadline.
+   * Claims the right to run a request. Ends within the claim timeout. The request may be dispatched
+   * only on `granted`, and only before the deadline of the handle.
    *
    * @example
    * ```ts
-   * const answer = await claims.claim({ workspace, key, fingerprint, requestId });
+   * const result = await claims.claim({ workspace, key, fingerprint, requestId });
    * ```
    */
   async claim(query: ClaimQuery): Promise<ClaimResult> {
     if (this.isDisposed || this.layout.isMismatch) {
       const reason = this.isDisposed ? RefusalReason.Leaving : RefusalReason.LayoutMismatch;
-      const retryAfter = this.options.retryDelayLimit;
+      const retryAfter = this.options.maxRetryDelay;
       return { kind: 'unavailable', retryAfter, reason, isProvedNotRun: false };
     }
-    return this.seeker.seek(query);
+    return this.client.claim(query);
   }
 
   /**
-   * Reports how a granted request ended. Nobody needs to wait for the promise: it resolves once
-   * the store has the outcome. `not-run` needs proof, since it frees the key at once.
+   * Reports how a granted request ended. Callers need not wait for the promise, which resolves once
+   * the store has the outcome. `not-run` requires proof, because it releases the key at once.
    *
    * @example
    * ```ts
-   * claims.settle(handle, { kind: 'answered', answer });
+   * claims.recordOutcome(handle, { kind: 'answered', answer });
    * ```
    */
   recordOutcome(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
-    return this.reporter.report(handle, getKeptOutcome(outcome, this.options.answerLimit));
+    return this.reporter.report(handle, truncateOutcome(outcome, this.options.maxResponseSize));
   }
 
   /**
-   * Takes a message that a peer sent through its transport.
+   * Handles a message that a peer sent through its transport.
    *
-   * @param from - the peer's id
-   * @throws StepError when this daemon has been disposed of: the peer asks elsewhere
+   * @param from - the id of the peer
+   * @throws StepError when this daemon has been disposed of; the peer then asks another one
    * @example
    * ```ts
    * mesh.handle('claims', (from, message: ClaimMessage) => claims.handle(from, message));
@@ -151,43 +153,46 @@
   async handle(from: string, message: ClaimMessage): Promise<ClaimResponse> {
     const runner = this.runners[message.shard];
     if (this.isDisposed || runner === undefined) {
-      throw new StepError('no such shard here', { step: 'claims', peer: from });
+      throw new StepError('this daemon serves no such shard of claims', {
+        step: 'claims',
+        peer: from,
+      });
     }
     switch (message.kind) {
       case 'claim':
       case 'settle':
-        return runner.ask(message);
+        return runner.handleCall(message);
       case 'remember':
         return this.witness.handle(message, this.settings.clock.now());
       case 'seal':
-        return this.onSeal(from, message, runner);
+        return this.handleSeal(from, message, runner);
       case 'take':
-        runner.tell({ kind: 'take' });
+        runner.handle({ kind: 'take' });
         return { kind: 'noted' };
       default:
         throw exhaustiveSwitchError(message);
     }
   }
 
-  /** Call it whenever `getMembers` would answer something new. */
+  /** Must be called whenever the result of `getMembers` has changed. */
   handleMembersChange(): void {
     const members = this.getMembers();
-    this.runners.forEach((runner) => runner.tell({ kind: 'members', members }));
-    // Shards move only after a rest, and not again with each further change: a flapping member
-    // would otherwise drag them back and forth.
-    this.moveTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
-      this.moveTimer = undefined;
+    this.runners.forEach((runner) => runner.handle({ kind: 'members', members }));
+    // Shards move only after a delay that further changes do not restart. Otherwise a member that
+    // keeps leaving and rejoining would move them back and forth.
+    this.rebalanceTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
+      this.rebalanceTimer = undefined;
       this.rebalance();
     });
   }
 
   /**
-   * Hands all shards over to their next owners and waits until the outcomes reported so far are at
-   * the store. Call it on a graceful shutdown, after the last request ended; claims of this daemon
-   * go on working.
+   * Hands all shards over to their next owners and waits until the store has the outcomes reported
+   * so far. Call it on a graceful shutdown, after the last request has ended. Claims of this daemon
+   * continue to work.
    *
    * @param timeout - how long to wait, in milliseconds; what is not done by then is left to the
-   * others, who take over as after a crash
+   * other daemons, as after a crash
    * @example
    * ```ts
    * await claims.handOver(5000);
@@ -195,19 +200,19 @@
    * ```
    */
   async handOver(timeout: Milliseconds): Promise<HandOverResult> {
-    this.runners.forEach((runner) => runner.tell({ kind: 'leave' }));
-    const shards = Promise.all(this.runners.map((runner) => runner.whenFree()));
+    this.runners.forEach((runner) => runner.handle({ kind: 'leave' }));
+    const shards = Promise.all(this.runners.map((runner) => runner.waitUntilReleased()));
     const done = Promise.all([shards, this.reporter.flush()]);
     await withTimeout(this.settings.clock, timeout, done, undefined);
     const ownedShards = this.getOwnedShards().length;
     return { ownedShards, unreportedOutcomes: this.reporter.size };
   }
 
-  /** Stops everything at once; what peers wait for here ends without an answer. */
+  /** Stops all activity at once. Calls of peers that are waiting end without a response. */
   dispose(): void {
     this.isDisposed = true;
-    this.moveTimer?.cancel();
-    this.upkeepTimer?.cancel();
+    this.rebalanceTimer?.cancel();
+    this.maintenanceTimer?.cancel();
     this.reporter.dispose();
     this.runners.forEach((runner) => runner.dispose());
   }
@@ -219,31 +224,37 @@
   }
 
   private rebalance(): void {
-    this.runners.forEach((runner) => runner.tell({ kind: 'rebalance' }));
+    this.runners.forEach((runner) => runner.handle({ kind: 'rebalance' }));
   }
 
-  /** Looks again at what a lost message or an outage may have left undone. */
-  private startUpkeep(): void {
+  /** Periodically repeats what a lost message or an outage may have prevented. */
+  private scheduleMaintenance(): void {
     const { clock } = this.settings;
-    this.upkeepTimer = clock.setTimer(this.options.verifyInterval, () => {
+    this.maintenanceTimer = clock.setTimer(this.options.verifyInterval, () => {
       this.witness.expire(clock.now());
       this.rebalance();
-      this.startUpkeep();
+      this.scheduleMaintenance();
     });
   }
 
-  private onSeal(from: string, message: SealMessage, runner: ShardRunner): Promise<ClaimResponse> {
+  private handleSeal(
+    from: string,
+    message: SealMessage,
+    runner: ShardRunner,
+  ): Promise<ClaimResponse> {
     const { shard, epoch, role, incarnation } = message;
     if (role === SealRole.Owner) {
-      const isUs = incarnation === this.settings.self.incarnation;
-      return isUs ? runner.ask({ kind: 'challenge', epoch }) : Promise.resolve({ kind: 'gone' });
+      const isCurrentIncarnation = incarnation === this.settings.self.incarnation;
+      return isCurrentIncarnation
+        ? runner.handleCall({ kind: 'challenge', epoch })
+        : Promise.resolve({ kind: 'gone' });
     }
-    this.onDecision({ kind: 'epoch-sealed', shard, epoch, by: from });
+    this.onEvent({ kind: 'epoch-sealed', shard, epoch, by: from });
     return Promise.resolve(this.witness.handle(message, this.settings.clock.now()));
   }
 
-  private onMismatch(found: number): void {
-    this.onDecision({ kind: 'layout-mismatch', expected: this.options.shards, found });
+  private handleLayoutMismatch(found: number): void {
+    this.onEvent({ kind: 'layout-mismatch', expected: this.options.shards, found });
   }
 
   private async callPeer(
@@ -256,7 +267,7 @@
       return undefined;
     }
     if (isSameProcess(peer, self)) {
-      // Not within the caller's own turn: a shard must not be entered while it emits effects.
+      // Deferred, because a shard must not be entered while it emits effects.
       return withTimeout(
         clock,
         timeout,
--- a/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
+++ b/packages/claims/src/lib/ClaimManager/OutcomeReporter.ts
@@ -1,47 +1,54 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimHandle, ClaimOutcome } from '../claimTypes.js';
-import type { OwnerRoute } from './OwnerRoute.js';
+import type { OwnerRouter } from './OwnerRouter.js';
 import { delay } from './timing.js';
 
-/** An entry outlives its request by at most this many retentions. */
+/** An entry outlives its request by at most this many retention periods. */
 const REPORT_RETENTIONS = 2;
 
-/** Longest wait between reports of an outcome that the owner holds but the store does not. */
-const HELD_DELAY_LIMIT = 60_000;
+/**
+ * Maximum delay in milliseconds between reports of an outcome that the owner has but the store does
+ * not.
+ */
+const MAX_HELD_RETRY_DELAY = 60_000;
 
 /**
- * Reports outcomes to owners until the store has them: an owner that crashes before its commit
- * forgets the outcome, and repeats would be told `in-progress` or `unknown` for a request whose
- * answer is known.
+ * Reports outcomes to owners until the store has them. An owner that crashes before its commit
+ * loses the outcome, and repeats would be told `in-progress` or `unknown` for a request whose
+ * response is known.
  */
 export class OutcomeReporter {
-  private readonly running = new Map<string, Promise<void>>();
+  private readonly pendingReports = new Map<string, Promise<void>>();
 
   private isDisposed = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly options: ClaimOptions,
-    private readonly route: OwnerRoute,
+    private readonly router: OwnerRouter,
   ) {}
 
-  /** How many outcomes the store does not have yet. */
+  /** Number of outcomes that the store does not have yet. */
   get size(): number {
-    return this.running.size;
+    return this.pendingReports.size;
   }
 
-  /** @returns a promise that resolves once the store has the outcome, or the claim has expired */
+  /**
+   * Reports an outcome.
+   *
+   * @returns a promise that resolves once the store has the outcome or the claim has expired
+   */
   report(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
     const { claim } = handle.request;
-    const running = this.run(handle, outcome).finally(() => this.running.delete(claim));
-    this.running.set(claim, running);
-    return running;
+    const report = this.run(handle, outcome).finally(() => this.pendingReports.delete(claim));
+    this.pendingReports.set(claim, report);
+    return report;
   }
 
-  /** Resolves once the outcomes reported so far are through. */
+  /** Resolves once the store has the outcomes reported so far, or their claims have expired. */
   async flush(): Promise<void> {
-    await Promise.all(this.running.values());
+    await Promise.all(this.pendingReports.values());
   }
 
   dispose(): void {
@@ -49,35 +56,40 @@
   }
 
   private async run(handle: ClaimHandle, outcome: ClaimOutcome): Promise<void> {
-    const until = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
-    let wait = this.options.retryDelay;
-    while (!this.isDisposed && this.clock.now() < until) {
-      // One try after the other, until one is confirmed.
+    const deadline = this.clock.now() + REPORT_RETENTIONS * this.options.retention;
+    let nextDelay = this.options.retryDelay;
+    while (!this.isDisposed && this.clock.now() < deadline) {
+      // One report at a time, until one is confirmed.
       // eslint-disable-next-line no-await-in-loop
-      const state = await this.tryOnce(handle, outcome);
+      const state = await this.sendOnce(handle, outcome);
       if (state === 'durable') {
         return;
       }
-      const limit = state === 'held' ? HELD_DELAY_LIMIT : this.options.retryDelayLimit;
-      wait = Math.min(wait * 2, limit);
+      const limit = state === 'held' ? MAX_HELD_RETRY_DELAY : this.options.maxRetryDelay;
+      nextDelay = Math.min(nextDelay * 2, limit);
       // eslint-disable-next-line no-await-in-loop
-      await delay(this.clock, wait);
+      await delay(this.clock, nextDelay);
     }
   }
 
-  private async tryOnce(
+  private async sendOnce(
     handle: ClaimHandle,
     outcome: ClaimOutcome,
   ): Promise<'durable' | 'held' | 'failed'> {
     const { shard, request } = handle;
     const { claimTimeout, callTimeout } = this.options;
-    // The owner replies once its commit is confirmed, within the claim timeout.
+    // The owner responds once its commit is confirmed, within the claim timeout.
     const timeout: Milliseconds = claimTimeout + callTimeout;
     const message = { kind: 'settle' as const, shard, request, outcome };
-    const { reply } = await this.route.ask(shard, message, this.clock.now() + timeout, timeout);
-    if (reply?.kind !== 'settled') {
+    const { response } = await this.router.send(
+      shard,
+      message,
+      this.clock.now() + timeout,
+      timeout,
+    );
+    if (response?.kind !== 'settled') {
       return 'failed';
     }
-    return reply.durable ? 'durable' : 'held';
+    return response.durable ? 'durable' : 'held';
   }
 }
--- a/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
+++ b/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
@@ -1,35 +1,36 @@
-import { getHandle, start } from '../../test/claimScenario.js';
+import { expectGranted, startCluster } from '../../test/claimScenario.js';
 import { TEST_OPTIONS } from '../../test/TestCluster.js';
 import type { TestCluster } from '../../test/TestCluster.js';
 import type { TestDaemon } from '../../test/TestDaemon.js';
 import { MemberStanding } from '../claimTypes.js';
 
-/** Everyone that runs sees a member in this standing. */
-function lookAt(cluster: TestCluster, seen: TestDaemon, standing: MemberStanding): void {
+/** Sets the standing of one member in the view of every running daemon. */
+function setStanding(cluster: TestCluster, target: TestDaemon, standing: MemberStanding): void {
   const members = cluster
     .getLive()
-    .map((member) => (member === seen.member ? { ...member, standing } : member));
-  cluster.daemons.filter(({ isCrashed }) => !isCrashed).forEach((daemon) => daemon.look(members));
+    .map((member) => (member === target.member ? { ...member, standing } : member));
+  cluster.daemons
+    .filter(({ isCrashed }) => !isCrashed)
+    .forEach((daemon) => daemon.setMembers(members));
 }
 
-describe('a claim among members that come and go', () => {
-  // Symptom: in a rolling restart a caller with a new key is told "unknown". Sequence: the owner
-  // announces that it shuts down and still owns its shard; the next daemon is asked. Cause: who gets
-  // no new duties is taken for gone, and its shard is taken from it by force.
-  it('stays with an owner that shuts down until it hands over', async () => {
-    const { cluster, owner, next, other } = await start();
-    lookAt(cluster, owner, MemberStanding.Passive);
+describe('a claim while members shut down or stop responding', () => {
+  // In a rolling restart, an owner that had announced its shutdown was treated as gone, and its
+  // shard was taken by force. Callers with new keys were told "unknown".
+  it('stays with an owner that is shutting down until it hands over', async () => {
+    const { cluster, owner, next, other } = await startCluster();
+    setStanding(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
-    getHandle(await cluster.ask(next, 'before'));
+    expectGranted(await cluster.ask(next, 'before'));
     await cluster.complete(owner.claims.handOver(2000));
-    getHandle(await cluster.ask(other, 'after'));
-    const proofs = cluster.getDecisions('shard-taken').map(({ proof }) => proof);
+    expectGranted(await cluster.ask(other, 'after'));
+    const proofs = cluster.getEvents('shard-taken').map(({ proof }) => proof);
     expect(proofs.sort()).toEqual(['clean', 'fresh']);
   });
 
-  // Symptom: holds are refused for seconds in a rolling restart. Sequence: the owner hands its shard
-  // over and ends while the offer to the next one is on its way. Cause: it waits for the store only.
-  it('is handed over only once the next owner knows', async () => {
+  // The owner ended while its offer to the next owner was on the way, because it waited only for
+  // the store. Claims were refused for seconds in a rolling restart.
+  it('is handed over only once the next owner has been notified', async () => {
     let take = () => {};
     const deliver = (message: string) =>
       message.endsWith('take')
@@ -37,7 +38,7 @@
             take = resolve;
           })
         : Promise.resolve();
-    const { cluster, owner } = await start(deliver);
+    const { cluster, owner } = await startCluster(deliver);
     let isDone = false;
     const done = owner.claims.handOver(2000).finally(() => {
       isDone = true;
@@ -46,46 +47,46 @@
     expect({ owned: owner.claims.getOwnedShards(), isDone }).toEqual({ owned: [], isDone: false });
     take();
     await cluster.complete(done);
-    expect(cluster.getDecisions('shard-taken')).toHaveLength(2);
+    expect(cluster.getEvents('shard-taken')).toHaveLength(2);
   });
 
-  // The same, where the offer is lost and the next owner has looked too early.
-  it('is taken by whoever is asked next when the offer was lost', async () => {
-    const { cluster, owner, next, other } = await start();
-    lookAt(cluster, owner, MemberStanding.Passive);
+  // The same when the offer is lost and the next owner has read the head too early.
+  it('is taken over by the next daemon asked when the offer was lost', async () => {
+    const { cluster, owner, next, other } = await startCluster();
+    setStanding(cluster, owner, MemberStanding.Passive);
     await cluster.run(TEST_OPTIONS.moveDelay!);
     cluster.daemons
       .filter((daemon) => daemon !== owner)
-      .forEach((peer) => cluster.cut(owner, peer));
+      .forEach((peer) => cluster.breakLink(owner, peer));
     await cluster.complete(owner.claims.handOver(2000));
     owner.crash();
-    cluster.lookAll();
-    getHandle(await cluster.ask(next, 'one'));
-    getHandle(await cluster.ask(other, 'two'));
+    cluster.updateAllMembers();
+    expectGranted(await cluster.ask(next, 'one'));
+    expectGranted(await cluster.ask(other, 'two'));
   });
 
-  // Symptom: a caller is told that nobody knows whether its hold ran, while it runs. Sequence: the
-  // daemon that runs it shuts down, or is slow to answer for a moment. Cause: as above.
+  // The daemon that runs a request is shutting down or responds slowly for a moment. Treated as
+  // gone, it made callers hear that the state of the request was unknown.
   it.each([MemberStanding.Passive, MemberStanding.Doubted])(
     'is in progress while the daemon that runs it is %s',
     async (standing) => {
-      const { cluster, next, other } = await start();
-      getHandle(await cluster.ask(other, 'hold'));
-      lookAt(cluster, other, standing);
+      const { cluster, next, other } = await startCluster();
+      expectGranted(await cluster.ask(other, 'hold'));
+      setStanding(cluster, other, standing);
       expect((await cluster.ask(next, 'hold')).kind).toBe('in-progress');
     },
   );
 
-  // Symptom: a shard refuses new keys for a quarter of an hour after two crashes, the store up all
-  // the time. Sequence: the witness starts again; a moment later its owner crashes. Cause: the owner
-  // goes on naming a process that has ended until the members have settled.
+  // The witness restarted, and a moment later its owner crashed. The owner had kept naming the
+  // ended process until the members settled, so the shard refused new keys for a quarter of an hour
+  // although the store was up.
   it('has a new witness at once when the old one has ended', async () => {
-    const { cluster, owner, witness, next } = await start();
+    const { cluster, owner, witness, next } = await startCluster();
     cluster.restart(witness);
-    cluster.lookAll();
+    cluster.updateAllMembers();
     await cluster.run(TEST_OPTIONS.moveDelay! / 5);
     owner.crash();
-    cluster.lookAll();
+    cluster.updateAllMembers();
     expect((await cluster.ask(next, 'new')).kind).toBe('granted');
   });
 });
--- a/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.test.ts
@@ -3,16 +3,21 @@
 
 const BODY = 'x'.repeat(400);
 
-const OPTIONS = { ...TEST_OPTIONS, rollSize: 2000, segmentSize: 3000, headLimit: 8000 };
+const OPTIONS = {
+  ...TEST_OPTIONS,
+  segmentThreshold: 2000,
+  maxSegmentSize: 3000,
+  maxHeadSize: 8000,
+};
 
 async function settleMany(cluster: TestCluster, count: number): Promise<void> {
   const daemon = cluster.daemons[0]!;
   for (let index = 0; index < count; index += 1) {
     // eslint-disable-next-line no-await-in-loop
-    const answer = await cluster.ask(daemon, `key-${index}`);
-    if (answer.kind === 'granted') {
+    const result = await cluster.ask(daemon, `key-${index}`);
+    if (result.kind === 'granted') {
       const whole = { kind: 'whole' as const, status: 200, headers: {}, body: `${index}${BODY}` };
-      daemon.claims.recordOutcome(answer.handle, { kind: 'answered', answer: whole });
+      daemon.claims.recordOutcome(result.handle, { kind: 'answered', answer: whole });
     }
   }
 }
@@ -21,8 +26,8 @@
   return JSON.parse(cluster.store.read('claims/0')!.value) as ShardHead;
 }
 
-describe('the size of a shard', () => {
-  it('moves settled keys into segments, which the next owner reads and time removes', async () => {
+describe('a shard with many keys', () => {
+  it('moves settled keys into segments, which the next owner reads and which expire', async () => {
     const cluster = new TestCluster(4, OPTIONS);
     await cluster.run(1000);
     await settleMany(cluster, 20);
@@ -35,7 +40,7 @@
     await left.put('claim-segments/0/left.1/7', '[]', 0);
     const [owner, , next] = cluster.getOrder();
     owner!.crash();
-    cluster.lookAll();
+    cluster.updateAllMembers();
     for (const key of [0, 10, 19]) {
       // eslint-disable-next-line no-await-in-loop
       const repeat = await cluster.ask(next!, `key-${key}`);
@@ -48,29 +53,28 @@
     expect(cluster.store.list('claim-segments/0/')).toEqual([]);
   });
 
-  // Symptom: an outage ends, and the store refuses the shard's object as too large for good.
-  // Sequence: nothing can be moved out while the store is down, and keys go on coming.
-  // Cause: no limit but memory.
+  // Settled keys cannot be moved into segments while the store is down. Without a limit the head
+  // grew until the store refused it for good, even after the outage.
   it('is bounded during an outage: bodies are dropped first, then new keys are refused', async () => {
     const cluster = new TestCluster(4, OPTIONS);
     await cluster.run(1000);
-    cluster.store.fault('down');
+    cluster.store.setFault('down');
     await settleMany(cluster, 60);
     expect(await cluster.ask(cluster.daemons[1]!, 'more')).toMatchObject({
       kind: 'unavailable',
       reason: 'overload',
     });
-    cluster.store.fault('up');
+    cluster.store.setFault('up');
     await cluster.run(1000);
-    expect(cluster.store.read('claims/0')!.value.length).toBeLessThan(1.5 * OPTIONS.headLimit);
+    expect(cluster.store.read('claims/0')!.value.length).toBeLessThan(1.5 * OPTIONS.maxHeadSize);
     const repeat = await cluster.ask(cluster.daemons[1]!, 'key-20');
     expect(repeat).toMatchObject({ kind: 'settled', answer: { kind: 'status-only' } });
   });
 
-  // Symptom: a shard refuses every new key for good after a burst. Sequence: it is full; with
-  // nothing granted, nothing is written. Cause: expired keys are only cleared out by a commit.
-  it('is free again when its keys have expired', async () => {
-    const cluster = new TestCluster(4, { ...OPTIONS, entryLimit: 10 });
+  // Expired keys were removed only by commits. A full shard that granted nothing had nothing to
+  // commit, so it refused every new key for good.
+  it('accepts new keys again when its keys have expired', async () => {
+    const cluster = new TestCluster(4, { ...OPTIONS, maxEntries: 10 });
     await cluster.run(1000);
     await settleMany(cluster, 10);
     await cluster.run(1000);
@@ -80,15 +84,15 @@
     expect((await cluster.ask(daemon, 'more')).kind).toBe('granted');
   });
 
-  // Symptom: a hold placed twice after an upgrade. Sequence: old daemons cut the keys into another
-  // number of shards than new ones. Cause: a key then has two owners that never meet.
-  it('is not served by daemons that count the shards differently', async () => {
+  // After an upgrade, old and new daemons divided the keys into different numbers of shards. A key
+  // then had two owners that did not know of each other, and its request ran twice.
+  it('is not served by daemons configured with another number of shards', async () => {
     const cluster = new TestCluster(2);
     await cluster.run(1000);
     const upgraded = new TestCluster(2, { ...TEST_OPTIONS, shards: 2 }, undefined, cluster.store);
     await upgraded.run(1000);
-    const answer = await upgraded.ask(upgraded.daemons[0]!, 'hold');
-    expect(answer).toMatchObject({ kind: 'unavailable', reason: 'layout-mismatch' });
+    const result = await upgraded.ask(upgraded.daemons[0]!, 'hold');
+    expect(result).toMatchObject({ kind: 'unavailable', reason: 'layout-mismatch' });
     expect(upgraded.daemons.flatMap(({ claims }) => claims.getOwnedShards())).toEqual([]);
   });
 });
--- a/packages/claims/src/lib/ClaimShard/ShardTable.ts
+++ b/packages/claims/src/lib/ClaimShard/ShardTable.ts
@@ -3,17 +3,19 @@
 import { EntryState } from '../messages.js';
 import type { SegmentReference } from '../ShardHead.js';
 
-/** A scan over all keys costs more than a look-up: do it once in a while. */
-const SCAN_INTERVAL = 1000;
+/**
+ * Milliseconds between scans for expired keys, since a scan of all keys costs more than a lookup.
+ */
+const EXPIRY_SCAN_INTERVAL = 1000;
 
 interface Row {
   entry: ClaimEntry;
   size: number;
-  /** Whether a segment holds it, not the head. */
+  /** Whether the entry is stored in a segment and not in the head. */
   isInSegment: boolean;
 }
 
-function isRollable(row: Row): boolean {
+function isMovable(row: Row): boolean {
   return !row.isInSegment && row.entry.state === EntryState.Settled;
 }
 
@@ -25,23 +27,23 @@
 }
 
 /**
- * The keys a shard remembers. Entries stand in the head until they are settled and many; then they
- * move into segments, so that a commit does not write the whole retention again.
+ * The keys that a shard remembers. Settled entries stay in the head until they exceed a size, and
+ * are then moved into segments, so that a commit does not rewrite all keys of the retention period.
  */
 export class ShardTable {
   private readonly rows = new Map<string, Row>();
 
   private segments: SegmentReference[] = [];
 
-  private expired: SegmentReference[] = [];
+  private expiredSegments: SegmentReference[] = [];
 
-  private nextScan: Milliseconds = Number.NEGATIVE_INFINITY;
+  private nextScanAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /** Bytes of the entries in the head. */
   private headSize = 0;
 
-  /** Bytes of the settled ones among them. */
-  private settledSize = 0;
+  /** Bytes of the settled entries in the head. */
+  private settledHeadSize = 0;
 
   get count(): number {
     return this.rows.size;
@@ -51,8 +53,8 @@
     return this.headSize;
   }
 
-  get rollableSize(): number {
-    return this.settledSize;
+  get movableSize(): number {
+    return this.settledHeadSize;
   }
 
   get(name: string, now: Milliseconds): ClaimEntry | undefined {
@@ -69,18 +71,21 @@
     const size = Buffer.byteLength(JSON.stringify(entry));
     const row = { entry, size, isInSegment: false };
     this.rows.set(entry.name, row);
-    this.account(row, 1);
+    this.adjustSizes(row, 1);
   }
 
   remove(name: string): void {
     const row = this.rows.get(name);
     if (row !== undefined) {
       this.rows.delete(name);
-      this.account(row, -1);
+      this.adjustSizes(row, -1);
     }
   }
 
-  /** Takes in a segment read from the store; newer ones first, since a name may stand in two. */
+  /**
+   * Adds the entries of a segment read from the store. The newest segments must be loaded first,
+   * because a name may be in two of them.
+   */
   loadSegment(reference: SegmentReference, entries: readonly ClaimEntry[]): void {
     this.segments.unshift(reference);
     for (const entry of entries) {
@@ -91,26 +96,29 @@
     }
   }
 
-  /** Notes a segment found at the store that no head lists, for removal with the next commit. */
-  dropSegment(reference: SegmentReference): void {
-    this.expired.push(reference);
+  /** Records a segment in the store that no head lists, to be deleted after the next commit. */
+  addUnlistedSegment(reference: SegmentReference): void {
+    this.expiredSegments.push(reference);
   }
 
-  /** Forgets what has expired. Segments that expired stay listed until a commit drops them. */
+  /**
+   * Removes expired entries. Expired segments are kept in a list until a commit that no longer
+   * lists them.
+   */
   expire(now: Milliseconds): void {
-    if (now < this.nextScan) {
+    if (now < this.nextScanAt) {
       return;
     }
-    this.nextScan = now + SCAN_INTERVAL;
+    this.nextScanAt = now + EXPIRY_SCAN_INTERVAL;
     for (const [name, { entry }] of this.rows) {
       if (entry.expires <= now) {
         this.remove(name);
       }
     }
-    const live = this.segments.filter(({ expires }) => expires > now);
-    if (live.length < this.segments.length) {
-      this.expired.push(...this.segments.filter(({ expires }) => expires <= now));
-      this.segments = live;
+    const unexpired = this.segments.filter(({ expires }) => expires > now);
+    if (unexpired.length < this.segments.length) {
+      this.expiredSegments.push(...this.segments.filter(({ expires }) => expires <= now));
+      this.segments = unexpired;
     }
   }
 
@@ -124,52 +132,52 @@
   }
 
   getExpiredSegments(): SegmentReference[] {
-    return [...this.expired];
+    return [...this.expiredSegments];
   }
 
-  forgetExpired(dropped: readonly SegmentReference[]): void {
-    this.expired = this.expired.filter((segment) => !dropped.includes(segment));
+  clearExpiredSegments(dropped: readonly SegmentReference[]): void {
+    this.expiredSegments = this.expiredSegments.filter((segment) => !dropped.includes(segment));
   }
 
-  /** Picks settled entries for the next segment, oldest first, up to a size. */
-  planSegment(limit: number): SegmentPlan | undefined {
-    const picked: ClaimEntry[] = [];
+  /** Selects settled entries for the next segment, oldest first, up to a total size. */
+  planSegment(maxSize: number): SegmentPlan | undefined {
+    const selected: ClaimEntry[] = [];
     let size = 0;
     for (const row of this.rows.values()) {
-      if (isRollable(row) && size + row.size <= limit) {
-        picked.push(row.entry);
+      if (isMovable(row) && size + row.size <= maxSize) {
+        selected.push(row.entry);
         size += row.size;
       }
     }
-    if (picked.length === 0) {
+    if (selected.length === 0) {
       return undefined;
     }
-    const expires = Math.max(...picked.map((entry) => entry.expires));
+    const expires = Math.max(...selected.map((entry) => entry.expires));
     return {
-      names: picked.map((entry) => entry.name),
-      value: JSON.stringify(picked),
+      names: selected.map((entry) => entry.name),
+      value: JSON.stringify(selected),
       expires,
     };
   }
 
-  /** The segment is in the store: its entries leave the head. */
+  /** Called when the segment is in the store: its entries are no longer part of the head. */
   finishSegment(plan: SegmentPlan, reference: SegmentReference): void {
     this.segments.push(reference);
     for (const name of plan.names) {
       const row = this.rows.get(name);
-      if (row !== undefined && isRollable(row)) {
-        this.account(row, -1);
+      if (row !== undefined && isMovable(row)) {
+        this.adjustSizes(row, -1);
         row.isInSegment = true;
-        // All entries of a segment leave together, so that a reader needs one time for all.
+        // All entries of a segment expire together, so that a reader needs only one time for them.
         row.entry.expires = plan.expires;
       }
     }
   }
 
-  private account(row: Row, sign: 1 | -1): void {
+  private adjustSizes(row: Row, sign: 1 | -1): void {
     if (!row.isInSegment) {
       this.headSize += sign * row.size;
-      this.settledSize += isRollable(row) ? sign * row.size : 0;
+      this.settledHeadSize += isMovable(row) ? sign * row.size : 0;
     }
   }
 }
--- a/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
+++ b/packages/claims/src/lib/ClaimShard/WaitingCalls.ts
@@ -3,7 +3,7 @@
 import { RefusalReason } from '../claimTypes.js';
 import type { ShardCall, ShardContext } from './shardMessages.js';
 
-/** A call that is answered once a mutation is safe. */
+/** A call that is answered once a mutation is durable. */
 export interface WaitingCall {
   input: ShardCall;
   /** The mutation it waits for. */
@@ -11,13 +11,13 @@
   since: Milliseconds;
 }
 
-/** The calls whose reply waits for the store or the witness. */
+/** The calls whose response waits for the store or the witness. */
 export class WaitingCalls {
   private calls: WaitingCall[] = [];
 
   constructor(private readonly context: ShardContext) {}
 
-  /** Since when the claim waits that has waited longest. */
+  /** Start time of the claim that has waited longest; infinite when none waits. */
   getOldestClaim(): Milliseconds {
     const claims = this.calls.filter(({ input }) => input.kind === 'claim');
     return Math.min(...claims.map(({ since }) => since));
@@ -41,40 +41,40 @@
   }
 
   /**
-   * Answers what has become safe: a claim once the store or the witness has it, an outcome only
-   * once the store has it, so that its daemon goes on reporting it until then.
+   * Answers the calls whose mutation is durable: a claim once the store or the witness has it, an
+   * outcome only once the store has it, so that the reporting daemon repeats its report until then.
    */
   release(committed: number, witnessed: number, epoch: number): void {
-    const safe = Math.max(committed, witnessed);
-    const rest: WaitingCall[] = [];
+    const durable = Math.max(committed, witnessed);
+    const remaining: WaitingCall[] = [];
     for (const call of this.calls) {
       const { input, sequence } = call;
-      if (input.kind === 'claim' && sequence <= safe) {
+      if (input.kind === 'claim' && sequence <= durable) {
         const source = sequence <= committed ? AnswerSource.Store : AnswerSource.Witness;
         this.grant(input, source, epoch);
       } else if (input.kind === 'settle' && sequence <= committed) {
-        const reply = { kind: 'settled' as const, durable: true };
-        this.context.emit({ kind: 'reply', call: input.call, reply });
+        const response = { kind: 'settled' as const, durable: true };
+        this.context.emit({ kind: 'reply', call: input.call, response });
       } else {
-        rest.push(call);
+        remaining.push(call);
       }
     }
-    this.calls = rest;
+    this.calls = remaining;
   }
 
-  /** Gives up on calls that waited too long; what they asked for may still become safe. */
+  /** Answers the calls that have timed out. Their mutations may still become durable. */
   expire(now: Milliseconds): void {
     while (this.getNextExpiry() <= now) {
       const { input } = this.calls.shift()!;
       this.context.emit({
         kind: 'reply',
         call: input.call,
-        reply:
+        response:
           input.kind === 'claim'
             ? {
                 kind: 'refused',
                 reason: RefusalReason.Timeout,
-                retryAfter: this.context.options.retryDelayLimit,
+                retryAfter: this.context.options.maxRetryDelay,
                 held: true,
               }
             : { kind: 'settled', durable: false },
@@ -90,8 +90,8 @@
     const { shard, emit } = this.context;
     const { requestId, holder } = input.request;
     const answer = { kind: 'granted' as const };
-    emit({ kind: 'reply', call: input.call, reply: { kind: 'answer', answer } });
-    const facts = { shard, epoch, requestId, holder: holder.id, answer: answer.kind, source };
-    emit({ kind: 'decision', decision: { kind: 'claim-answered', ...facts } });
+    emit({ kind: 'reply', call: input.call, response: { kind: 'answer', answer } });
+    const fields = { shard, epoch, requestId, holder: holder.id, answer: answer.kind, source };
+    emit({ kind: 'decision', event: { kind: 'claim-answered', ...fields } });
   }
 }
--- a/packages/claims/src/lib/ClaimShard/loadTable.ts
+++ b/packages/claims/src/lib/ClaimShard/loadTable.ts
@@ -2,22 +2,28 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClaimOptions } from '../ClaimOptions.js';
 import type { ClaimEntry, ClaimMutation } from '../messages.js';
-import { getSegmentKey, moveTime, parseSegmentKey } from '../ShardHead.js';
-import type { Doubt, SegmentReference, ShardHead } from '../ShardHead.js';
+import { getSegmentKey, translateTime, parseSegmentKey } from '../ShardHead.js';
+import type { UnresolvedEpoch, SegmentReference, ShardHead } from '../ShardHead.js';
 import { mergeMutation } from './entries.js';
 import { ShardTable } from './ShardTable.js';
 
 /** What a takeover has read of a shard. */
 interface ShardSources {
   head: ShardHead | undefined;
-  /** What only the last witness remembered, in order. */
+  /** Mutations that only the previous witness remembered, in order. */
   mutations: readonly ClaimMutation[];
 }
 
-/** The doubts a takeover inherits, by its own clock. */
-export function getMovedDoubts(head: ShardHead | undefined, now: Milliseconds): Doubt[] {
-  const doubts = head?.doubts ?? [];
-  return doubts.map((doubt) => ({ ...doubt, until: moveTime(doubt.until, head!, now) }));
+/** The unresolved epochs that a takeover inherits, by the local clock. */
+export function getInheritedEpochs(
+  head: ShardHead | undefined,
+  now: Milliseconds,
+): UnresolvedEpoch[] {
+  const unresolvedEpochs = head?.doubts ?? [];
+  return unresolvedEpochs.map((epoch) => ({
+    ...epoch,
+    until: translateTime(epoch.until, head!, now),
+  }));
 }
 
 function applyMutation(
@@ -35,7 +41,7 @@
   }
 }
 
-/** The segments a head lists, with their versions as read; undefined when one is missing. */
+/** The segments that a head lists, with the versions read. Undefined when one is missing. */
 function findSegments(
   shard: number,
   head: ShardHead,
@@ -55,20 +61,24 @@
   return found;
 }
 
-/** What no head lists was left behind by a lost write or a lost removal. */
-function dropOthers(
+/**
+ * Marks segments that no head lists for deletion. A write or a deletion whose confirmation was lost
+ * leaves them behind.
+ */
+function dropUnlistedSegments(
   shard: number,
   table: ShardTable,
   listed: ReadonlySet<string>,
   objects: readonly StoredObject[],
 ): void {
   for (const { key, version } of objects.filter((object) => !listed.has(object.key))) {
-    table.dropSegment({ ...parseSegmentKey(shard, key), version, expires: 0 });
+    table.addUnlistedSegment({ ...parseSegmentKey(shard, key), version, expires: 0 });
   }
 }
 
 /**
- * Builds a shard's table from its head, its segments and the last witness's memory.
+ * Builds the table of a shard from its head, its segments and the mutations of the previous
+ * witness.
  *
  * @param objects - everything under the shard's segment prefix, read after the head
  * @returns undefined when a segment that the head names is missing
@@ -90,7 +100,7 @@
     return undefined;
   }
   for (const entry of head.entries) {
-    table.put({ ...entry, expires: moveTime(entry.expires, head, now) });
+    table.put({ ...entry, expires: translateTime(entry.expires, head, now) });
   }
   const listed = new Set<string>();
   for (const segment of segments.sort((left, right) => right.version - left.version)) {
@@ -98,7 +108,7 @@
     listed.add(key);
     table.loadSegment(segment, JSON.parse(byKey.get(key)!.value) as ClaimEntry[]);
   }
-  dropOthers(shard, table, listed, objects);
+  dropUnlistedSegments(shard, table, listed, objects);
   mutations.forEach((mutation) => applyMutation(table, mutation, options, now));
   return table;
 }
--- a/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
+++ b/packages/claims/src/lib/ClaimWitness/ClaimWitness.ts
@@ -4,45 +4,50 @@
 import type { ClaimMessage, ClaimMutation, ClaimResponse } from '../messages.js';
 
 /**
- * What a witness is asked.
+ * The messages that a witness handles.
  *
  * @internal
  */
 export type WitnessMessage = Extract<ClaimMessage, { kind: 'remember' | 'seal' }>;
 
-interface Remembered {
+interface WitnessedMutation {
   mutation: ClaimMutation;
   receivedAt: Milliseconds;
 }
 
-/** A running claim is protected for two retentions after its grant; so is the memory of it. */
+/**
+ * A running claim is protected for two retention periods after its grant, and so is its copy at the
+ * witness.
+ */
 const MEMORY_RETENTIONS = 2;
 
 /**
  * Remembers for owners what the store does not have, by shard and epoch: a state machine without
- * I/O. Once a new owner has asked for an epoch, the old owner gets no more acknowledgements for it:
- * a paused or cut-off owner would otherwise go on granting beside the new one, and the same key
- * would run twice.
+ * I/O. After a new owner has sealed an epoch, the old owner gets no more acknowledgements for it.
+ * Otherwise an owner that was paused or cut off would go on granting beside the new one, and the
+ * request of a key would run twice.
  *
  * @internal
  */
 export class ClaimWitness {
-  /** Memory by `shard/epoch`, then by name: the latest mutation of each. */
-  private readonly memory = new Map<string, Map<string, Remembered>>();
+  /** The latest mutation of each name, by `shard/epoch` and then by name. */
+  private readonly memory = new Map<string, Map<string, WitnessedMutation>>();
 
-  /** The highest sealed epoch of each shard; never forgotten, one number a shard. */
-  private readonly sealed = new Map<number, number>();
+  /**
+   * The highest sealed epoch of each shard. Never removed, since it is only one number per shard.
+   */
+  private readonly sealedEpochs = new Map<number, number>();
 
   /**
-   * @param incarnation - of this process: what an earlier one remembered is lost, so questions for
-   * it are answered `gone`, never with an empty memory
+   * @param incarnation - of this process; what an earlier incarnation remembered is lost, so
+   * messages to it are answered `gone`, never with an empty memory
    */
   constructor(
     private readonly incarnation: number,
     private readonly options: ClaimOptions,
   ) {}
 
-  /** How many mutations are held. */
+  /** Number of mutations in memory. */
   get size(): number {
     return [...this.memory.values()].reduce((sum, { size }) => sum + size, 0);
   }
@@ -61,17 +66,17 @@
     }
   }
 
-  /** Forgets what has outlived every claim. Call it now and then. */
+  /** Removes mutations that have outlived every claim. Must be called regularly. */
   expire(now: Milliseconds): void {
     const oldest = now - MEMORY_RETENTIONS * this.options.retention;
-    for (const [place, names] of this.memory) {
-      for (const [name, { receivedAt }] of names) {
+    for (const [epochKey, mutationsByName] of this.memory) {
+      for (const [name, { receivedAt }] of mutationsByName) {
         if (receivedAt < oldest) {
-          names.delete(name);
+          mutationsByName.delete(name);
         }
       }
-      if (names.size === 0) {
-        this.memory.delete(place);
+      if (mutationsByName.size === 0) {
+        this.memory.delete(epochKey);
       }
     }
   }
@@ -81,35 +86,37 @@
     now: Milliseconds,
   ): ClaimResponse {
     const { shard, epoch, committed, mutations } = message;
-    if (epoch <= (this.sealed.get(shard) ?? 0)) {
+    if (epoch <= (this.sealedEpochs.get(shard) ?? 0)) {
       return { kind: 'epoch-sealed' };
     }
-    const names = this.getNames(shard, epoch);
-    for (const [name, { mutation }] of names) {
+    const mutationsByName = this.getMutationsByName(shard, epoch);
+    for (const [name, { mutation }] of mutationsByName) {
       if (mutation.sequence <= committed) {
-        names.delete(name);
+        mutationsByName.delete(name);
       }
     }
     for (const mutation of mutations) {
-      // A late copy of an earlier message must not replace what came after it.
-      if (mutation.sequence > (names.get(mutation.name)?.mutation.sequence ?? committed)) {
-        names.set(mutation.name, { mutation, receivedAt: now });
+      // A late copy of an earlier message must not replace a later mutation.
+      if (
+        mutation.sequence > (mutationsByName.get(mutation.name)?.mutation.sequence ?? committed)
+      ) {
+        mutationsByName.set(mutation.name, { mutation, receivedAt: now });
       }
     }
     return { kind: 'remembered' };
   }
 
   private seal({ shard, epoch }: Extract<WitnessMessage, { kind: 'seal' }>): ClaimResponse {
-    this.sealed.set(shard, Math.max(epoch, this.sealed.get(shard) ?? 0));
-    const names = this.memory.get(`${shard}/${epoch}`)?.values() ?? [];
-    const mutations = [...names].map(({ mutation }) => mutation);
+    this.sealedEpochs.set(shard, Math.max(epoch, this.sealedEpochs.get(shard) ?? 0));
+    const remembered = this.memory.get(`${shard}/${epoch}`)?.values() ?? [];
+    const mutations = [...remembered].map(({ mutation }) => mutation);
     return { kind: 'sealed', mutations: mutations.sort((a, b) => a.sequence - b.sequence) };
   }
 
-  private getNames(shard: number, epoch: number): Map<string, Remembered> {
-    const place = `${shard}/${epoch}`;
-    const names = this.memory.get(place) ?? new Map<string, Remembered>();
-    this.memory.set(place, names);
-    return names;
+  private getMutationsByName(shard: number, epoch: number): Map<string, WitnessedMutation> {
+    const epochKey = `${shard}/${epoch}`;
+    const mutationsByName = this.memory.get(epochKey) ?? new Map<string, WitnessedMutation>();
+    this.memory.set(epochKey, mutationsByName);
+    return mutationsByName;
   }
 }
--- a/packages/claims/src/test/ClaimWorld.ts
+++ b/packages/claims/src/test/ClaimWorld.ts
@@ -6,7 +6,7 @@
 import { drain, TEST_OPTIONS, TestCluster } from './TestCluster.js';
 import type { TestDaemon } from './TestDaemon.js';
 
-/** A daemon by what it does for the shard, or by its place. */
+/** A daemon by its role for the shard, or by its index. */
 export type Role = 'owner' | 'witness' | number;
 
 const ADVANCE_STEPS = 5;
@@ -19,19 +19,19 @@
 
   failure: Error | undefined;
 
-  private isCalm = true;
+  private isReliable = true;
 
   constructor(private readonly scheduler: fc.Scheduler) {
     const deliver = async (label: string) => {
-      if (!this.isCalm) {
+      if (!this.isReliable) {
         await this.scheduler.schedule(Promise.resolve(), label);
       }
     };
     this.cluster = new TestCluster(4, TEST_OPTIONS, deliver);
   }
 
-  /** The daemon in a role, by what the store says now. */
-  pick(role: Role): TestDaemon {
+  /** The daemon in a role, according to the store. */
+  getDaemon(role: Role): TestDaemon {
     const { daemons, store } = this.cluster;
     if (typeof role === 'number') {
       return daemons[role]!;
@@ -41,20 +41,20 @@
     return daemons.find(({ member }) => member.id === head?.[role]?.id) ?? daemons[0]!;
   }
 
-  /** Lets the shard find its first owner before anything goes wrong. */
+  /** Lets the shard find its first owner before any fault. */
   async start(): Promise<void> {
     await this.cluster.run(1000);
-    this.isCalm = false;
+    this.isReliable = false;
   }
 
   claim(daemon: TestDaemon, key: string, fingerprint: string): void {
     const invocation = this.history.invoke(key, fingerprint);
-    const now = () => this.cluster.base.now();
+    const now = () => this.cluster.clock.now();
     this.cluster
       .claim(daemon, key, fingerprint)
-      .then(async (answer) => {
+      .then(async (result) => {
         if (!daemon.isCrashed) {
-          this.history.answer(invocation, answer, daemon, now());
+          this.history.recordResult(invocation, result, daemon, now());
         }
       })
       .catch((error: Error) => {
@@ -77,10 +77,10 @@
     grant.daemon.claims.recordOutcome(grant.handle, outcome);
   }
 
-  /** Delivers some of the messages under way, as the scheduler picks them. */
+  /** Delivers some of the messages in flight, in the order that the scheduler chooses. */
   async deliver(count: number): Promise<void> {
     for (let left = count; left > 0 && this.scheduler.count() > 0; left -= 1) {
-      // One after the other: each may send new ones.
+      // One message at a time, since each may cause new ones.
       // eslint-disable-next-line no-await-in-loop
       await this.scheduler.waitOne();
       // eslint-disable-next-line no-await-in-loop
@@ -88,11 +88,11 @@
     }
   }
 
-  /** Moves time in steps; `flow` says how many messages get through after each. */
-  async advance(span: Milliseconds, flow: number): Promise<void> {
+  /** Advances time in steps, and delivers up to `deliveriesPerStep` messages before each. */
+  async advance(span: Milliseconds, deliveriesPerStep: number): Promise<void> {
     for (let step = 0; step < ADVANCE_STEPS; step += 1) {
       // eslint-disable-next-line no-await-in-loop
-      await this.deliver(flow);
+      await this.deliver(deliveriesPerStep);
       // eslint-disable-next-line no-await-in-loop
       await this.cluster.run(span / ADVANCE_STEPS);
     }
@@ -104,25 +104,25 @@
     }
   }
 
-  /** Ends all faults but wrong views. */
-  mend(): void {
+  /** Ends all faults except outdated views of the members. */
+  clearFaults(): void {
     const { cluster } = this;
-    cluster.store.fault('up');
-    cluster.store.cut.clear();
-    cluster.cuts.clear();
+    cluster.store.setFault('up');
+    cluster.store.unreachableFrom.clear();
+    cluster.brokenLinks.clear();
     cluster.daemons.forEach((daemon) => daemon.resume());
     cluster.daemons.filter(({ isCrashed }) => isCrashed).forEach((old) => cluster.restart(old));
   }
 
-  /** Ends all faults and lets everything come to rest. */
-  async calm(): Promise<void> {
-    this.isCalm = true;
-    this.mend();
+  /** Ends all faults and runs until every effect of them has passed. */
+  async recover(): Promise<void> {
+    this.isReliable = true;
+    this.clearFaults();
     this.cluster.store.losses = 0;
-    this.cluster.lostReplies = 0;
-    this.cluster.lookAll();
+    this.cluster.lostResponses = 0;
+    this.cluster.updateAllMembers();
     await this.deliver(Number.POSITIVE_INFINITY);
-    const { witnessSpan, retention, claimTimeout } = TEST_OPTIONS;
-    await this.cluster.run(witnessSpan! + 3 * retention! + claimTimeout!);
+    const { witnessTrustTimeout, retention, claimTimeout } = TEST_OPTIONS;
+    await this.cluster.run(witnessTrustTimeout! + 3 * retention! + claimTimeout!);
   }
 }
--- a/packages/claims/src/test/TestDaemon.ts
+++ b/packages/claims/src/test/TestDaemon.ts
@@ -6,26 +6,26 @@
 import type { ClaimMember } from '../lib/claimTypes.js';
 import type { TestStore } from './TestStore.js';
 
-/** What a daemon under test is started with. */
+/** The constructor arguments of a daemon under test. */
 export interface TestDaemonSettings {
   member: ClaimMember;
-  base: ManualClock;
+  baseClock: ManualClock;
   options: Partial<ClaimOptions>;
   store: TestStore;
   transport: (daemon: TestDaemon) => ClaimTransport;
   members: readonly ClaimMember[];
 }
 
-/** Each process has a clock of its own: nothing may depend on two of them agreeing. */
+/** Each process has its own clock, in milliseconds: no code may depend on two of them agreeing. */
 const OFFSET_PER_INCARNATION = 1_000_003;
 
-/** One process: it can be paused, which holds its messages and timers, and it can crash. */
+/** One process. It can be paused, which holds back its messages and timers, and it can crash. */
 export class TestDaemon implements Clock {
-  readonly decisions: ClaimEvent[] = [];
+  readonly events: ClaimEvent[] = [];
 
   readonly claims: ClaimManager;
 
-  /** Its view of the members. */
+  /** This daemon's view of the members. */
   members: readonly ClaimMember[];
 
   isCrashed = false;
@@ -49,7 +49,7 @@
       store: store.connect(member.id, () => this.pass()),
       transport: transport(this),
       getMembers: () => this.members,
-      onEvent: (decision) => this.decisions.push(decision),
+      onEvent: (event) => this.events.push(event),
     });
   }
 
@@ -58,7 +58,7 @@
   }
 
   now(): Milliseconds {
-    return this.settings.base.now() + this.offset;
+    return this.settings.baseClock.now() + this.offset;
   }
 
   setTimer(delay: Milliseconds, callback: () => void): Timer {
@@ -68,7 +68,7 @@
         callback();
       }
     };
-    this.settings.base.setTimer(delay, () => {
+    this.settings.baseClock.setTimer(delay, () => {
       this.hold(this.heldTimers).then(run);
     });
     return {
@@ -78,7 +78,7 @@
     };
   }
 
-  /** Goes through at once, after the pause, or never after a crash. */
+  /** Resolves at once, after the pause, or never after a crash. */
   pass(): Promise<void> {
     return this.hold(this.heldMessages);
   }
@@ -93,7 +93,8 @@
       return;
     }
     this.heldMessages.splice(0).forEach((resolve) => resolve());
-    // What lay in the sockets is read before any timeout runs: the harder order of the two.
+    // Messages that arrived during the pause are handled before the timers, which is the harder
+    // order of the two.
     const timers = this.heldTimers.splice(0);
     setImmediate(() => timers.forEach((resolve) => resolve()));
   }
@@ -102,7 +103,7 @@
     this.isCrashed = true;
   }
 
-  look(members: readonly ClaimMember[]): void {
+  setMembers(members: readonly ClaimMember[]): void {
     this.members = members;
     this.claims.handleMembersChange();
   }
--- a/packages/claims/src/test/claimScenario.ts
+++ b/packages/claims/src/test/claimScenario.ts
@@ -3,32 +3,32 @@
 import type { TestDaemon } from './TestDaemon.js';
 import type { Deliver } from './TestStore.js';
 
-/** The outcome of a hold that was placed. */
-export const RAN: ClaimOutcome = {
+/** The outcome of a request that was answered. */
+export const ANSWERED: ClaimOutcome = {
   kind: 'answered',
   answer: { kind: 'whole', status: 201, headers: { 'content-type': 'text/plain' }, body: 'held' },
 };
 
-/** Four daemons by what they do for the only shard. */
-export interface Roles {
+/** Four daemons by their roles for the only shard. */
+export interface ClusterRoles {
   cluster: TestCluster;
   owner: TestDaemon;
   witness: TestDaemon;
-  /** The next in order of preference, and not the witness. */
+  /** The next in order of preference after the owner that is not the witness. */
   next: TestDaemon;
   other: TestDaemon;
 }
 
 /** Starts four daemons and lets the shard find its owner. */
-export async function start(deliver?: Deliver): Promise<Roles> {
+export async function startCluster(deliver?: Deliver): Promise<ClusterRoles> {
   const cluster = new TestCluster(4, TEST_OPTIONS, deliver);
   await cluster.run(1000);
   const [owner, witness, next, other] = cluster.getOrder();
   return { cluster, owner: owner!, witness: witness!, next: next!, other: other! };
 }
 
-/** The handle of a claim that must have been granted. */
-export function getHandle(answer: ClaimResult): ClaimHandle {
-  expect(answer.kind).toBe('granted');
-  return (answer as Extract<ClaimResult, { kind: 'granted' }>).handle;
+/** Expects that a claim was granted, and returns its handle. */
+export function expectGranted(result: ClaimResult): ClaimHandle {
+  expect(result.kind).toBe('granted');
+  return (result as Extract<ClaimResult, { kind: 'granted' }>).handle;
 }
