--- a/packages/cluster/src/bench/CoreHost.ts
+++ b/packages/cluster/src/bench/CoreHost.ts
@@ -7,8 +7,8 @@
 import type { DaemonIdentity } from '../lib/Member.js';
 import { getMeshAddress } from '../lib/Member.js';
 import type { PeerAnswer, PeerRequest } from '../lib/messages.js';
-import type { Carrier } from './Carrier.js';
-import type { StoreLink } from './StoreLink.js';
+import type { Carrier } from './SimulatedNetwork.js';
+import type { StoreLink } from './SimulatedPlatform.js';
 
 interface HostSettings {
   self: DaemonIdentity;
--- a/packages/cluster/src/bench/Fleet.ts
+++ b/packages/cluster/src/bench/Fleet.ts
@@ -4,10 +4,10 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
 import { defaultClusterOptions } from '../lib/clusterOptions.js';
-import { Carrier } from './Carrier.js';
+import { Carrier } from './SimulatedNetwork.js';
 import { CoreHost } from './CoreHost.js';
 import { createManifest } from './createManifest.js';
-import { StoreLink } from './StoreLink.js';
+import { StoreLink } from './SimulatedPlatform.js';
 
 /** A deployment to measure. */
 export interface FleetSize {
--- a/packages/cluster/src/lib/Membership/Membership.ts
+++ b/packages/cluster/src/lib/Membership/Membership.ts
@@ -11,7 +11,7 @@
 import type { Rumour, Verdict } from '../messages.js';
 import { PauseDetector } from '../PauseDetector/PauseDetector.js';
 import { SelfRecord } from '../SelfRecord/SelfRecord.js';
-import { Suspicions } from './Suspicions.js';
+import { Suspicions } from './SuspicionTimers.js';
 
 /** How a change of a member's record came here. */
 export enum WordFrom {
--- a/packages/cluster/src/test/clusterCommands.ts
+++ b/packages/cluster/src/test/clusterCommands.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import type { PlatformState } from '../bench/StoreLink.js';
+import type { PlatformState } from '../bench/SimulatedPlatform.js';
 import type { ClusterWorld } from './ClusterWorld.js';
 import type { NetworkFaults } from './TestCluster.js';
 
