--- a/packages/cluster/src/bench/CoreHost.ts
+++ b/packages/cluster/src/bench/CoreHost.ts
@@ -7,29 +7,29 @@
 import type { DaemonIdentity } from '../lib/Member.js';
 import { getMeshAddress } from '../lib/Member.js';
 import type { PeerAnswer, PeerRequest } from '../lib/messages.js';
-import type { Carrier } from './SimulatedNetwork.js';
-import type { StoreLink } from './SimulatedPlatform.js';
+import type { SimulatedNetwork } from './SimulatedNetwork.js';
+import type { SimulatedPlatform } from './SimulatedPlatform.js';
 
-interface HostSettings {
+interface CoreHostSettings {
   self: DaemonIdentity;
   clock: Clock;
   random: Random;
   options: ClusterOptions;
   seeds: string[];
-  carrier: Carrier;
-  store: StoreLink;
-  /** Hands in what came over the network; at once when absent. */
-  deliver?: (arrival: () => void) => void;
+  network: SimulatedNetwork;
+  platform: SimulatedPlatform;
+  /** Handles a message's arrival from the network; by default at once. */
+  deliver?: (onArrival: () => void) => void;
 }
 
-/** What a core told about besides its calls. */
-export interface HostEvents {
-  onDecision?: (decision: ClusterEvent) => void;
+/** Listeners for a core's effects other than calls. */
+export interface CoreHostListeners {
+  onEvent?: (decision: ClusterEvent) => void;
   onGeneration?: (generation: number) => void;
   onReplicaLeaving?: (replica: string) => void;
 }
 
-/** Runs one core in this process: carries its effects out on a carrier and a link to a store. */
+/** Runs one core in this process, and executes its effects on a simulated network and platform. */
 export class CoreHost {
   readonly core: ClusterCore;
 
@@ -39,15 +39,15 @@
 
   readonly startedAt: Milliseconds;
 
-  events: HostEvents = {};
+  listeners: CoreHostListeners = {};
 
-  private readonly replies = new Map<number, (answer: PeerAnswer) => void>();
+  private readonly replies = new Map<number, (response: PeerAnswer) => void>();
 
   private lastRequestId = 0;
 
   private isRunning = false;
 
-  constructor(private readonly settings: HostSettings) {
+  constructor(private readonly settings: CoreHostSettings) {
     const { self, clock, random, options, seeds } = settings;
     this.address = getMeshAddress(self);
     this.clock = clock;
@@ -58,7 +58,7 @@
       random,
       options,
       seeds,
-      emit: (effect) => this.carryOut(effect),
+      emit: (effect) => this.executeEffect(effect),
     });
   }
 
@@ -75,13 +75,13 @@
     this.core.start();
   }
 
-  /** Hands in what came over the network. */
-  deliver(arrival: () => void): void {
-    (this.settings.deliver ?? ((run) => run()))(arrival);
+  /** Handles a message's arrival from the network. */
+  deliver(onArrival: () => void): void {
+    (this.settings.deliver ?? ((run) => run()))(onArrival);
   }
 
-  /** Takes a request from a peer. */
-  receive(from: string, request: PeerRequest, reply: (answer: PeerAnswer) => void): void {
+  /** Handles a request from a peer. */
+  receive(from: string, request: PeerRequest, reply: (response: PeerAnswer) => void): void {
     if (this.isRunning) {
       this.lastRequestId += 1;
       this.replies.set(this.lastRequestId, reply);
@@ -94,12 +94,12 @@
     this.core.dispose();
   }
 
-  private carryOut(effect: CoreEffect): void {
-    const { carrier, store } = this.settings;
+  private executeEffect(effect: CoreEffect): void {
+    const { network, platform } = this.settings;
     const { core } = this;
     switch (effect.kind) {
       case 'call':
-        carrier.call(this, effect, (answer) => this.settle(effect.callId, answer));
+        network.call(this, effect, (response) => this.handleCallResult(effect.callId, response));
         break;
       case 'reply':
         this.replies.get(effect.requestId)?.(effect.answer);
@@ -108,30 +108,32 @@
       case 'members':
         break;
       case 'configuration':
-        this.events.onGeneration?.(effect.inForce.manifest.generation);
+        this.listeners.onGeneration?.(effect.inForce.manifest.generation);
         break;
       case 'replica-leaving':
-        this.events.onReplicaLeaving?.(effect.replica);
+        this.listeners.onReplicaLeaving?.(effect.replica);
         break;
       case 'decision':
-        this.events.onDecision?.(effect.decision);
+        this.listeners.onEvent?.(effect.decision);
         break;
       case 'start-watch':
       case 'end-watch':
       case 'read-manifest':
       case 'read-parts':
       case 'read-instances':
-        store.carryOut(effect, (message) => this.isRunning && core.handle(message));
+        platform.execute(effect, (message) => this.isRunning && core.handle(message));
         break;
       default:
         throw exhaustiveSwitchError(effect);
     }
   }
 
-  private settle(callId: number, answer: PeerAnswer | undefined): void {
+  private handleCallResult(callId: number, response: PeerAnswer | undefined): void {
     if (this.isRunning) {
       this.core.handle(
-        answer === undefined ? { kind: 'call-failed', callId } : { kind: 'answer', callId, answer },
+        response === undefined
+          ? { kind: 'call-failed', callId }
+          : { kind: 'answer', callId, answer: response },
       );
     }
   }
--- a/packages/cluster/src/bench/Fleet.ts
+++ b/packages/cluster/src/bench/Fleet.ts
@@ -4,21 +4,21 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
 import { defaultClusterOptions } from '../lib/clusterOptions.js';
-import { Carrier } from './SimulatedNetwork.js';
+import { SimulatedNetwork } from './SimulatedNetwork.js';
 import { CoreHost } from './CoreHost.js';
 import { createManifest } from './createManifest.js';
-import { StoreLink } from './SimulatedPlatform.js';
+import { SimulatedPlatform } from './SimulatedPlatform.js';
 
-/** A deployment to measure. */
+/** The size of a deployment to measure. */
 export interface FleetSize {
   daemons: number;
   regions: number;
   availabilityZones: number;
 }
 
-/** Assumed one way within a region, and between regions. */
-const NEAR: Milliseconds = 1.5;
-const FAR: Milliseconds = 30;
+/** Assumed one-way delays within a region and between regions. */
+const INTRA_REGION_DELAY: Milliseconds = 1.5;
+const INTER_REGION_DELAY: Milliseconds = 30;
 
 const START = 1_700_000_000_000;
 
@@ -26,21 +26,21 @@
 
 const FIRST_PORT = 7000;
 
-/** What all daemons together have done so far. */
-export interface FleetCounts {
+/** Totals over all daemons since the start. */
+export interface FleetTotals {
   messages: number;
   bytes: number;
   storeReads: number;
   watches: number;
 }
 
-/** Daemons' cores on one clock, with messages encoded as on the wire. */
+/** A fleet of daemon cores on one simulated clock, with messages encoded as on the wire. */
 export class Fleet {
   readonly clock = new ManualClock(START);
 
   readonly hosts: CoreHost[] = [];
 
-  readonly platform = {
+  readonly platformState = {
     isDown: false,
     hasSilentWatches: false,
     latency: STORE_LATENCY,
@@ -49,13 +49,13 @@
 
   private readonly objects = new ObjectStore(this.clock);
 
-  private readonly links: StoreLink[] = [];
+  private readonly platforms: SimulatedPlatform[] = [];
 
   private readonly options: ClusterOptions = { ...defaultClusterOptions };
 
   private readonly regions = new Map<string, string>();
 
-  private readonly carrier: Carrier;
+  private readonly network: SimulatedNetwork;
 
   private messages = 0;
 
@@ -65,14 +65,14 @@
 
   constructor(private readonly size: FleetSize) {
     const random = createRandom(size.daemons);
-    this.carrier = new Carrier({
+    this.network = new SimulatedNetwork({
       clock: this.clock,
-      getFate: (from, to) => {
+      getDelivery: (from, to) => {
         const isNear = this.regions.get(from) === this.regions.get(to);
-        const delay = (isNear ? NEAR : FAR) * (1 + random.next());
-        return { kind: 'carried', delay, copies: 1 };
+        const delay = (isNear ? INTRA_REGION_DELAY : INTER_REGION_DELAY) * (1 + random.next());
+        return { kind: 'delivered', delay, copies: 1 };
       },
-      onBytes: (_from, _to, bytes) => {
+      onMessageBytes: (_from, _to, bytes) => {
         this.messages += 1;
         this.bytes += bytes;
       },
@@ -80,12 +80,16 @@
   }
 
   /**
-   * Starts all daemons and lets them get to know each other by comparing views only: the rumours of
-   * so many joins at once would take most of the measurement's time.
+   * Starts all daemons and lets them discover each other through anti-entropy only: the rumours of
+   * so many simultaneous joins would take most of the measurement's time.
    */
   start(): void {
     const { rumourRepeats, syncInterval, syncPageBytes } = this.options;
-    Object.assign(this.options, { rumourRepeats: 0, syncInterval: 2000, syncPageBytes: 1e6 });
+    Object.assign(this.options, {
+      rumourRepeats: 0,
+      syncInterval: 2000,
+      syncPageBytes: 1e6,
+    } satisfies Partial<ClusterOptions>);
     for (let index = 0; index < this.size.daemons; index += 1) {
       this.add(index);
       this.clock.advance(10);
@@ -94,11 +98,15 @@
     while (!isKnown()) {
       this.clock.advance(1000);
     }
-    Object.assign(this.options, { rumourRepeats, syncInterval, syncPageBytes });
+    Object.assign(this.options, {
+      rumourRepeats,
+      syncInterval,
+      syncPageBytes,
+    } satisfies Partial<ClusterOptions>);
   }
 
-  /** Has a change accepted. */
-  accept(): number {
+  /** Writes a new generation to the store, and returns its number. */
+  acceptChange(): number {
     this.generation += 1;
     const { manifest, parts } = createManifest(this.generation);
     parts.forEach(({ hash, text }) => this.objects.put(PART_PREFIX + hash, text, 0));
@@ -107,28 +115,28 @@
     return this.generation;
   }
 
-  /** Ends the processes without a word. */
+  /** Stops daemons without announcing that they leave. */
   crash(hosts: readonly CoreHost[]): void {
     hosts.forEach((host) => {
       host.stop();
-      this.carrier.remove(host);
+      this.network.remove(host);
       this.hosts.splice(this.hosts.indexOf(host), 1);
     });
   }
 
-  /** How long until the condition holds, looked at every 10 ms. */
-  timeUntil(condition: () => boolean): Milliseconds {
-    const LOOK = 10;
+  /** Runs until the condition holds, checked every 10 ms, and returns the elapsed time. */
+  measureTimeUntil(condition: () => boolean): Milliseconds {
+    const CHECK_INTERVAL = 10;
     const start = this.clock.now();
     while (!condition()) {
-      this.clock.advance(LOOK);
+      this.clock.advance(CHECK_INTERVAL);
     }
     return this.clock.now() - start;
   }
 
-  getCounts(): FleetCounts {
+  getTotals(): FleetTotals {
     const sum = (count: 'reads' | 'watches') =>
-      this.links.reduce((total, { counts }) => total + counts[count], 0);
+      this.platforms.reduce((total, { counts }) => total + counts[count], 0);
     return {
       messages: this.messages,
       bytes: this.bytes,
@@ -138,7 +146,7 @@
   }
 
   getWaitingWatches(): number {
-    return this.links.reduce((total, { waiting }) => total + waiting, 0);
+    return this.platforms.reduce((total, { waitingCount }) => total + waitingCount, 0);
   }
 
   dispose(): void {
@@ -150,20 +158,20 @@
     const region = `region-${index % regions}`;
     const availabilityZone = `zone-${index % availabilityZones}`;
     const address = { host: '10.0.0.1', port: 8080, meshPort: FIRST_PORT + index, adminPort: 8082 };
-    const link = new StoreLink(this.clock, this.objects, this.platform);
+    const platform = new SimulatedPlatform(this.clock, this.objects, this.platformState);
     const host = new CoreHost({
       self: { id: `daemon-${index}`, region, availabilityZone, ...address },
       clock: this.clock,
       random: createRandom(index + 1),
       options: this.options,
       seeds: [`10.0.0.1:${FIRST_PORT}`],
-      carrier: this.carrier,
-      store: link,
+      network: this.network,
+      platform,
     });
     this.regions.set(host.address, region);
-    this.links.push(link);
+    this.platforms.push(platform);
     this.hosts.push(host);
-    this.carrier.add(host);
+    this.network.add(host);
     host.start();
   }
 }
--- a/packages/cluster/src/bench/SimulatedNetwork.ts
+++ b/packages/cluster/src/bench/SimulatedNetwork.ts
@@ -12,22 +12,23 @@
 
 type Call = Extract<CoreEffect, { kind: 'call' }>;
 
-/** What the carrier does to one message. */
-export type Fate = { kind: 'lost' } | { kind: 'carried'; delay: Milliseconds; copies: number };
+/** What the network does with one message. */
+export type Delivery =
+  { kind: 'lost' } | { kind: 'delivered'; delay: Milliseconds; copies: number };
 
-interface CarrierSettings {
+interface SimulatedNetworkSettings {
   clock: Clock;
-  /** Decides on each message by the ends' addresses. */
-  getFate: (from: string, to: string) => Fate;
-  /** Told of each message's bytes, when it is to be encoded as on the wire. */
-  onBytes?: (from: string, to: string, bytes: number) => void;
+  /** Decides what happens to a message, by the addresses of sender and receiver. */
+  getDelivery: (from: string, to: string) => Delivery;
+  /** Called with each message's size. If set, messages are encoded as on the wire. */
+  onMessageBytes?: (from: string, to: string, bytes: number) => void;
 }
 
-/** Carries calls between cores of this process, in the form in which they would be encoded. */
-export class Carrier {
+/** Delivers calls between cores in this process, in the form that would be encoded on the wire. */
+export class SimulatedNetwork {
   private readonly hosts = new Map<string, CoreHost>();
 
-  constructor(private readonly settings: CarrierSettings) {}
+  constructor(private readonly settings: SimulatedNetworkSettings) {}
 
   add(host: CoreHost): void {
     this.hosts.set(host.address, host);
@@ -39,56 +40,56 @@
     }
   }
 
-  /** The timeout runs on the caller's own clock, which may stand still. */
-  call(from: CoreHost, call: Call, onOutcome: (answer: PeerAnswer | undefined) => void): void {
+  /** Calls a peer. The timeout runs on the caller's own clock, which may be frozen. */
+  call(from: CoreHost, call: Call, onResult: (response: PeerAnswer | undefined) => void): void {
     let timer: Timer | undefined;
-    const settle = (answer: PeerAnswer | undefined) => {
+    const settle = (response: PeerAnswer | undefined) => {
       if (timer !== undefined) {
         timer.cancel();
         timer = undefined;
-        onOutcome(answer);
+        onResult(response);
       }
     };
     timer = from.clock.setTimer(call.timeout, () => settle(undefined));
-    const take = this.pack(from, call.address, encodeRequest(call.request));
-    this.carry(from.address, call.address, () => {
+    const decode = this.encode(from, call.address, encodeRequest(call.request));
+    this.transmit(from.address, call.address, () => {
       const host = this.hosts.get(call.address);
       host?.deliver(() =>
-        host.receive(from.id, decodeRequest(take(), from.id), (answer) =>
-          this.answer(host, from, answer, settle),
+        host.receive(from.id, decodeRequest(decode(), from.id), (response) =>
+          this.respond(host, from, response, settle),
         ),
       );
     });
   }
 
-  private answer(
+  private respond(
     host: CoreHost,
     to: CoreHost,
-    answer: PeerAnswer,
-    settle: (answer: PeerAnswer) => void,
+    response: PeerAnswer,
+    settle: (response: PeerAnswer) => void,
   ): void {
-    const take = this.pack(host, to.address, encodeAnswer(answer));
-    this.carry(host.address, to.address, () =>
-      to.deliver(() => settle(decodeAnswer(take(), host.id))),
+    const decode = this.encode(host, to.address, encodeAnswer(response));
+    this.transmit(host.address, to.address, () =>
+      to.deliver(() => settle(decodeAnswer(decode(), host.id))),
     );
   }
 
-  /** Encodes a message as on the wire, if its bytes are wanted. */
-  private pack({ id, address }: CoreHost, to: string, body: unknown): () => unknown {
-    const { onBytes } = this.settings;
-    if (onBytes === undefined) {
+  /** Encodes a message as on the wire if its size is to be reported. */
+  private encode({ id, address }: CoreHost, to: string, body: unknown): () => unknown {
+    const { onMessageBytes } = this.settings;
+    if (onMessageBytes === undefined) {
       return () => body;
     }
     const bytes = encodeEnvelope({ topic: 'membership', from: id, body });
-    onBytes(address, to, bytes.length);
+    onMessageBytes(address, to, bytes.length);
     return () => decodeEnvelope(bytes).body;
   }
 
-  private carry(from: string, to: string, arrive: () => void): void {
-    const fate = this.settings.getFate(from, to);
-    if (fate.kind === 'carried') {
-      for (let copy = 0; copy < fate.copies; copy += 1) {
-        this.settings.clock.setTimer(fate.delay * (1 + copy), arrive);
+  private transmit(from: string, to: string, onArrival: () => void): void {
+    const delivery = this.settings.getDelivery(from, to);
+    if (delivery.kind === 'delivered') {
+      for (let copy = 0; copy < delivery.copies; copy += 1) {
+        this.settings.clock.setTimer(delivery.delay * (1 + copy), onArrival);
       }
     }
   }
--- a/packages/cluster/src/bench/SimulatedPlatform.ts
+++ b/packages/cluster/src/bench/SimulatedPlatform.ts
@@ -11,7 +11,7 @@
 
 type Deliver = (message: CoreMessage) => void;
 
-/** How the platform looks from one daemon. */
+/** The state of the platform as one daemon sees it. */
 export interface PlatformState {
   isDown: boolean;
   hasSilentWatches: boolean;
@@ -19,11 +19,11 @@
   getInstances: () => Instance[];
 }
 
-/** How long the platform holds a watch. */
-const WATCH_WAIT: Milliseconds = 20_000;
+/** How long the platform keeps a watch open. */
+const WATCH_TIMEOUT: Milliseconds = 20_000;
 
-/** One daemon's link to the platform: an {@link ObjectStore} and a list of instances. */
-export class StoreLink {
+/** One daemon's simulated connection to the platform: an {@link ObjectStore} and instance list. */
+export class SimulatedPlatform {
   readonly counts = { reads: 0, watches: 0 };
 
   private readonly watches = new Map<number, () => void>();
@@ -33,15 +33,15 @@
   constructor(
     private readonly clock: Clock,
     private readonly objects: ObjectStore,
-    readonly platform: PlatformState,
+    readonly state: PlatformState,
   ) {}
 
-  /** Watches waiting now. */
-  get waiting(): number {
+  /** The number of open watches. */
+  get waitingCount(): number {
     return this.watches.size;
   }
 
-  /** Fails every watch that waits, as when the platform goes down. */
+  /** Fails all open watches, as when the platform goes down. */
   failWatches(): void {
     [...this.watches].forEach(([watchId, callOff]) => {
       callOff();
@@ -50,7 +50,8 @@
     });
   }
 
-  carryOut(effect: StoreEffect, deliver: Deliver): void {
+  /** Executes a core's effect; its result is delivered after the platform's latency. */
+  execute(effect: StoreEffect, deliver: Deliver): void {
     this.deliverTo = deliver;
     switch (effect.kind) {
       case 'start-watch':
@@ -76,7 +77,7 @@
       case 'read-instances':
         this.read(deliver, { kind: 'instances-read-failed' }, () => ({
           kind: 'instances-read',
-          instances: this.platform.getInstances(),
+          instances: this.state.getInstances(),
         }));
         break;
       default:
@@ -89,22 +90,22 @@
     return new Map(objects.flatMap(([hash, object]) => (object ? [[hash, object.value]] : [])));
   }
 
-  private read(deliver: Deliver, failure: CoreMessage, getAnswer: () => CoreMessage): void {
+  private read(deliver: Deliver, failure: CoreMessage, getResponse: () => CoreMessage): void {
     this.counts.reads += 1;
-    const answer = this.platform.isDown ? failure : getAnswer();
-    this.clock.setTimer(this.platform.latency, () => deliver(answer));
+    const response = this.state.isDown ? failure : getResponse();
+    this.clock.setTimer(this.state.latency, () => deliver(response));
   }
 
   private watch(watchId: number, afterVersion: number, deliver: Deliver): void {
     this.counts.watches += 1;
-    if (this.platform.isDown) {
-      this.clock.setTimer(this.platform.latency, () => deliver({ kind: 'watch-failed', watchId }));
+    if (this.state.isDown) {
+      this.clock.setTimer(this.state.latency, () => deliver({ kind: 'watch-failed', watchId }));
       return;
     }
-    const callOff = this.objects.watch(MANIFEST_KEY, afterVersion, WATCH_WAIT, (changes) => {
-      if (!this.platform.hasSilentWatches) {
+    const callOff = this.objects.watch(MANIFEST_KEY, afterVersion, WATCH_TIMEOUT, (changes) => {
+      if (!this.state.hasSilentWatches) {
         this.watches.delete(watchId);
-        this.clock.setTimer(this.platform.latency, () =>
+        this.clock.setTimer(this.state.latency, () =>
           deliver({ kind: 'watch-answered', watchId, changes }),
         );
       }
--- a/packages/cluster/src/bench/createManifest.ts
+++ b/packages/cluster/src/bench/createManifest.ts
@@ -2,7 +2,7 @@
 import { getConfigurationParts, getPartsHash } from '@apricotrill/configuration';
 import type { Configuration } from '@apricotrill/model';
 
-/** A configuration of some workspaces, one of which has the given weight. */
+/** Creates a configuration with the given number of workspaces; the first has the given weight. */
 function createConfiguration(workspaces: number, weight: number): Configuration {
   return {
     register: {
@@ -18,8 +18,8 @@
   };
 }
 
-/** A generation with the given content. */
-export function createManifestOf(
+/** Creates the manifest and the parts of a generation with the given configuration. */
+export function createManifestFrom(
   configuration: Configuration,
   generation: number,
 ): { manifest: Manifest; parts: ConfigurationPart[] } {
@@ -36,7 +36,7 @@
   return { manifest, parts };
 }
 
-/** A manifest and its parts; neighbouring generations differ in one part. */
+/** Creates a manifest and its parts; consecutive generations differ in one part. */
 export function createManifest(generation: number, workspaces = 20) {
-  return createManifestOf(createConfiguration(workspaces, generation), generation);
+  return createManifestFrom(createConfiguration(workspaces, generation), generation);
 }
--- a/packages/cluster/src/bench/measureEdit.ts
+++ b/packages/cluster/src/bench/measureEdit.ts
@@ -5,7 +5,7 @@
 import { defaultClusterOptions } from '../lib/clusterOptions.js';
 import { encodeAnswer } from '../lib/codec/messageCodec.js';
 import { ManifestHistory } from '../lib/ManifestHistory/ManifestHistory.js';
-import { createManifestOf } from './createManifest.js';
+import { createManifestFrom } from './createManifest.js';
 
 const REPLICAS = 6900;
 const WORKSPACES = 3500;
@@ -28,7 +28,7 @@
   return { name, apiKeyHashes: [createHash('sha256').update(name).digest('hex')], weight: 1 };
 }
 
-/** The two-year register; an edit changes the slots of one replica. */
+/** The register of the size expected in two years; an edit changes the slots of one replica. */
 function createConfiguration(slots: number): Configuration {
   const replicas = Array.from({ length: REPLICAS }, (_, index) =>
     createReplica(index, index === 0 ? slots : 16),
@@ -40,25 +40,25 @@
   };
 }
 
-/** Bytes by which a peer brings another one edit of the two-year register, and all of it. */
+/** Measures the bytes that a peer sends another for one edit of that register, and for all of it. */
 export function measureEdit() {
   const [before, after] = [1, 2].map((generation) =>
-    createManifestOf(createConfiguration(generation), generation),
+    createManifestFrom(createConfiguration(generation), generation),
   );
   const history = new ManifestHistory();
   history.add(before!.manifest);
   const { manifest, parts } = after!;
   const texts = new Map(parts.map(({ hash, text }) => [hash, text]));
-  const inForce = { manifest, parts: texts, configuration: createConfiguration(2) };
+  const snapshot = { manifest, parts: texts, configuration: createConfiguration(2) };
   const getBytes = (held: number) => {
     const getTransfer = () => history.getTransfer(manifest, held);
-    const answer = getManifestAnswer(
-      inForce,
+    const response = getManifestAnswer(
+      snapshot,
       held,
       getTransfer,
       defaultClusterOptions.partPageBytes,
     );
-    return encodeBody(encodeAnswer(answer)).length;
+    return encodeBody(encodeAnswer(response)).length;
   };
   const all = encodeBody(encodeAnswer({ kind: 'parts', generation: 2, parts: texts })).length;
   return {
--- a/packages/cluster/src/bench/spreadCost.ts
+++ b/packages/cluster/src/bench/spreadCost.ts
@@ -6,9 +6,9 @@
 import { measureEdit } from './measureEdit.js';
 
 /**
- * What membership and the spread of configuration cost each daemon, by size of the fleet: real
- * cores on a simulated clock, messages encoded as on the wire. Processor time is that of the cores
- * and codecs; gRPC and the kernel come on top, by the call.
+ * Measures what membership and configuration distribution cost each daemon, by fleet size: real
+ * cores on a simulated clock, with messages encoded as on the wire. Processor time covers the cores
+ * and codecs only; gRPC and the kernel add a cost per call.
  *
  *     node packages/cluster/dist/bench/spreadCost.js [sizes, e.g. 9,100]
  */
@@ -20,16 +20,19 @@
   { daemons: 1800, regions: 5, availabilityZones: 15 },
 ];
 
-const QUIET: Milliseconds = 30_000;
+const IDLE_DURATION: Milliseconds = 30_000;
 
-const CHANGES = 5;
+const CHANGE_COUNT = 5;
 
 const CHANGE_INTERVAL: Milliseconds = 10_000;
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
-/** HTTP/2 frames of one call, read off a connection: 40 bytes of a request, 39 of an answer. */
-const HTTP2_BYTES = 79 / 2;
+/**
+ * HTTP/2 framing per message, as captured on a connection: 40 bytes for the request and 39 for the
+ * response of one call.
+ */
+const HTTP2_BYTES_PER_MESSAGE = 79 / 2;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
@@ -44,23 +47,25 @@
   return user + system;
 }
 
-/** Bytes, messages, calls and processor time of a span, of one daemon, a second. */
+/** Runs for a span and returns messages, bytes and processor time per daemon and second. */
 function measureSpan(fleet: Fleet, span: Milliseconds, run: () => void) {
   const daemons = fleet.hosts.length;
-  const before = fleet.getCounts();
+  const before = fleet.getTotals();
   const start = getProcessorTime();
   run();
   const busy = getProcessorTime() - start;
-  const after = fleet.getCounts();
-  const each = (value: number) => value / daemons / (span / SECOND);
+  const after = fleet.getTotals();
+  const each = (value: number) => value / daemons / (span / SECOND_MS);
   const messages = after.messages - before.messages;
-  // Each message is sent by one daemon and taken by another.
-  const bytes = 2 * (after.bytes - before.bytes + messages * HTTP2_BYTES);
+  // Each message is sent by one daemon and received by another.
+  const bytes = 2 * (after.bytes - before.bytes + messages * HTTP2_BYTES_PER_MESSAGE);
   return {
     'messages/s in and out': each(2 * messages).toFixed(1),
     'bytes/s in and out': each(bytes).toFixed(0),
     'core µs/s': each(busy).toFixed(0),
-    'store reads/s, fleet': ((after.storeReads - before.storeReads) / (span / SECOND)).toFixed(2),
+    'store reads/s, fleet': ((after.storeReads - before.storeReads) / (span / SECOND_MS)).toFixed(
+      2,
+    ),
   };
 }
 
@@ -68,67 +73,69 @@
   return fleet.hosts.every(({ core }) => core.generation === generation);
 }
 
-/** Accepts changes and says how long each took to be in force everywhere. */
+/** Accepts changes and returns how long each took to be in force on all daemons. */
 function measureChanges(fleet: Fleet): Milliseconds[] {
-  return Array.from({ length: CHANGES }, () => {
-    const generation = fleet.accept();
-    const time = fleet.timeUntil(() => isInForce(fleet, generation));
+  return Array.from({ length: CHANGE_COUNT }, () => {
+    const generation = fleet.acceptChange();
+    const time = fleet.measureTimeUntil(() => isInForce(fleet, generation));
     fleet.clock.advance(CHANGE_INTERVAL - Math.min(time, CHANGE_INTERVAL));
     return time;
   });
 }
 
-/** Ends the daemons at once and says how long until the others hold all of them for dead. */
-function measureDeaths(fleet: Fleet, zone: string | undefined) {
-  const gone = fleet.hosts.filter(({ self }, index) =>
+/** Crashes one daemon or a whole zone, and measures how long the others take to detect it. */
+function measureCrash(fleet: Fleet, zone: string | undefined) {
+  const crashed = fleet.hosts.filter(({ self }, index) =>
     zone === undefined ? index === 1 : self.availabilityZone === zone,
   );
-  const left = fleet.hosts.length - gone.length;
-  fleet.crash(gone);
-  const before = fleet.getCounts();
-  const time = fleet.timeUntil(() => fleet.hosts.every(({ core }) => core.memberCount === left));
-  const { bytes, messages } = fleet.getCounts();
-  const total = 2 * (bytes - before.bytes + (messages - before.messages) * HTTP2_BYTES);
-  const rate = (total / left / time) * SECOND;
+  const remaining = fleet.hosts.length - crashed.length;
+  fleet.crash(crashed);
+  const before = fleet.getTotals();
+  const time = fleet.measureTimeUntil(() =>
+    fleet.hosts.every(({ core }) => core.memberCount === remaining),
+  );
+  const { bytes, messages } = fleet.getTotals();
+  const total = 2 * (bytes - before.bytes + (messages - before.messages) * HTTP2_BYTES_PER_MESSAGE);
+  const rate = (total / remaining / time) * SECOND_MS;
   return {
-    gone: gone.length,
-    's until known': (time / SECOND).toFixed(1),
+    gone: crashed.length,
+    's until known': (time / SECOND_MS).toFixed(1),
     'bytes/s': rate.toFixed(0),
   };
 }
 
-function measure(size: FleetSize): void {
+function measureFleet(size: FleetSize): void {
   const heapBefore = getHeap();
   const fleet = new Fleet(size);
   fleet.start();
-  fleet.accept();
-  fleet.clock.advance(2 * QUIET);
+  fleet.acceptChange();
+  fleet.clock.advance(2 * IDLE_DURATION);
   const heap = (getHeap() - heapBefore) / size.daemons;
   const print = (label: string, figures: object) =>
-    // eslint-disable-next-line no-console -- this is what the command is for
+    // eslint-disable-next-line no-console -- printing is the purpose of this command
     console.log(size.daemons, label, JSON.stringify(figures));
   const watches = fleet.getWaitingWatches();
   print('memory', { 'kB of a daemon': (heap / 1024).toFixed(0), 'waiting watches': watches });
   print(
     'quiet',
-    measureSpan(fleet, QUIET, () => fleet.clock.advance(QUIET)),
+    measureSpan(fleet, IDLE_DURATION, () => fleet.clock.advance(IDLE_DURATION)),
   );
   let times: Milliseconds[] = [];
-  const span = CHANGES * CHANGE_INTERVAL;
+  const span = CHANGE_COUNT * CHANGE_INTERVAL;
   const cost = measureSpan(fleet, span, () => {
     times = measureChanges(fleet);
   });
   print('a change each 10 s', { 'ms until in force everywhere': times, ...cost });
-  fleet.platform.hasSilentWatches = true;
-  fleet.clock.advance(SECOND);
+  fleet.platformState.hasSilentWatches = true;
+  fleet.clock.advance(SECOND_MS);
   print('silent watches', { 'ms until in force everywhere': measureChanges(fleet) });
-  fleet.platform.hasSilentWatches = false;
-  print('one daemon fails', measureDeaths(fleet, undefined));
-  print('a zone fails', measureDeaths(fleet, 'zone-0'));
+  fleet.platformState.hasSilentWatches = false;
+  print('one daemon fails', measureCrash(fleet, undefined));
+  print('a zone fails', measureCrash(fleet, 'zone-0'));
   fleet.dispose();
 }
 
 // eslint-disable-next-line no-console -- as above
 console.log('an edit of the two-year register', JSON.stringify(measureEdit()));
 const wanted = process.argv[2]?.split(',').map(Number);
-SIZES.filter(({ daemons }) => wanted?.includes(daemons) ?? true).forEach(measure);
+SIZES.filter(({ daemons }) => wanted?.includes(daemons) ?? true).forEach(measureFleet);
--- a/packages/cluster/src/lib/FlapDamper/FlapDamper.ts
+++ b/packages/cluster/src/lib/FlapDamper/FlapDamper.ts
@@ -4,85 +4,89 @@
 
 interface Penalty {
   value: number;
-  at: Milliseconds;
-  /** Set while the member is damped. */
-  reuse: Timer | undefined;
+  updatedAt: Milliseconds;
+  /** Ends the damping; set while the member is damped. */
+  reuseTimer: Timer | undefined;
 }
 
-/** What a return from the dead counts; a refuted suspicion counts half. */
+/** Penalty for a new incarnation or a return after death; a refuted suspicion costs half. */
 export const RETURN_PENALTY = 1;
 export const REFUTATION_PENALTY = 0.5;
 
-/** A penalty below this is forgotten. */
-const FORGOTTEN = 0.05;
+/** Penalties that have decayed below this are evicted. */
+const MIN_PENALTY = 0.05;
 
 /**
- * Damps flapping as routers do with routes (RFC 2439): each return adds to a member's penalty,
- * which halves over time. Without it, duties follow a member that comes and goes, back and forth,
- * and each move costs everybody.
+ * Flap damping as for BGP routes (RFC 2439): each return adds to a member's penalty, which decays
+ * exponentially. Without it, duties would move back and forth with an unstable member, and each move
+ * is a cost to all daemons.
  */
 export class FlapDamper {
   private readonly penalties = new Map<string, Penalty>();
 
-  /** @param onChange - told when a member becomes damped or is no longer */
+  /** @param onChange - called when a member becomes damped or stops being damped */
   constructor(
     private readonly context: CoreContext,
     private readonly onChange: () => void,
   ) {}
 
   isDamped(member: string): boolean {
-    return this.penalties.get(member)?.reuse !== undefined;
+    return this.penalties.get(member)?.reuseTimer !== undefined;
   }
 
-  /** Adds to a member's penalty. */
-  add(member: string, amount: number): void {
+  /** Adds to a member's penalty, and damps it above the suppress threshold. */
+  addPenalty(member: string, amount: number): void {
     const { clock, options } = this.context;
-    const value = this.getValue(member) + amount;
-    const { reuse } = this.penalties.get(member) ?? { reuse: undefined };
-    this.penalties.set(member, { value, at: clock.now(), reuse });
-    if (reuse === undefined && value <= options.flapSuppress) {
-      this.forgetOld();
+    const value = this.getPenalty(member) + amount;
+    const { reuseTimer } = this.penalties.get(member) ?? { reuseTimer: undefined };
+    this.penalties.set(member, { value, updatedAt: clock.now(), reuseTimer });
+    if (reuseTimer === undefined && value <= options.flapSuppress) {
+      this.evictDecayed();
       return;
     }
-    reuse?.cancel();
-    this.damp(member, value, reuse === undefined);
+    reuseTimer?.cancel();
+    this.damp(member, value, reuseTimer === undefined);
   }
 
   dispose(): void {
-    this.penalties.forEach(({ reuse }) => reuse?.cancel());
+    this.penalties.forEach(({ reuseTimer }) => reuseTimer?.cancel());
     this.penalties.clear();
   }
 
   private damp(member: string, value: number, isNew: boolean): void {
     const { clock, options } = this.context;
-    const wait = options.flapHalfLife * Math.log2(value / options.flapReuse);
-    const reuse = clock.setTimer(wait, () => this.release(member));
-    this.penalties.set(member, { value, at: clock.now(), reuse });
+    const delay = options.flapHalfLife * Math.log2(value / options.flapReuse);
+    const reuseTimer = clock.setTimer(delay, () => this.undamp(member));
+    this.penalties.set(member, { value, updatedAt: clock.now(), reuseTimer });
     if (isNew) {
       decide(this.context, { kind: 'member-damped', member, penalty: value });
       this.onChange();
     }
   }
 
-  private release(member: string): void {
-    const value = this.getValue(member);
-    this.penalties.set(member, { value, at: this.context.clock.now(), reuse: undefined });
+  private undamp(member: string): void {
+    const value = this.getPenalty(member);
+    this.penalties.set(member, {
+      value,
+      updatedAt: this.context.clock.now(),
+      reuseTimer: undefined,
+    });
     decide(this.context, { kind: 'member-undamped', member });
     this.onChange();
   }
 
-  private getValue(member: string): number {
+  private getPenalty(member: string): number {
     const penalty = this.penalties.get(member);
     if (penalty === undefined) {
       return 0;
     }
     const { clock, options } = this.context;
-    return penalty.value * 0.5 ** ((clock.now() - penalty.at) / options.flapHalfLife);
+    return penalty.value * 0.5 ** ((clock.now() - penalty.updatedAt) / options.flapHalfLife);
   }
 
-  private forgetOld(): void {
-    this.penalties.forEach(({ reuse }, member) => {
-      if (reuse === undefined && this.getValue(member) < FORGOTTEN) {
+  private evictDecayed(): void {
+    this.penalties.forEach(({ reuseTimer }, member) => {
+      if (reuseTimer === undefined && this.getPenalty(member) < MIN_PENALTY) {
         this.penalties.delete(member);
       }
     });
--- a/packages/cluster/src/lib/MemberTable/MemberTable.ts
+++ b/packages/cluster/src/lib/MemberTable/MemberTable.ts
@@ -3,25 +3,25 @@
 import type { MemberRecord, RecordVersion } from '../Member.js';
 import { isNewerRecord, isRunning, MemberState } from '../Member.js';
 
-/** How many buckets the records are compared in. */
+/** The number of buckets that records are hashed into for anti-entropy. */
 export const BUCKETS = 64;
 
-/** A record and what only this daemon knows about its member. */
+/** A member's record with what this daemon keeps locally about it. */
 export interface MemberEntry {
   readonly record: MemberRecord;
   readonly stateSince: Milliseconds;
-  /** Told by the member itself; 0 when it never did. */
+  /** The configuration generation that the member itself last reported; 0 if it never did. */
   readonly generation: number;
 }
 
-/** The bucket a member is compared in. */
+/** The index of the bucket that a member belongs to. */
 export function getBucket(id: string): number {
   return getHash(id) % BUCKETS;
 }
 
 /**
- * A record's share in its bucket's hash. Suspicion passes by itself and is left out; so are the
- * dead, who are forgotten at different times.
+ * A record's contribution to its bucket's hash. Suspicion is left out because it is temporary, and
+ * dead members because daemons evict them at different times.
  */
 function getRecordHash({ id, incarnation, refutation, state }: MemberRecord): number {
   const isLeaving = state === MemberState.Leaving;
@@ -29,8 +29,8 @@
 }
 
 /**
- * The records of all daemons but this one, and the hashes by which two daemons find out cheaply in
- * what their views differ.
+ * The records of all daemons except this one, with bucket hashes that let two daemons find out
+ * cheaply where their views differ.
  */
 export class MemberTable {
   private readonly entries = new Map<string, MemberEntry>();
@@ -41,14 +41,14 @@
 
   private running = 0;
 
-  private changes = 0;
+  private changeCount = 0;
 
-  /** Grows with every change that others can see. */
+  /** Increases with every added, changed or removed record. */
   get version(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
-  /** How many members are not dead. */
+  /** The number of members that are not dead. */
   get runningCount(): number {
     return this.running;
   }
@@ -61,34 +61,33 @@
     return this.entries.values();
   }
 
-  /** The records of one bucket. */
   getBucketRecords(bucket: number): MemberRecord[] {
     return [...this.buckets[bucket]!].map((id) => this.entries.get(id)!.record);
   }
 
   /**
-   * Takes a record if it holds against the one known.
+   * Stores a record if it is newer than the known one.
    *
-   * @returns the record before it, or undefined when the member was unknown; `kept` when the one
-   *   known holds
+   * @returns the previous record, or undefined if the member was unknown; `not-newer` if the known
+   *   record is kept
    */
-  merge(record: MemberRecord, now: Milliseconds): MemberRecord | 'kept' | undefined {
+  merge(record: MemberRecord, now: Milliseconds): MemberRecord | 'not-newer' | undefined {
     const entry = this.entries.get(record.id);
     if (entry !== undefined && !isNewerRecord(record, entry.record)) {
-      return 'kept';
+      return 'not-newer';
     }
-    const before = entry?.record;
+    const previous = entry?.record;
     this.set(record, entry, now);
-    return before;
+    return previous;
   }
 
-  /** What a verdict on a member makes of its record; undefined when the member is unknown. */
-  getJudged(id: string, version: RecordVersion): MemberRecord | undefined {
+  /** The member's record with the given state and version; undefined if the member is unknown. */
+  getUpdatedRecord(id: string, version: RecordVersion): MemberRecord | undefined {
     const entry = this.entries.get(id);
     return entry && { ...entry.record, ...version };
   }
 
-  /** Notes what a member itself told. */
+  /** Records the configuration generation that a member itself reported. */
   setGeneration(id: string, generation: number): void {
     const entry = this.entries.get(id);
     if (entry !== undefined && entry.generation !== generation) {
@@ -96,18 +95,18 @@
     }
   }
 
-  forget(id: string): void {
+  remove(id: string): void {
     const entry = this.entries.get(id);
     if (entry !== undefined) {
-      this.discount(entry.record);
+      this.subtractFromTotals(entry.record);
       this.buckets[getBucket(id)]!.delete(id);
       this.entries.delete(id);
-      this.changes += 1;
+      this.changeCount += 1;
     }
   }
 
   /**
-   * The hashes of all buckets, this daemon's own record included, as bytes.
+   * The hashes of all buckets as bytes, including this daemon's own record.
    *
    * @param self - this daemon's own record
    */
@@ -119,21 +118,21 @@
     return new Uint8Array(hashes.buffer);
   }
 
-  private set(record: MemberRecord, before: MemberEntry | undefined, now: Milliseconds): void {
+  private set(record: MemberRecord, previous: MemberEntry | undefined, now: Milliseconds): void {
     const isSameState =
-      before?.record.state === record.state && before.record.incarnation === record.incarnation;
-    if (before !== undefined) {
-      this.discount(before.record);
+      previous?.record.state === record.state && previous.record.incarnation === record.incarnation;
+    if (previous !== undefined) {
+      this.subtractFromTotals(previous.record);
     }
-    const stateSince = isSameState ? before.stateSince : now;
-    this.entries.set(record.id, { record, stateSince, generation: before?.generation ?? 0 });
+    const stateSince = isSameState ? previous.stateSince : now;
+    this.entries.set(record.id, { record, stateSince, generation: previous?.generation ?? 0 });
     this.buckets[getBucket(record.id)]!.add(record.id);
     this.toggleHash(record);
     this.running += isRunning(record.state) ? 1 : 0;
-    this.changes += 1;
+    this.changeCount += 1;
   }
 
-  private discount(record: MemberRecord): void {
+  private subtractFromTotals(record: MemberRecord): void {
     this.toggleHash(record);
     this.running -= isRunning(record.state) ? 1 : 0;
   }
--- a/packages/cluster/src/lib/Membership/Membership.test.ts
+++ b/packages/cluster/src/lib/Membership/Membership.test.ts
@@ -2,7 +2,7 @@
 import type { Member } from '../Member.js';
 import { MemberState } from '../Member.js';
 
-const NINE = { 'fi/a': 3, 'fi/b': 3, 'fi/c': 3 };
+const NINE_DAEMONS = { 'fi/a': 3, 'fi/b': 3, 'fi/c': 3 };
 
 const clusters: TestCluster[] = [];
 
@@ -16,8 +16,8 @@
 afterEach(() => clusters.splice(0).forEach((cluster) => cluster.dispose()));
 
 describe('Membership', () => {
-  it('takes a crashed daemon for dead, everywhere, and its next process for alive', () => {
-    const cluster = createCluster({ zones: NINE });
+  it('declares a crashed daemon dead on all daemons, and its next process alive', () => {
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [crashed] = cluster.daemons;
     const { incarnation } = getView(cluster.daemons[1]!, crashed!.id)!;
     cluster.crash(crashed!);
@@ -31,11 +31,10 @@
     expect(cluster.runUntil(isBack, 15_000)).toBe(true);
   });
 
-  it('keeps the view of a daemon whose own network is broken, and takes it back after', () => {
-    // Symptom: one daemon's broken network empties its view, and it acts as if it were alone.
-    // Sequence: a daemon looks for one that crashed, so it has tried everybody lately; then its
-    // network breaks; one probe after the other fails.
-    // Cause: silence is taken for the peers' fault whoever's fault it is.
+  it('keeps the view of a daemon whose own network is broken, and lets it rejoin afterwards', () => {
+    // Guards against a daemon whose own network breaks declaring all its peers dead and acting as if
+    // it were alone. The crash before makes it probe all peers, so that all of its results are
+    // recent when its network breaks and one probe after another fails.
     const cluster = createCluster({ zones: { 'fi/a': 20 } });
     const [cutOff, crashed] = cluster.daemons;
     cluster.crash(crashed!);
@@ -55,15 +54,14 @@
     expect(cluster.runUntil(isWhole, 30_000)).toBe(true);
   });
 
-  it('suspects nobody before it has seen that its own network works', () => {
-    // Symptom: a daemon that is cut off suspects healthy peers, and says so once it is back.
-    // Sequence: it has tried many peers lately, who answered; its network breaks; the first probe
-    // fails, and those through other peers.
-    // Cause: most of the peers it has tried did answer, so it takes its network to be sound.
+  it('suspects nobody before another response has shown that its own network works', () => {
+    // Guards against a daemon that is cut off suspecting healthy peers, and gossiping it once it is
+    // reconnected: many recent probes succeeded, so its network still seems sound when the first
+    // direct and indirect pings fail.
     const cluster = createCluster({ zones: { 'fi/a': 20 } });
     const [cutOff] = cluster.daemons;
     const { counters } = cutOff!.host.core;
-    // The path to one neighbour is broken, so that the daemon tries more peers than its neighbours.
+    // The path to one neighbour is broken, so that the daemon probes more than its neighbours.
     cluster.getOthers(cutOff!).some((far) => {
       const ends = [cutOff!.id, far.id];
       cluster.faults.canPass = (from, to) => !(ends.includes(from) && ends.includes(to));
@@ -75,12 +73,11 @@
     expect(getDecided(cutOff!, 'member-suspected')).toEqual([]);
   });
 
-  it('holds a suspicion while the refutation cannot arrive', () => {
-    // Symptom: a daemon that is cut off loses healthy members that were suspected just before.
-    // Sequence: a daemon stops for a moment and is suspected; a second one is cut off; the first
-    // goes on and refutes, which the second cannot hear; the suspicion's time runs out there.
-    // Cause: the time to refute goes on while no refutation can come.
-    const cluster = createCluster({ zones: NINE });
+  it('does not let a suspicion time out while the refutation cannot arrive', () => {
+    // Guards against a daemon that is cut off declaring healthy members dead that were suspected
+    // shortly before: the first daemon pauses and is suspected, the second is cut off and cannot
+    // receive the refutation before its suspicion times out.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [cutOff, paused] = cluster.daemons;
     paused!.clock.freeze();
     const isSuspected = () => getView(cutOff!, paused!.id)?.state === MemberState.Suspect;
@@ -92,12 +89,11 @@
     expect(getDecided(cutOff!, 'member-dead')).toEqual([]);
   });
 
-  it('declares nobody dead for the time it slept itself', () => {
-    // Symptom: a daemon that was stopped for a while declares a healthy one dead as it goes on.
-    // Sequence: a member is suspected; the daemon is stopped; the member refutes; the daemon goes
-    // on, and the timer of the suspicion runs before the refutation is read.
-    // Cause: timers count the time in which the process could not hear anything.
-    const cluster = createCluster({ zones: NINE });
+  it('declares nobody dead because of its own pause', () => {
+    // Guards against a daemon that resumes after a pause declaring a healthy member dead: the member
+    // refuted its suspicion during the pause, and the suspicion's timer runs before the refutation
+    // is read from the network.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [sleeper, paused] = cluster.daemons;
     paused!.clock.freeze();
     const isSuspected = () => getView(sleeper!, paused!.id)?.state === MemberState.Suspect;
@@ -112,8 +108,8 @@
     expect(getView(sleeper!, paused!.id)?.state).toBe(MemberState.Alive);
   });
 
-  it('notices its own sleep also when a suspicion’s timer is the first to run', () => {
-    // As above, with little of the time to refute left as the process stops.
+  it('detects its own pause also when a suspicion’s timer is the first to run', () => {
+    // As above, with little of the suspicion timeout left when the process is paused.
     const options = { gossipBytesPerSecond: 0, syncInterval: 10_000_000 };
     const cluster = new TestCluster({ zones: { 'fi/a': 1 }, options });
     clusters.push(cluster);
@@ -130,12 +126,11 @@
     expect(getDecided(sleeper!, 'member-dead')).toEqual([]);
   });
 
-  it('does not forget that a member is leaving when it refutes its death', () => {
-    // Symptom: a daemon that is shutting down gets new duties.
-    // Sequence: it announces that it leaves; it is cut off and taken for dead; it comes back and
-    // contradicts its death.
-    // Cause: the refutation says alive where it has to say leaving.
-    const cluster = createCluster({ zones: NINE });
+  it('keeps the leaving state of a member that refutes its death', () => {
+    // Guards against a daemon that is shutting down getting new duties: it announces that it is
+    // leaving, is cut off and declared dead, reconnects and refutes. The refutation must say
+    // leaving, not alive.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [leaving, other] = cluster.daemons;
     leaving!.host.core.handle({ kind: 'announce-leaving' });
     cluster.run(5000);
@@ -148,23 +143,22 @@
     expect(new Set(states)).toEqual(new Set([MemberState.Leaving]));
   });
 
-  it('notices a crash although another daemon answers at the address by now', () => {
-    // Symptom: a daemon that was replaced stays in the view, for good.
-    // Sequence: its process ends; a daemon of another id starts at the same address.
-    // Cause: whoever answers at the address is taken for the one who was there.
-    const cluster = createCluster({ zones: NINE, listLag: 10_000_000 });
+  it('detects a crash although another daemon now answers at the address', () => {
+    // Guards against a replaced daemon staying in the view for good: its process ends, a daemon with
+    // another id starts at the same address, and its responses are attributed to the old one.
+    const cluster = createCluster({ zones: NINE_DAEMONS, listLag: 10_000_000 });
     const [gone, other] = cluster.daemons;
     cluster.crash(gone!);
-    const heir = cluster.restart(gone!, 0, 'daemon-heir');
-    const isReplaced = () => getView(other!, heir.id) && !getView(other!, gone!.id);
+    const replacement = cluster.restart(gone!, 0, 'daemon-heir');
+    const isReplaced = () => getView(other!, replacement.id) && !getView(other!, gone!.id);
     expect(cluster.runUntil(() => Boolean(isReplaced()), 30_000)).toBe(true);
   });
 
-  it('is told by whom it talks to that it is taken for dead', () => {
-    // Symptom: a daemon that was away stays dead for the others although it talks to them.
-    // Sequence: it is cut off and taken for dead; all rumours of it have been told; it comes back.
-    // Cause: nobody probes the dead, and nobody tells the daemon what is said of it.
-    const cluster = createCluster({ zones: NINE, options: { syncInterval: 10_000_000 } });
+  it('learns from the peers it calls that it was declared dead', () => {
+    // Guards against a daemon that reconnects staying dead for the others although it calls them:
+    // the rumours of its death have been sent out by then, nobody probes dead members, and nobody
+    // else would tell it that it has to refute.
+    const cluster = createCluster({ zones: NINE_DAEMONS, options: { syncInterval: 10_000_000 } });
     const [away, other] = cluster.daemons;
     cluster.isolate(away!);
     cluster.run(120_000);
@@ -175,10 +169,9 @@
   });
 
   it('suspects nobody when only the path between two daemons is broken', () => {
-    // Symptom: a healthy daemon is suspected again and again.
-    // Sequence: the path between two daemons breaks; all other paths work.
-    // Cause: one daemon's failure to reach another is taken for the other's death.
-    const cluster = createCluster({ zones: NINE });
+    // Guards against a healthy daemon being suspected again and again because one other daemon fails
+    // to reach it, while all other paths work.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const pairs = cluster.daemons.map(({ id }, index) => [
       id,
       cluster.daemons[(index + 1) % 9]!.id,
@@ -190,12 +183,11 @@
     expect(cluster.daemons.some(({ host }) => host.core.counters.probeFailures > 0)).toBe(true);
   });
 
-  it('takes a process for the newest although the clock before it ran ahead', () => {
-    // Symptom: a restarted daemon is invisible, for as long as the clocks differ.
-    // Sequence: a daemon's process ends; the next one of that id starts on a machine whose clock is
-    // an hour behind.
-    // Cause: its incarnation is lower than the one everybody holds for dead.
-    const cluster = createCluster({ zones: NINE });
+  it('accepts a restarted process although the clock of the previous one was ahead', () => {
+    // Guards against a restarted daemon staying invisible for as long as the clocks differ: it
+    // starts on a machine whose clock is an hour behind, so its incarnation is lower than the one
+    // that peers hold as dead.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [old] = cluster.daemons;
     cluster.crash(old!);
     cluster.run(20_000);
@@ -204,10 +196,9 @@
     expect(cluster.runUntil(isBack, 30_000)).toBe(true);
   });
 
-  it('is not brought back by a late word from before the death, and forgets it in the end', () => {
-    // Symptom: a dead daemon is back in the view, again and again.
-    // Sequence: a daemon crashes; its death is known; a record from before arrives late.
-    // Cause: who is taken for dead is forgotten at once, and the record looks new.
+  it('does not revive a dead member for a delayed record, and evicts its tombstone in the end', () => {
+    // Guards against a dead daemon coming back into the view again and again: if its tombstone were
+    // evicted at once, a delayed record from before its death would look new.
     const cluster = createCluster({ zones: { 'fi/a': 6 }, options: { tombstoneSpan: 100_000 } });
     const [crashed, other] = cluster.daemons;
     const { stateSince, ...member } = getView(other!, crashed!.id)!;
@@ -222,11 +213,10 @@
     expect(getView(other!, crashed!.id)).toBeDefined();
   });
 
-  it('gives no duties to a member that comes and goes', () => {
-    // Symptom: duties move back and forth with one daemon, and each move costs everybody.
-    // Sequence: a daemon crashes and starts again, four times.
-    // Cause: it is trusted anew each time.
-    const cluster = createCluster({ zones: NINE });
+  it('gives no duties to a flapping member', () => {
+    // Guards against duties moving back and forth with one daemon, each time at a cost to all: it
+    // crashes and restarts four times, and would be eligible again after each restart.
+    const cluster = createCluster({ zones: NINE_DAEMONS });
     const [, other] = cluster.daemons;
     let [flapping] = cluster.daemons;
     for (let crash = 0; crash < 4; crash += 1) {
@@ -240,7 +230,7 @@
       isDamped: true,
       isEligible: false,
     });
-    const isTrusted = () => getView(other!, flapping!.id)?.isEligible === true;
-    expect(cluster.runUntil(isTrusted, 120_000)).toBe(true);
+    const isEligible = () => getView(other!, flapping!.id)?.isEligible === true;
+    expect(cluster.runUntil(isEligible, 120_000)).toBe(true);
   });
 });
--- a/packages/cluster/src/lib/Membership/Membership.ts
+++ b/packages/cluster/src/lib/Membership/Membership.ts
@@ -11,30 +11,30 @@
 import type { Rumour, Verdict } from '../messages.js';
 import { PauseDetector } from '../PauseDetector/PauseDetector.js';
 import { SelfRecord } from '../SelfRecord/SelfRecord.js';
-import { Suspicions } from './SuspicionTimers.js';
+import { SuspicionTimers } from './SuspicionTimers.js';
 
-/** How a change of a member's record came here. */
+/** How a change to a member's record reached this daemon. */
 export enum WordFrom {
-  /** This daemon's own finding, or a rumour: it is passed on. */
+  /** This daemon's own observation, or a rumour: it is gossiped further. */
   Rumour = 'rumour',
-  /** A comparison of whole views: too much to pass on, and peers compare too. */
+  /** An anti-entropy exchange: too much to gossip further, and peers run exchanges themselves. */
   Comparison = 'comparison',
 }
 
-interface MembershipParts {
+interface MembershipSettings {
   context: CoreContext;
   identity: DaemonIdentity;
   tell: (rumour: Rumour) => void;
-  /** Whether a region can be reached from here. */
+  /** Whether a region is reachable from this daemon. */
   isRegionReachable: (region: string) => boolean;
-  /** Whether this daemon is among those that find out whether the member is there. */
+  /** Whether the member is in this daemon's region, whose daemons detect its failure. */
   isOursToJudge: (member: string) => boolean;
   onChange: () => void;
 }
 
 /**
- * Who the other daemons are and what state they are in. Takes records, verdicts and own findings,
- * decides which hold, and has them passed on.
+ * The membership view: which other daemons exist and what state they are in. Merges records and
+ * state updates from peers with this daemon's own observations, and gossips what is new.
  */
 export class Membership {
   readonly table = new MemberTable();
@@ -43,77 +43,77 @@
 
   readonly experience: Experience;
 
-  readonly pause: PauseDetector;
+  readonly pauseDetector: PauseDetector;
 
-  readonly damper: FlapDamper;
+  readonly flapDamper: FlapDamper;
 
-  private readonly suspicions: Suspicions;
+  private readonly suspicionTimers: SuspicionTimers;
 
   private readonly context: CoreContext;
 
   private readonly startedAt: Milliseconds;
 
-  constructor(private readonly parts: MembershipParts) {
-    const { context, identity, onChange } = parts;
+  constructor(private readonly settings: MembershipSettings) {
+    const { context, identity, onChange } = settings;
     this.context = context;
     this.startedAt = context.clock.now();
     this.experience = new Experience(context, onChange);
-    this.pause = new PauseDetector(context);
-    this.damper = new FlapDamper(context, onChange);
+    this.pauseDetector = new PauseDetector(context);
+    this.flapDamper = new FlapDamper(context, onChange);
     this.self = new SelfRecord(context, identity, (record) => this.tellSelf(record));
-    this.suspicions = new Suspicions({
+    this.suspicionTimers = new SuspicionTimers({
       context,
-      isOnHold: (member) => this.isOnHold(member),
-      onExpired: (member) => this.declareDead(member, DeathCause.Unrefuted),
+      isExpiryDeferred: (member) => this.isExpiryDeferred(member),
+      onExpiry: (member) => this.declareDead(member, DeathCause.Unrefuted),
     });
   }
 
-  /** How many members are there, this daemon among them. */
+  /** The number of running members, including this daemon. */
   get size(): number {
     return this.table.runningCount + 1;
   }
 
-  /** Tells everybody of this daemon as it is now. */
+  /** Gossips this daemon's current record. */
   tellSelf(record = this.self.get()): void {
-    this.parts.tell({ kind: 'member', record });
-    this.parts.onChange();
+    this.settings.tell({ kind: 'member', record });
+    this.settings.onChange();
   }
 
   /**
-   * Takes a record from a peer.
+   * Merges a record received from a peer.
    *
-   * @returns a newer record, if this daemon holds one
+   * @returns the record that this daemon holds, if it differs from the received one and wins
    */
-  hearRecord(record: MemberRecord, from: WordFrom): MemberRecord | undefined {
+  hearRecord(record: MemberRecord, source: WordFrom): MemberRecord | undefined {
     if (record.id === this.self.get().id) {
-      this.self.hear(record);
+      this.self.refute(record);
       return undefined;
     }
-    const before = this.table.merge(record, this.context.clock.now());
-    if (before === 'kept') {
-      return this.getCorrection(record);
+    const previous = this.table.merge(record, this.context.clock.now());
+    if (previous === 'not-newer') {
+      return this.getNewerRecord(record);
     }
-    if (from === WordFrom.Rumour) {
-      this.parts.tell({ kind: 'member', record });
+    if (source === WordFrom.Rumour) {
+      this.settings.tell({ kind: 'member', record });
     }
-    this.follow(before, record, DeathCause.Word);
+    this.handleStateChange(previous, record, DeathCause.Word);
     return undefined;
   }
 
   /**
-   * Takes a verdict from a peer.
+   * Applies a state update received from a peer.
    *
-   * @returns a newer record, if this daemon holds one
+   * @returns the record that this daemon holds, if it differs from the update and wins
    */
-  hearVerdict(verdict: Verdict): MemberRecord | undefined {
-    if (verdict.id === this.self.get().id) {
-      this.self.hear(verdict);
+  hearVerdict(update: Verdict): MemberRecord | undefined {
+    if (update.id === this.self.get().id) {
+      this.self.refute(update);
       return undefined;
     }
-    return this.judge(verdict, DeathCause.Word);
+    return this.applyStateUpdate(update, DeathCause.Word);
   }
 
-  /** This daemon and those it asked could not reach the member. */
+  /** Suspects a member that failed both the direct probe and the indirect ones. */
   suspect(member: string): void {
     const record = this.table.get(member)?.record;
     if (record?.state === MemberState.Leaving) {
@@ -122,7 +122,10 @@
       const { id, incarnation, refutation } = record;
       this.context.counters.suspicions += 1;
       decide(this.context, { kind: 'member-suspected', member, incarnation });
-      this.judge({ id, incarnation, refutation, state: MemberState.Suspect }, DeathCause.Word);
+      this.applyStateUpdate(
+        { id, incarnation, refutation, state: MemberState.Suspect },
+        DeathCause.Word,
+      );
     }
   }
 
@@ -130,11 +133,11 @@
     const record = this.table.get(member)?.record;
     if (record !== undefined && isRunning(record.state)) {
       const { id, incarnation, refutation } = record;
-      this.judge({ id, incarnation, refutation, state: MemberState.Dead }, cause);
+      this.applyStateUpdate({ id, incarnation, refutation, state: MemberState.Dead }, cause);
     }
   }
 
-  /** What a peer ought to know about itself: that others hold it suspect or dead. */
+  /** The record of a peer that is not alive in this view, to send to the peer so it can refute. */
   getWordOn(member: string): Rumour[] {
     const record = this.table.get(member)?.record;
     return record === undefined || record.state === MemberState.Alive
@@ -143,31 +146,33 @@
   }
 
   /**
-   * To be called before anything is concluded from time that passed.
+   * Checks whether this process was paused. Must be called before drawing any conclusion from
+   * elapsed time.
    *
-   * @returns whether this process has just gone on after a pause: what fell due meanwhile proves
-   *   nothing
+   * @returns whether this process has just resumed after a pause: timeouts that expired in the
+   *   meantime prove nothing
    */
   noticePause(): boolean {
-    const hasPaused = this.pause.check();
+    const hasPaused = this.pauseDetector.check();
     if (hasPaused) {
-      this.suspicions.restart();
+      this.suspicionTimers.restart();
     }
     return hasPaused;
   }
 
   /**
-   * Forgets those who have been dead for long. Until then they stay known: a late message from
-   * before the death would otherwise bring them back, everywhere.
+   * Evicts dead members after the tombstone retention. Until then their records are kept as
+   * tombstones: otherwise a delayed message from before the death would bring a member back on
+   * every daemon.
    */
   forgetDead(): void {
-    const oldest = this.context.clock.now() - this.context.options.tombstoneSpan;
+    const evictBefore = this.context.clock.now() - this.context.options.tombstoneSpan;
     [...this.table.values()]
-      .filter(({ record, stateSince }) => !isRunning(record.state) && stateSince < oldest)
-      .forEach(({ record }) => this.table.forget(record.id));
+      .filter(({ record, stateSince }) => !isRunning(record.state) && stateSince < evictBefore)
+      .forEach(({ record }) => this.table.remove(record.id));
   }
 
-  /** All members but the dead, this daemon first. */
+  /** All members that are not dead, starting with this daemon. */
   getMembers(ownGeneration: number): Member[] {
     const self = this.getMember({
       record: this.self.get(),
@@ -181,32 +186,36 @@
   }
 
   dispose(): void {
-    this.suspicions.dispose();
-    this.damper.dispose();
+    this.suspicionTimers.dispose();
+    this.flapDamper.dispose();
   }
 
-  private judge(verdict: Verdict, cause: DeathCause): MemberRecord | undefined {
-    const record = this.table.getJudged(verdict.id, verdict);
+  private applyStateUpdate(update: Verdict, cause: DeathCause): MemberRecord | undefined {
+    const record = this.table.getUpdatedRecord(update.id, update);
     if (record === undefined) {
       return undefined;
     }
-    const before = this.table.merge(record, this.context.clock.now());
-    if (before === 'kept') {
-      return this.getCorrection(record);
+    const previous = this.table.merge(record, this.context.clock.now());
+    if (previous === 'not-newer') {
+      return this.getNewerRecord(record);
     }
-    this.parts.tell({ kind: 'verdict', verdict });
-    this.follow(before, record, cause);
+    this.settings.tell({ kind: 'verdict', verdict: update });
+    this.handleStateChange(previous, record, cause);
     return undefined;
   }
 
-  /** What else a change of a member's record entails. */
-  private follow(before: MemberRecord | undefined, record: MemberRecord, cause: DeathCause): void {
+  /** Applies the side effects of a change to a member's record. */
+  private handleStateChange(
+    previous: MemberRecord | undefined,
+    record: MemberRecord,
+    cause: DeathCause,
+  ): void {
     const { id, incarnation, state } = record;
-    this.suspicions.cancel(id);
-    this.punishReturn(before, record);
+    this.suspicionTimers.cancel(id);
+    this.penalizeReturn(previous, record);
     switch (state) {
       case MemberState.Suspect:
-        this.suspicions.start(id);
+        this.suspicionTimers.start(id);
         break;
       case MemberState.Leaving:
         decide(this.context, { kind: 'member-leaving', member: id });
@@ -217,45 +226,46 @@
         break;
       case MemberState.Alive:
       default: {
-        const isRefuted = before?.state === MemberState.Suspect;
+        const isRefuted = previous?.state === MemberState.Suspect;
         const kind = isRefuted ? 'member-refuted' : 'member-joined';
         decide(this.context, { kind, member: id, incarnation });
       }
     }
-    this.parts.onChange();
+    this.settings.onChange();
   }
 
-  private punishReturn(before: MemberRecord | undefined, { id, state }: MemberRecord): void {
-    if (before === undefined || state !== MemberState.Alive) {
+  private penalizeReturn(previous: MemberRecord | undefined, { id, state }: MemberRecord): void {
+    if (previous === undefined || state !== MemberState.Alive) {
       return;
     }
-    const isRefutation = before.state === MemberState.Suspect;
-    this.damper.add(id, isRefutation ? REFUTATION_PENALTY : RETURN_PENALTY);
+    const isRefutation = previous.state === MemberState.Suspect;
+    this.flapDamper.addPenalty(id, isRefutation ? REFUTATION_PENALTY : RETURN_PENALTY);
   }
 
-  private getCorrection(heard: MemberRecord): MemberRecord | undefined {
-    const known = this.table.get(heard.id)!.record;
+  private getNewerRecord(received: MemberRecord): MemberRecord | undefined {
+    const known = this.table.get(received.id)!.record;
     const isSame =
-      known.incarnation === heard.incarnation &&
-      known.refutation === heard.refutation &&
-      known.state === heard.state;
+      known.incarnation === received.incarnation &&
+      known.refutation === received.refutation &&
+      known.state === received.state;
     return isSame ? undefined : known;
   }
 
   /**
-   * Whether no conclusion may be drawn from a member's silence: its refutation cannot arrive while
-   * this process sleeps or is cut off. Another region judges its own daemons, and its verdict
-   * arrives when it can; a refutation may never, when the regions lose each other.
+   * Whether a suspected member must not be declared dead yet: its refutation cannot arrive while
+   * this process is paused or cut off. Daemons of another region are declared dead by that region,
+   * whose update arrives once the connection allows; while the regions are partitioned, a
+   * refutation may never arrive.
    */
-  private isOnHold(member: string): boolean {
-    return this.noticePause() || this.experience.isCutOff || !this.parts.isOursToJudge(member);
+  private isExpiryDeferred(member: string): boolean {
+    return this.noticePause() || this.experience.isCutOff || !this.settings.isOursToJudge(member);
   }
 
   private getMember({ record, stateSince, generation }: MemberEntry): Member {
     const { id, region, availabilityZone, host, port, meshPort, adminPort } = record;
     const { incarnation, state } = record;
-    const isReachable = this.parts.isRegionReachable(region);
-    const isDamped = this.damper.isDamped(id);
+    const isReachable = this.settings.isRegionReachable(region);
+    const isDamped = this.flapDamper.isDamped(id);
     return {
       id,
       region,
--- a/packages/cluster/src/lib/Membership/SuspicionTimers.ts
+++ b/packages/cluster/src/lib/Membership/SuspicionTimers.ts
@@ -1,21 +1,21 @@
 import type { Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
 
-interface SuspicionParts {
+interface SuspicionTimersSettings {
   context: CoreContext;
-  /** Whether no conclusion may be drawn from a member's silence now. */
-  isOnHold: (member: string) => boolean;
-  onExpired: (member: string) => void;
+  /** Whether the member must not be declared dead now, although its suspicion timed out. */
+  isExpiryDeferred: (member: string) => boolean;
+  onExpiry: (member: string) => void;
 }
 
-/** The time that suspected members still have to refute. */
-export class Suspicions {
+/** The timeouts of suspected members: one that does not refute in time is declared dead. */
+export class SuspicionTimers {
   private readonly timers = new Map<string, Timer>();
 
-  constructor(private readonly parts: SuspicionParts) {}
+  constructor(private readonly settings: SuspicionTimersSettings) {}
 
   start(member: string): void {
-    const { context } = this.parts;
+    const { context } = this.settings;
     this.timers.get(member)?.cancel();
     const timer = context.clock.setTimer(context.options.suspicionSpan, () => this.expire(member));
     this.timers.set(member, timer);
@@ -26,7 +26,7 @@
     this.timers.delete(member);
   }
 
-  /** Gives all of them their full time again. */
+  /** Restarts all timers with the full suspicion timeout. */
   restart(): void {
     [...this.timers.keys()].forEach((member) => this.start(member));
   }
@@ -36,13 +36,16 @@
     this.timers.clear();
   }
 
-  /** While on hold the member gets its full time again: a refutation cannot arrive either. */
+  /**
+   * While expiry is deferred, the timer restarts with the full timeout: a refutation cannot arrive
+   * either.
+   */
   private expire(member: string): void {
-    if (this.parts.isOnHold(member)) {
+    if (this.settings.isExpiryDeferred(member)) {
       this.start(member);
     } else {
       this.timers.delete(member);
-      this.parts.onExpired(member);
+      this.settings.onExpiry(member);
     }
   }
 }
--- a/packages/cluster/src/lib/ProbeTargets/ProbeTargets.test.ts
+++ b/packages/cluster/src/lib/ProbeTargets/ProbeTargets.test.ts
@@ -24,16 +24,15 @@
 }
 
 describe('ProbeTargets', () => {
-  it('has every daemon probed by another, by as many as there are rings on average', () => {
+  it('has every daemon probed by another, and on average by as many as there are rings', () => {
     const probed = records.flatMap((self) => createTargets(self).targets.getNeighbours());
     expect(new Set(probed).size).toBe(records.length);
     expect(probed).toHaveLength(records.length * defaultClusterOptions.probeRings);
   });
 
-  it('looks behind neighbours that are suspected, without losing sight of them', () => {
-    // Symptom: it takes longer to notice the failure of a zone than that of a daemon.
-    // Sequence: many daemons fail at once; some of them were probed by failed ones only.
-    // Cause: nobody looks behind the failed ones until they are declared dead.
+  it('probes the successors of suspected neighbours, and keeps probing the suspects', () => {
+    // Guards against the failure of a zone taking longer to detect than that of a daemon: many
+    // daemons fail at once, and some of them were probed only by failed ones.
     const { table, targets } = createTargets(records[0]!);
     const before = [...targets.getNeighbours()];
     before.forEach((id) => {
--- a/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
+++ b/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
@@ -4,16 +4,16 @@
 import { isRunning, MemberState } from '../Member.js';
 import type { MemberTable } from '../MemberTable/MemberTable.js';
 
-const CIRCLE = 2 ** 32;
+const HASH_SPACE = 2 ** 32;
 
-/** More suspects than this are not looked behind on one ring. */
-const MAX_FOLLOWERS = 4;
+/** The most members that are probed on one ring when the nearest ones are suspected. */
+const MAX_SUCCESSORS = 4;
 
-/** The index of the lowest distance above `passed`; -1 when there is none. */
-function getNext(distances: readonly number[], passed: number): number {
+/** The index of the lowest distance above `lowerBound`; -1 if there is none. */
+function getNextIndex(distances: readonly number[], lowerBound: number): number {
   let next = -1;
   distances.forEach((distance, index) => {
-    if (distance > passed && (next < 0 || distance < distances[next]!)) {
+    if (distance > lowerBound && (next < 0 || distance < distances[next]!)) {
       next = index;
     }
   });
@@ -21,37 +21,40 @@
 }
 
 /**
- * The members that follow a daemon's place on a ring, in order, up to the first that `isEnough`.
- * Each is found by going through all of them: nearly always the first one is enough.
+ * The successors of a daemon on a ring, in order, up to the first one that `shouldStop` accepts.
+ * Each is found by a linear scan, since the first successor is nearly always sufficient.
  */
-function getFollowers(
+function getSuccessors(
   self: string,
   members: readonly string[],
   ring: number,
-  isEnough: (member: string, count: number) => boolean,
+  shouldStop: (member: string, count: number) => boolean,
 ): string[] {
   const start = getHash(self, ring);
-  const distances = members.map((member) => (getHash(member, ring) - start + CIRCLE) % CIRCLE);
-  const followers: string[] = [];
-  let next = getNext(distances, -1);
+  const distances = members.map(
+    (member) => (getHash(member, ring) - start + HASH_SPACE) % HASH_SPACE,
+  );
+  const successors: string[] = [];
+  let next = getNextIndex(distances, -1);
   while (next >= 0) {
-    followers.push(members[next]!);
-    const isLast = isEnough(members[next]!, followers.length);
-    next = isLast ? -1 : getNext(distances, distances[next]!);
+    successors.push(members[next]!);
+    const isLast = shouldStop(members[next]!, successors.length);
+    next = isLast ? -1 : getNextIndex(distances, distances[next]!);
   }
-  return followers;
+  return successors;
 }
 
 /**
- * Whom a daemon probes. Each daemon has a place on several rings; it probes its next neighbour on
- * each, so that everybody is probed by as many others, over connections that stay open. Probing
- * anybody at random, as usual over UDP, would open a TCP connection for each probe at 1,800.
+ * Selects the members that a daemon probes. Each daemon has a position on several hash rings and
+ * probes its successor on each, so that every daemon is probed by as many others on average, over
+ * connections that stay open. Random probing, as SWIM does over UDP, would open a TCP connection for
+ * nearly every probe in a cluster of 1,800 daemons.
  *
- * The rings of a region hold its own daemons only: when regions lose each other, nobody is
- * suspected for it. Into each other region a daemon keeps one link.
+ * A region's rings contain only its own daemons, so that a partition between regions makes nobody
+ * suspect. Each daemon keeps one link into every other region.
  */
 export class ProbeTargets {
-  private computedAt = -1;
+  private computedVersion = -1;
 
   private neighbours: string[] = [];
 
@@ -63,51 +66,58 @@
     private readonly options: ClusterOptions,
   ) {}
 
-  /** The next neighbours on the rings of the own region, without repetition. */
+  /** The successors on the rings of this daemon's region, without duplicates. */
   getNeighbours(): readonly string[] {
     this.refresh();
     return this.neighbours;
   }
 
-  /** The running members by region, without this daemon. */
+  /** The running members by region, excluding this daemon. */
   getRegions(): ReadonlyMap<string, readonly string[]> {
     this.refresh();
     return this.regions;
   }
 
-  /** The members of another region in the order in which this daemon tries them as its link. */
+  /**
+   * The member of another region to use as this daemon's link into it. Successive attempts go
+   * through the region's members in ring order.
+   */
   getLink(region: string, attempt: number): string | undefined {
     const members = this.getRegions().get(region) ?? [];
-    const place = (attempt % Math.max(1, members.length)) + 1;
-    const followers = getFollowers(this.self.id, members, 0, (_, count) => count === place);
-    return followers[place - 1];
+    const position = (attempt % Math.max(1, members.length)) + 1;
+    const successors = getSuccessors(this.self.id, members, 0, (_, count) => count === position);
+    return successors[position - 1];
   }
 
-  /** How many daemons a region has, this one among them. */
+  /** The number of running daemons in a region, including this one. */
   getRegionSize(region: string): number {
     const others = this.getRegions().get(region)?.length ?? 0;
     return region === this.self.region ? others + 1 : others;
   }
 
-  /** Whether this daemon may suspect the member and declare it dead: each region judges its own. */
+  /**
+   * Whether the member is in this daemon's region. Only then may this daemon suspect it or declare
+   * it dead: each region detects the failures of its own daemons.
+   */
   isOursToJudge(member: string): boolean {
     return this.table.get(member)?.record.region === this.self.region;
   }
 
   /**
-   * Whether a member's silence can speak for a fault of this daemon's own network. Other regions
-   * are lost together, which says nothing about it, unless they are nearly all there is.
+   * Whether calls to the member count as evidence about this daemon's own network. All members of
+   * another region become unreachable together, which says nothing about the local network, unless
+   * this daemon's region is too small to judge by.
    */
-  isInOwnCircle(member: string): boolean {
+  isLocalHealthEvidence(member: string): boolean {
     const isAmongFew = this.getRegionSize(this.self.region) < this.options.smallRegion;
     return isAmongFew || this.isOursToJudge(member);
   }
 
   private refresh(): void {
-    if (this.computedAt === this.table.version) {
+    if (this.computedVersion === this.table.version) {
       return;
     }
-    this.computedAt = this.table.version;
+    this.computedVersion = this.table.version;
     this.regions = new Map();
     [...this.table.values()]
       .filter(({ record }) => isRunning(record.state))
@@ -125,17 +135,17 @@
   }
 
   /**
-   * Each ring's neighbours are sought among those that no earlier ring has taken. Behind a suspect
-   * the next one is probed as well: when a whole zone fails, many of the dead were probed by dead
-   * ones only, and would be noticed one death after the other.
+   * Each ring considers only members that no earlier ring has selected. If a successor is suspected,
+   * the one after it is probed as well: when a whole zone fails, many of its daemons were probed
+   * only by other failed daemons, and their deaths would be detected one after another.
    */
   private computeNeighbours(members: readonly string[]): string[] {
     const neighbours: string[] = [];
     for (let ring = 0; ring < this.options.probeRings; ring += 1) {
       const others = members.filter((member) => !neighbours.includes(member));
-      const isEnough = (member: string, count: number) =>
-        count === MAX_FOLLOWERS || this.table.get(member)?.record.state !== MemberState.Suspect;
-      neighbours.push(...getFollowers(this.self.id, others, ring, isEnough));
+      const isLast = (member: string, count: number) =>
+        count === MAX_SUCCESSORS || this.table.get(member)?.record.state !== MemberState.Suspect;
+      neighbours.push(...getSuccessors(this.self.id, others, ring, isLast));
     }
     return neighbours;
   }
--- a/packages/cluster/src/lib/Prober/Prober.ts
+++ b/packages/cluster/src/lib/Prober/Prober.ts
@@ -7,39 +7,38 @@
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 
-/** What the prober works with. */
-export interface ProberParts {
+export interface ProberSettings {
   context: CoreContext;
   membership: Membership;
   targets: ProbeTargets;
   calls: PeerCalls;
   getGeneration: () => number;
   takeRumours: () => Rumour[];
-  /** Takes what an answer carries beside the answer. */
+  /** Handles the generation and the rumours that an ack carries. */
   hear: (member: string, answer: PeerAnswer) => void;
 }
 
 /**
- * Finds out who no longer answers: probes a neighbour at a time, asks other peers to try when it
- * does not answer, and has it suspected when they cannot reach it either.
+ * SWIM failure detector: pings one neighbour at a time, asks other peers for indirect pings if it
+ * does not respond, and has it suspected if they cannot reach it either.
  */
 export class Prober {
   private timer: Timer | undefined;
 
-  private turn = 0;
+  private neighbourIndex = 0;
 
-  constructor(private readonly parts: ProberParts) {}
+  constructor(private readonly settings: ProberSettings) {}
 
-  /** Starts to probe, at a phase of its own. */
+  /** Starts probing, with a random phase so that daemons do not probe in step. */
   start(): void {
-    const { context } = this.parts;
+    const { context } = this.settings;
     const phase = context.options.probeInterval * context.random.next();
     this.timer = context.clock.setTimer(phase, () => this.tick());
   }
 
-  /** Probes one member now. */
+  /** Pings one member now. */
   probe(member: string, onResult: (succeeded: boolean) => void = () => {}): void {
-    const { context, membership, calls } = this.parts;
+    const { context, membership, calls } = this.settings;
     const record = membership.table.get(member)?.record;
     if (record === undefined || !isRunning(record.state)) {
       return;
@@ -48,42 +47,42 @@
     context.counters.probes += 1;
     const request = {
       kind: 'ping',
-      generation: this.parts.getGeneration(),
+      generation: this.settings.getGeneration(),
       member,
-      rumours: [...membership.getWordOn(member), ...this.parts.takeRumours()],
+      rumours: [...membership.getWordOn(member), ...this.settings.takeRumours()],
     } as const;
-    calls.call(getMeshAddress(record), request, context.options.probeTimeout, (answer) => {
-      this.settle(member, startedAt, answer);
-      onResult(answer?.kind === 'ack');
+    calls.call(getMeshAddress(record), request, context.options.probeTimeout, (response) => {
+      this.handleProbeResult(member, startedAt, response);
+      onResult(response?.kind === 'ack');
     });
   }
 
-  /** Asks other peers whether they reach a member that did not answer. */
-  private probeThroughPeers(member: string, startedAt: Milliseconds): void {
-    const { context, membership, calls } = this.parts;
+  /** Sends indirect pings through other peers to a member that did not respond. */
+  private probeIndirectly(member: string, startedAt: Milliseconds): void {
+    const { context, membership, calls } = this.settings;
     const record = membership.table.get(member)?.record;
-    const relays = this.getRelays(member);
+    const relays = this.pickRelays(member);
     if (record === undefined || relays.length === 0) {
-      this.conclude(member, startedAt);
+      this.suspectUnlessUnhealthy(member, startedAt);
       return;
     }
-    let open = relays.length;
+    let pending = relays.length;
     let isReached = false;
     relays.forEach((relay) => {
       const request = {
         kind: 'ping-through',
-        generation: this.parts.getGeneration(),
+        generation: this.settings.getGeneration(),
         member,
         address: getMeshAddress(record),
         rumours: membership.getWordOn(member),
       } as const;
       const timeout = context.options.probeTimeout + context.options.indirectTimeout;
-      calls.call(this.getAddress(relay), request, timeout, (answer) => {
-        open -= 1;
-        isReached ||= answer?.kind === 'ack';
-        this.note(relay, startedAt, answer);
-        if (open === 0 && !isReached) {
-          this.conclude(member, startedAt);
+      calls.call(this.getAddress(relay), request, timeout, (response) => {
+        pending -= 1;
+        isReached ||= response?.kind === 'ack';
+        this.recordCallResult(relay, startedAt, response);
+        if (pending === 0 && !isReached) {
+          this.suspectUnlessUnhealthy(member, startedAt);
         }
       });
     });
@@ -94,73 +93,87 @@
   }
 
   private tick(): void {
-    const { context, membership, targets } = this.parts;
+    const { context, membership, targets } = this.settings;
     const neighbours = targets.getNeighbours();
     const interval = jitter(context, context.options.probeInterval);
     this.timer = context.clock.setTimer(interval, () => this.tick());
     membership.noticePause();
     if (neighbours.length > 0) {
-      this.turn = (this.turn + 1) % neighbours.length;
-      this.probe(neighbours[this.turn]!);
+      this.neighbourIndex = (this.neighbourIndex + 1) % neighbours.length;
+      this.probe(neighbours[this.neighbourIndex]!);
     }
     if (membership.experience.hasFailures()) {
-      this.widenSample(neighbours);
+      this.probeBeyondNeighbours(neighbours);
     }
   }
 
-  /** Tries peers beyond the neighbours: whose fault silence is shows in a larger sample only. */
-  private widenSample(neighbours: readonly string[]): void {
-    const { context, membership } = this.parts;
+  /**
+   * Pings a random peer beyond the neighbours. Only a larger sample shows whether missing responses
+   * are due to the peers or to this daemon's own network.
+   */
+  private probeBeyondNeighbours(neighbours: readonly string[]): void {
+    const { context, membership } = this.settings;
     const others = [...membership.table.values()]
       .filter(({ record }) => isRunning(record.state) && !neighbours.includes(record.id))
       .map(({ record }) => record.id)
-      .filter((member) => this.parts.targets.isInOwnCircle(member));
+      .filter((member) => this.settings.targets.isLocalHealthEvidence(member));
     pickSome(context, others, 1).forEach((member) => this.probe(member));
   }
 
-  /** Any answer shows that the network works; only one by the member that it is there. */
-  private settle(member: string, startedAt: Milliseconds, answer: PeerAnswer | undefined): void {
-    const { context, membership } = this.parts;
-    this.note(member, startedAt, answer);
-    if (answer?.kind === 'ack') {
+  /**
+   * Any response shows that the network works, but only an ack from the member itself shows that the
+   * member is running.
+   */
+  private handleProbeResult(
+    member: string,
+    startedAt: Milliseconds,
+    response: PeerAnswer | undefined,
+  ): void {
+    const { context, membership } = this.settings;
+    this.recordCallResult(member, startedAt, response);
+    if (response?.kind === 'ack') {
       return;
     }
     context.counters.probeFailures += 1;
-    const maySuspect = this.parts.targets.isOursToJudge(member);
-    if (maySuspect && startedAt > membership.pause.resumedAt) {
-      this.probeThroughPeers(member, startedAt);
+    const maySuspect = this.settings.targets.isOursToJudge(member);
+    if (maySuspect && startedAt > membership.pauseDetector.resumedAt) {
+      this.probeIndirectly(member, startedAt);
     }
   }
 
-  /** Keeps what a call says about the peer called, unless this process slept meanwhile. */
-  private note(peer: string, startedAt: Milliseconds, answer: PeerAnswer | undefined): void {
-    const { membership } = this.parts;
+  /** Records a call's result for the called peer, unless this process was paused meanwhile. */
+  private recordCallResult(
+    peer: string,
+    startedAt: Milliseconds,
+    response: PeerAnswer | undefined,
+  ): void {
+    const { membership } = this.settings;
     membership.noticePause();
-    const isTelling = answer !== undefined || startedAt > membership.pause.resumedAt;
+    const isConclusive = response !== undefined || startedAt > membership.pauseDetector.resumedAt;
     const isMember = isRunning(membership.table.get(peer)?.record.state);
-    if (isTelling && isMember && this.parts.targets.isInOwnCircle(peer)) {
-      membership.experience.record(peer, answer !== undefined);
+    if (isConclusive && isMember && this.settings.targets.isLocalHealthEvidence(peer)) {
+      membership.experience.record(peer, response !== undefined);
     }
-    if (answer?.kind === 'ack') {
-      this.parts.hear(peer, answer);
+    if (response?.kind === 'ack') {
+      this.settings.hear(peer, response);
     }
   }
 
   /**
-   * Nobody reached the member. A daemon whose own network is broken would suspect one healthy peer
-   * after the other: it needs somebody else's answer since the probe began, and most of its peers
-   * answering, before it says so.
+   * Suspects a member that nobody reached, unless the fault may be local. A daemon whose own network
+   * is broken would suspect one healthy peer after another, so it suspects only if another peer has
+   * responded since the probe started and most of its peers respond.
    */
-  private conclude(member: string, startedAt: Milliseconds): void {
-    const { experience, pause } = this.parts.membership;
-    const isProven = experience.hasOtherAnswer(member, startedAt);
-    if (isProven && !experience.isCutOff && startedAt > pause.resumedAt) {
-      this.parts.membership.suspect(member);
+  private suspectUnlessUnhealthy(member: string, startedAt: Milliseconds): void {
+    const { experience, pauseDetector } = this.settings.membership;
+    const isNetworkWorking = experience.hasOtherAnswer(member, startedAt);
+    if (isNetworkWorking && !experience.isCutOff && startedAt > pauseDetector.resumedAt) {
+      this.settings.membership.suspect(member);
     }
   }
 
-  private getRelays(member: string): string[] {
-    const { context, targets, membership } = this.parts;
+  private pickRelays(member: string): string[] {
+    const { context, targets, membership } = this.settings;
     const region = membership.table.get(member)?.record.region;
     const peers = (targets.getRegions().get(region ?? '') ?? []).filter((id) => id !== member);
     const neighbours = targets.getNeighbours().filter((id) => id !== member);
@@ -169,6 +182,6 @@
   }
 
   private getAddress(member: string): string {
-    return getMeshAddress(this.parts.membership.table.get(member)!.record);
+    return getMeshAddress(this.settings.membership.table.get(member)!.record);
   }
 }
--- a/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.ts
+++ b/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.ts
@@ -3,55 +3,58 @@
 import { decide } from '../CoreContext.js';
 import type { ReplicaNotice, Rumour } from '../messages.js';
 
-/** Word that lasts longer than the known one by less than this share of its span is no news. */
-const NEWS_SHARE = 0.25;
+/** A notice that extends the known one by less than this share of the lifetime is ignored. */
+const MIN_EXTENSION_SHARE = 0.25;
 
-/** Own word is repeated once so little of the span is left. */
+/** This daemon repeats its own notice once less than this share of the lifetime remains. */
 const RENEWAL_SHARE = 0.5;
 
-/** More backend servers than any deployment has: bounds what a faulty peer can make us keep. */
+/**
+ * Limits the memory that a faulty peer can make this daemon use; above the number of backend servers
+ * of any deployment.
+ */
 const MAX_NOTICES = 16_384;
 
 /**
- * Word that backend servers are leaving: the platform's list lags, so whoever is refused by a
- * leaving server tells the others. A word ends by itself, since a server may stay after all, and
- * is repeated by whoever is refused again.
+ * Notices that backend servers are leaving. The platform's list lags, so a daemon that is refused by
+ * a leaving server tells its peers. A notice expires, since the server may stay after all, and is
+ * repeated by any daemon that is refused again.
  */
 export class ReplicaNotices {
   private readonly expiries = new Map<string, Milliseconds>();
 
   constructor(
     private readonly context: CoreContext,
-    private readonly tell: (rumour: Rumour) => void,
+    private readonly queueRumour: (rumour: Rumour) => void,
   ) {}
 
-  /** This daemon's own finding, or the list's. */
+  /** Reports that a replica is leaving, as observed by this daemon or read from the list. */
   report(replica: string): void {
-    const span = this.context.options.replicaNoticeSpan;
-    if (this.getRemaining(replica) < span * RENEWAL_SHARE) {
-      this.set(replica, span, true);
+    const lifetime = this.context.options.replicaNoticeSpan;
+    if (this.getRemaining(replica) < lifetime * RENEWAL_SHARE) {
+      this.set(replica, lifetime, true);
     }
   }
 
-  /** A peer's word. It never lasts longer than a new one, whatever the peer says. */
+  /** Handles a peer's notice. Its remaining time is capped at the lifetime of a new notice. */
   hear({ replica, remaining }: ReplicaNotice): void {
-    const span = this.context.options.replicaNoticeSpan;
-    const lasting = Math.min(remaining, span);
-    if (lasting > this.getRemaining(replica) + span * NEWS_SHARE) {
-      this.set(replica, lasting, false);
+    const lifetime = this.context.options.replicaNoticeSpan;
+    const bounded = Math.min(remaining, lifetime);
+    if (bounded > this.getRemaining(replica) + lifetime * MIN_EXTENSION_SHARE) {
+      this.set(replica, bounded, false);
     }
   }
 
-  /** All words that still hold. */
+  /** All notices that have not expired. */
   getNotices(): ReplicaNotice[] {
-    this.forgetExpired();
+    this.evictExpired();
     return [...this.expiries.keys()].map((replica) => ({
       replica,
       remaining: this.getRemaining(replica),
     }));
   }
 
-  /** A rumour as it stands now: it may have waited in a queue. */
+  /** Updates a notice's remaining time, since it may have waited in a queue. */
   refresh(notice: ReplicaNotice): ReplicaNotice {
     return { replica: notice.replica, remaining: this.getRemaining(notice.replica) };
   }
@@ -61,21 +64,21 @@
     return Math.max(0, Math.round(expiry - this.context.clock.now()));
   }
 
-  private set(replica: string, remaining: Milliseconds, isOwnWord: boolean): void {
+  private set(replica: string, remaining: Milliseconds, isOwnFinding: boolean): void {
     const isNew = this.getRemaining(replica) === 0;
-    this.forgetExpired();
+    this.evictExpired();
     if (isNew && this.expiries.size >= MAX_NOTICES) {
       return;
     }
     this.expiries.set(replica, this.context.clock.now() + remaining);
-    this.tell({ kind: 'replica-leaving', notice: { replica, remaining } });
+    this.queueRumour({ kind: 'replica-leaving', notice: { replica, remaining } });
     this.context.emit({ kind: 'replica-leaving', replica, remaining });
     if (isNew) {
-      decide(this.context, { kind: 'replica-leaving', replica, isOwnWord });
+      decide(this.context, { kind: 'replica-leaving', replica, isOwnWord: isOwnFinding });
     }
   }
 
-  private forgetExpired(): void {
+  private evictExpired(): void {
     const now = this.context.clock.now();
     this.expiries.forEach((expiry, replica) => {
       if (expiry <= now) {
--- a/packages/cluster/src/lib/RumourQueue/RumourQueue.ts
+++ b/packages/cluster/src/lib/RumourQueue/RumourQueue.ts
@@ -9,7 +9,7 @@
   sends: number;
 }
 
-/** What a rumour is about: a newer one on the same subject takes its place. */
+/** Identifies a rumour's subject: a newer rumour with the same key replaces an older one. */
 export function getRumourKey(rumour: Rumour): string {
   switch (rumour.kind) {
     case 'member':
@@ -25,8 +25,9 @@
 }
 
 /**
- * What is to be told, and how often it was. The least told goes first, so that a burst of news
- * passes through bounded messages without anything waiting for good.
+ * The queue of rumours to piggyback on messages, with the number of times each was sent. The least
+ * sent go first, so that a burst of rumours gets through size-limited messages without starving
+ * any.
  */
 export class RumourQueue {
   private readonly queue = new Map<string, QueuedRumour>();
@@ -35,7 +36,7 @@
     return this.queue.size;
   }
 
-  /** Adds a rumour in place of an older one on the same subject. */
+  /** Adds a rumour to be sent the given number of times, replacing one with the same key. */
   add(rumour: Rumour, sends: number): void {
     const key = getRumourKey(rumour);
     const bytes = getRumourBytes(rumour);
@@ -43,14 +44,18 @@
   }
 
   /**
-   * Takes the least told rumours that fit; each counts as told once more.
+   * Takes the least sent rumours that fit, and counts one more send for each.
    *
-   * @param except - subjects of which the receiver knows
-   * @param onTaken - told the size of each rumour taken
+   * @param excludedKeys - keys of rumours that the receiver already has
+   * @param onTaken - called with the size of each rumour taken
    */
-  take(maxBytes: number, except: ReadonlySet<string>, onTaken: (bytes: number) => void): Rumour[] {
+  take(
+    maxBytes: number,
+    excludedKeys: ReadonlySet<string>,
+    onTaken: (bytes: number) => void,
+  ): Rumour[] {
     const candidates = [...this.queue.values()]
-      .filter(({ key }) => !except.has(key))
+      .filter(({ key }) => !excludedKeys.has(key))
       .sort((left, right) => left.sends - right.sends);
     let bytesLeft = maxBytes;
     const taken = candidates.filter(({ bytes }) => {
@@ -59,7 +64,7 @@
       return fits;
     });
     taken.forEach((queued) => {
-      this.countSend(queued);
+      this.recordSend(queued);
       onTaken(queued.bytes);
     });
     return taken.map(({ rumour }) => rumour);
@@ -69,10 +74,10 @@
     this.queue.clear();
   }
 
-  private countSend(queued: QueuedRumour): void {
-    const counted = { ...queued, sends: queued.sends + 1, sendsLeft: queued.sendsLeft - 1 };
-    if (counted.sendsLeft > 0) {
-      this.queue.set(queued.key, counted);
+  private recordSend(queued: QueuedRumour): void {
+    const updated = { ...queued, sends: queued.sends + 1, sendsLeft: queued.sendsLeft - 1 };
+    if (updated.sendsLeft > 0) {
+      this.queue.set(queued.key, updated);
     } else {
       this.queue.delete(queued.key);
     }
--- a/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
+++ b/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
@@ -4,28 +4,31 @@
 import type { DaemonIdentity, MemberRecord, RecordVersion } from '../Member.js';
 import { isNewerRecord, MemberState } from '../Member.js';
 
-const RANDOM_SHARE = 1024;
+/** Incarnations are the start time in milliseconds times this, plus a random offset below it. */
+const INCARNATIONS_PER_MILLISECOND = 1024;
 
-/** Least time between two raises, so that two processes of one id don't race each other upwards. */
-const RAISE_INTERVAL = 5000;
+/** Keeps two processes with the same id from outbidding each other without pause. */
+const MIN_RAISE_INTERVAL: Milliseconds = 5000;
 
 /**
- * This daemon's own record. It keeps nothing over a restart, so its incarnation comes from the
- * clock, with a random share for two starts within a millisecond.
+ * This daemon's own record. Nothing is persisted across restarts, so the incarnation is derived from
+ * the clock, with a random offset to tell apart two starts within one millisecond.
  */
 export class SelfRecord {
   private record: MemberRecord;
 
   private raisedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** @param onChange - told of each new record, which peers have to hear of */
+  /** @param onChange - called with each new record, which must be gossiped to peers */
   constructor(
     private readonly context: CoreContext,
     identity: DaemonIdentity,
     private readonly onChange: (record: MemberRecord) => void,
   ) {
     const { clock, random } = context;
-    const incarnation = Math.floor(clock.now()) * RANDOM_SHARE + random.integer(RANDOM_SHARE);
+    const incarnation =
+      Math.floor(clock.now()) * INCARNATIONS_PER_MILLISECOND +
+      random.integer(INCARNATIONS_PER_MILLISECOND);
     this.record = { ...identity, incarnation, refutation: 0, state: MemberState.Alive };
   }
 
@@ -33,19 +36,19 @@
     return this.record;
   }
 
-  /** From now on every record of this process says so: a refutation must not take it back. */
+  /** Marks this process as leaving for good: a later refutation keeps the leaving state. */
   leave(): void {
     if (this.record.state !== MemberState.Leaving) {
       this.set({ ...this.record, state: MemberState.Leaving });
     }
   }
 
-  /** Contradicts what peers say of this daemon if it would hold against its own record. */
-  hear(word: RecordVersion): void {
-    if (word.incarnation > this.record.incarnation) {
-      this.raise(word.incarnation);
-    } else if (isNewerRecord(word, this.record)) {
-      const refutation = word.refutation + 1;
+  /** Refutes what peers report about this daemon if it would win over its own record. */
+  refute(reported: RecordVersion): void {
+    if (reported.incarnation > this.record.incarnation) {
+      this.raiseIncarnation(reported.incarnation);
+    } else if (isNewerRecord(reported, this.record)) {
+      const refutation = reported.refutation + 1;
       this.context.counters.refutations += 1;
       decide(this.context, { kind: 'self-refuted', refutation });
       this.set({ ...this.record, refutation });
@@ -53,17 +56,21 @@
   }
 
   /**
-   * A higher incarnation of this id is known: the clock of the process before ran ahead, or of the
-   * machine before. Peers would take every word of this process for an old one.
+   * Raises the incarnation above a higher one known to peers, which comes from an earlier process
+   * or machine whose clock was ahead. Otherwise peers would discard every record of this process as
+   * outdated.
    */
-  private raise(known: number): void {
+  private raiseIncarnation(known: number): void {
     const now = this.context.clock.now();
-    if (now - this.raisedAt < RAISE_INTERVAL) {
+    if (now - this.raisedAt < MIN_RAISE_INTERVAL) {
       return;
     }
     this.raisedAt = now;
     const from = this.record.incarnation;
-    const to = known + RANDOM_SHARE + this.context.random.integer(RANDOM_SHARE);
+    const to =
+      known +
+      INCARNATIONS_PER_MILLISECOND +
+      this.context.random.integer(INCARNATIONS_PER_MILLISECOND);
     decide(this.context, { kind: 'incarnation-raised', from, to });
     this.set({ ...this.record, incarnation: to, refutation: 0 });
   }
--- a/packages/cluster/src/lib/Spreader/Spreader.ts
+++ b/packages/cluster/src/lib/Spreader/Spreader.ts
@@ -4,66 +4,68 @@
 import type { Rumour } from '../messages.js';
 import { getRumourKey, RumourQueue } from '../RumourQueue/RumourQueue.js';
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
-/** How long an unused share of the bytes may be saved up. */
-const SAVED: Milliseconds = 2 * SECOND;
+/** The byte budget holds at most this much time's worth of `gossipBytesPerSecond`. */
+const BURST_DURATION: Milliseconds = 2 * SECOND_MS;
 
-/** Two members' worth of rounds at least: in a small cluster each message reaches few. */
-const LEAST_DIGITS = 2;
+/**
+ * Lower bound of the logarithm of the cluster size in the number of sends: in a small cluster each
+ * message reaches few members.
+ */
+const MIN_DIGITS = 2;
 
-interface SpreaderParts {
+interface GossiperSettings {
   context: CoreContext;
-  /** How many members there are. */
   getSize: () => number;
-  /** Sends one round of gossip. */
+  /** Sends one round of gossip messages. */
   push: () => void;
 }
 
 /**
- * Tells rumours: on every probe and answer, and by rounds of gossip while any are left. All of it
- * shares one allowance of bytes, so that a burst of news (a zone that fails) takes longer and not
- * more of the network.
+ * Disseminates rumours: piggybacked on every probe and response, and in gossip rounds while any are
+ * queued. All of them share one token bucket of bytes, so that a burst of rumours (such as the
+ * failure of a zone) takes longer instead of using more bandwidth.
  */
 export class Spreader {
   private readonly queue = new RumourQueue();
 
   private timer: Timer | undefined;
 
-  private allowance: number;
+  private availableBytes: number;
 
-  private allowanceAt: Milliseconds;
+  private refilledAt: Milliseconds;
 
-  constructor(private readonly parts: SpreaderParts) {
-    const { clock, options } = parts.context;
-    this.allowance = (options.gossipBytesPerSecond * SAVED) / SECOND;
-    this.allowanceAt = clock.now();
+  constructor(private readonly settings: GossiperSettings) {
+    const { clock, options } = settings.context;
+    this.availableBytes = (options.gossipBytesPerSecond * BURST_DURATION) / SECOND_MS;
+    this.refilledAt = clock.now();
   }
 
-  /** Queues a rumour for as many sends as reach everybody in all likelihood. */
+  /** Queues a rumour with enough sends to reach all members with high probability. */
   tell(rumour: Rumour): void {
-    const digits = Math.ceil(Math.log10(this.parts.getSize() + 1));
-    const { rumourRepeats } = this.parts.context.options;
-    this.add(rumour, rumourRepeats * Math.max(LEAST_DIGITS, digits));
+    const digits = Math.ceil(Math.log10(this.settings.getSize() + 1));
+    const { rumourRepeats } = this.settings.context.options;
+    this.enqueue(rumour, rumourRepeats * Math.max(MIN_DIGITS, digits));
   }
 
-  /** Queues a rumour that a newer one replaces soon: a few sends are enough. */
+  /** Queues a rumour that will soon be replaced by a newer one, so a few sends are enough. */
   tellBriefly(rumour: Rumour): void {
-    this.add(rumour, this.parts.context.options.rumourRepeats);
+    this.enqueue(rumour, this.settings.context.options.rumourRepeats);
   }
 
   /**
-   * Rumours for one message, within its bound and the allowance.
+   * Takes rumours for one message, within the message's size limit and the byte budget.
    *
-   * @param heard - what the receiver has just told: telling it back would use up the sends
+   * @param received - rumours that the receiver has just sent: echoing them would waste sends
    */
-  take(heard: readonly Rumour[] = []): Rumour[] {
-    const { options, counters } = this.parts.context;
+  take(received: readonly Rumour[] = []): Rumour[] {
+    const { options, counters } = this.settings.context;
     this.refill();
-    const maxBytes = Math.min(options.rumourBytes, this.allowance);
-    const known = new Set(heard.map(getRumourKey));
+    const maxBytes = Math.min(options.rumourBytes, this.availableBytes);
+    const known = new Set(received.map(getRumourKey));
     const rumours = this.queue.take(maxBytes, known, (bytes) => {
-      this.allowance -= bytes;
+      this.availableBytes -= bytes;
     });
     counters.rumoursSent += rumours.length;
     return rumours;
@@ -74,33 +76,33 @@
     this.queue.clear();
   }
 
-  private add(rumour: Rumour, sends: number): void {
+  private enqueue(rumour: Rumour, sends: number): void {
     if (sends > 0) {
       this.queue.add(rumour, sends);
-      this.arm();
+      this.scheduleRound();
     }
   }
 
-  private arm(): void {
-    const { context } = this.parts;
+  private scheduleRound(): void {
+    const { context } = this.settings;
     if (this.timer === undefined && this.queue.size > 0) {
       const delay = jitter(context, context.options.gossipInterval);
-      this.timer = context.clock.setTimer(delay, () => this.round());
+      this.timer = context.clock.setTimer(delay, () => this.runRound());
     }
   }
 
-  private round(): void {
+  private runRound(): void {
     this.timer = undefined;
-    this.parts.push();
-    this.arm();
+    this.settings.push();
+    this.scheduleRound();
   }
 
   private refill(): void {
-    const { clock, options } = this.parts.context;
-    const rate = options.gossipBytesPerSecond / SECOND;
+    const { clock, options } = this.settings.context;
+    const rate = options.gossipBytesPerSecond / SECOND_MS;
     const now = clock.now();
-    const refilled = this.allowance + (now - this.allowanceAt) * rate;
-    this.allowance = Math.min(rate * SAVED, refilled);
-    this.allowanceAt = now;
+    const refilled = this.availableBytes + (now - this.refilledAt) * rate;
+    this.availableBytes = Math.min(rate * BURST_DURATION, refilled);
+    this.refilledAt = now;
   }
 }
--- a/packages/cluster/src/test/ClusterWorld.ts
+++ b/packages/cluster/src/test/ClusterWorld.ts
@@ -6,31 +6,31 @@
 
 const ZONES = { 'north/a': 3, 'north/b': 3, 'north/c': 3, 'south/d': 2, 'south/e': 2 };
 
-/** How long a zone with a daemon that runs may be without a watcher. */
-const WATCHER_GAP: Milliseconds = 30_000;
+/** How long a zone with a running daemon may be without a watcher. */
+const MAX_WATCHER_GAP: Milliseconds = 30_000;
 
-const STEP: Milliseconds = 1000;
+const CHECK_INTERVAL: Milliseconds = 1000;
 
-function check(holds: boolean, getMessage: () => string): void {
+function assertInvariant(holds: boolean, getMessage: () => string): void {
   if (!holds) {
     throw new Error(getMessage());
   }
 }
 
-/** A cluster under the fuzz, and the oracle that watches it. */
+/** A cluster under fuzz testing, with an oracle that checks its invariants. */
 export class ClusterWorld {
   readonly cluster: TestCluster;
 
   private readonly crashed: TestDaemon[] = [];
 
-  private readonly isolated = new Map<string, string[]>();
+  private readonly viewsAtIsolation = new Map<string, string[]>();
 
-  private readonly cutZones = new Set<string>();
+  private readonly isolatedZones = new Set<string>();
 
-  private areRegionsCut = false;
+  private areRegionsPartitioned = false;
 
-  /** Members that a daemon has seen leaving, by daemon, id and incarnation. */
-  private readonly seenLeaving = new Set<string>();
+  /** Members that a daemon has seen leaving, keyed by daemon, member id and incarnation. */
+  private readonly membersSeenLeaving = new Set<string>();
 
   private readonly watchedAt = new Map<string, Milliseconds>();
 
@@ -41,73 +41,73 @@
     this.run(10_000);
   }
 
-  pick(which: number): TestDaemon {
+  getDaemon(index: number): TestDaemon {
     const { daemons } = this.cluster;
-    return daemons[which % daemons.length]!;
+    return daemons[index % daemons.length]!;
   }
 
-  /** Runs in small steps, so that the oracle sees what lies between. */
-  run(span: Milliseconds): void {
-    for (let left = span; left > 0; left -= STEP) {
-      this.cluster.run(Math.min(left, STEP));
-      this.check();
+  /** Runs in small steps, checking the invariants after each. */
+  run(duration: Milliseconds): void {
+    for (let remaining = duration; remaining > 0; remaining -= CHECK_INTERVAL) {
+      this.cluster.run(Math.min(remaining, CHECK_INTERVAL));
+      this.checkInvariants();
     }
   }
 
-  crash(which: number): void {
-    const daemon = this.pick(which);
+  crash(index: number): void {
+    const daemon = this.getDaemon(index);
     if (this.cluster.daemons.length > 2) {
       this.cluster.crash(daemon);
       this.crashed.push(daemon);
     }
   }
 
-  restart(which: number): void {
-    const [daemon] = this.crashed.splice(which % Math.max(1, this.crashed.length), 1);
+  restart(index: number): void {
+    const [daemon] = this.crashed.splice(index % Math.max(1, this.crashed.length), 1);
     if (daemon !== undefined) {
       this.cluster.restart(daemon);
     }
   }
 
-  isolate(which: number): void {
-    const daemon = this.pick(which);
-    this.isolated.set(daemon.id, []);
+  isolate(index: number): void {
+    const daemon = this.getDaemon(index);
+    this.viewsAtIsolation.set(daemon.id, []);
     this.cluster.run(3 * this.cluster.faults.maxDelay);
     const view = daemon.host.core.getMembers().filter(({ state }) => state === MemberState.Alive);
-    this.isolated.set(
+    this.viewsAtIsolation.set(
       daemon.id,
       view.map(({ id }) => id),
     );
   }
 
-  cutZone(which: number): void {
-    this.cutZones.add(this.pick(which).host.self.availabilityZone);
+  isolateZone(index: number): void {
+    this.isolatedZones.add(this.getDaemon(index).host.self.availabilityZone);
   }
 
-  cutRegions(): void {
-    this.areRegionsCut = true;
+  partitionRegions(): void {
+    this.areRegionsPartitioned = true;
   }
 
   healNetwork(): void {
-    this.isolated.clear();
-    this.cutZones.clear();
-    this.areRegionsCut = false;
+    this.viewsAtIsolation.clear();
+    this.isolatedZones.clear();
+    this.areRegionsPartitioned = false;
   }
 
-  disturb(faults: Partial<NetworkFaults>): void {
+  setFaults(faults: Partial<NetworkFaults>): void {
     Object.assign(this.cluster.faults, faults);
   }
 
-  leave(which: number): void {
-    this.pick(which).host.core.handle({ kind: 'announce-leaving' });
+  announceLeaving(index: number): void {
+    this.getDaemon(index).host.core.handle({ kind: 'announce-leaving' });
   }
 
-  tellReplica(which: number): void {
-    const replica = `replica-${which}`;
-    this.pick(which).host.core.handle({ kind: 'tell-replica-leaving', replica });
+  reportReplicaLeaving(index: number): void {
+    const replica = `replica-${index}`;
+    this.getDaemon(index).host.core.handle({ kind: 'tell-replica-leaving', replica });
   }
 
-  /** Ends every fault and gives the cluster time to come together. */
+  /** Ends all faults and gives the cluster time to converge. */
   settle(): void {
     const { cluster } = this;
     this.healNetwork();
@@ -118,8 +118,8 @@
     this.run(120_000);
   }
 
-  /** What must hold at any moment. */
-  check(): void {
+  /** Checks what must hold at any moment. */
+  checkInvariants(): void {
     this.cluster.history.forEach((daemon) => this.checkGenerations(daemon));
     this.cluster.daemons.forEach((daemon) => {
       const members = daemon.host.core.getMembers();
@@ -129,7 +129,7 @@
     this.checkWatchers();
   }
 
-  /** What must hold once everything is healed. */
+  /** Checks what must hold once all faults have ended and the cluster has converged. */
   checkSettled(): void {
     const { daemons, generation } = this.cluster;
     const ids = daemons.map(({ id }) => id).sort();
@@ -170,30 +170,41 @@
 
   private checkGenerations({ id, generations, host }: TestDaemon): void {
     const isRising = generations.every((next, at) => at === 0 || next > generations[at - 1]!);
-    check(isRising, () => `${id} went back: ${generations.join(' ')}`);
+    assertInvariant(
+      isRising,
+      () => `${id} returned to an older generation: ${generations.join(' ')}`,
+    );
     const isAccepted = host.core.generation <= this.cluster.generation;
-    check(isAccepted, () => `${id} has ${host.core.generation}, which nobody accepted`);
+    assertInvariant(
+      isAccepted,
+      () => `${id} has generation ${host.core.generation}, which was never accepted`,
+    );
   }
 
-  /** A member that announced that it leaves is never again seen otherwise by who saw it. */
+  /** A daemon that has seen an incarnation leaving never sees it in another running state again. */
   private checkLeaving(daemon: TestDaemon, members: readonly Member[]): void {
     members.forEach(({ id, incarnation, state }) => {
       const key = `${daemon.id} ${daemon.host.startedAt} ${id} ${incarnation}`;
       if (state === MemberState.Leaving) {
-        this.seenLeaving.add(key);
+        this.membersSeenLeaving.add(key);
       } else {
-        check(!this.seenLeaving.has(key), () => `${key} was leaving and is ${state}`);
+        assertInvariant(
+          !this.membersSeenLeaving.has(key),
+          () => `${key} was leaving and is now ${state}`,
+        );
       }
     });
   }
 
-  /** A daemon that is cut off loses nobody from its view who is there. */
+  /** An isolated daemon keeps all running daemons in its view. */
   private checkIsolated({ id }: TestDaemon, members: readonly Member[]): void {
-    const before = this.isolated.get(id) ?? [];
+    const before = this.viewsAtIsolation.get(id) ?? [];
     const seen = new Set(members.map((member) => member.id));
     before
       .filter((other) => this.cluster.get(other) !== undefined)
-      .forEach((other) => check(seen.has(other), () => `${id}, cut off, lost ${other}`));
+      .forEach((other) =>
+        assertInvariant(seen.has(other), () => `isolated ${id} lost ${other} from its view`),
+      );
   }
 
   private checkWatchers(): void {
@@ -207,7 +218,10 @@
         this.watchedAt.set(name, now);
       }
       const gap = now - (this.watchedAt.get(name) ?? now);
-      check(gap <= WATCHER_GAP, () => `zone ${name} has no watcher for ${gap} ms`);
+      assertInvariant(
+        gap <= MAX_WATCHER_GAP,
+        () => `zone ${name} has had no watcher for ${gap} ms`,
+      );
     });
   }
 
@@ -218,8 +232,13 @@
       return true;
     }
     const zones = [left.availabilityZone, right.availabilityZone];
-    const isZoneCut = zones[0] !== zones[1] && zones.some((zone) => this.cutZones.has(zone));
-    const isRegionCut = this.areRegionsCut && left.region !== right.region;
-    return !isZoneCut && !isRegionCut && !this.isolated.has(from) && !this.isolated.has(to);
+    const isZoneCut = zones[0] !== zones[1] && zones.some((zone) => this.isolatedZones.has(zone));
+    const isRegionCut = this.areRegionsPartitioned && left.region !== right.region;
+    return (
+      !isZoneCut &&
+      !isRegionCut &&
+      !this.viewsAtIsolation.has(from) &&
+      !this.viewsAtIsolation.has(to)
+    );
   }
 }
--- a/packages/cluster/src/test/FreezableClock.ts
+++ b/packages/cluster/src/test/FreezableClock.ts
@@ -1,22 +1,22 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
- * The clock of one process that can be stopped. When it goes on, the timers that fell due meanwhile
- * run first and what came over the network is read after, as in the event loop of Node.js.
+ * The clock of one process that can be paused. When the process resumes, timers that became due
+ * meanwhile run first and messages that arrived are read afterwards, as in the Node.js event loop.
  */
 export class FreezableClock implements Clock {
-  private overdue: (() => void)[] | undefined;
+  private overdueTimers: (() => void)[] | undefined;
 
-  private inbox: (() => void)[] = [];
+  private pendingArrivals: (() => void)[] = [];
 
-  /** @param offset - how far this process's clock is off */
+  /** @param offset - the clock skew of this process */
   constructor(
     private readonly clock: Clock,
     private readonly offset: Milliseconds = 0,
   ) {}
 
   get isFrozen(): boolean {
-    return this.overdue !== undefined;
+    return this.overdueTimers !== undefined;
   }
 
   now(): Milliseconds {
@@ -29,10 +29,10 @@
       if (isCancelled) {
         return;
       }
-      if (this.overdue === undefined) {
+      if (this.overdueTimers === undefined) {
         callback();
       } else {
-        this.overdue.push(run);
+        this.overdueTimers.push(run);
       }
     };
     const timer = this.clock.setTimer(delay, run);
@@ -45,22 +45,22 @@
   }
 
   freeze(): void {
-    this.overdue ??= [];
+    this.overdueTimers ??= [];
   }
 
   thaw(): void {
-    const due = [...(this.overdue ?? []), ...this.inbox];
-    this.overdue = undefined;
-    this.inbox = [];
+    const due = [...(this.overdueTimers ?? []), ...this.pendingArrivals];
+    this.overdueTimers = undefined;
+    this.pendingArrivals = [];
     due.forEach((run) => run());
   }
 
-  /** Hands in what came over the network. */
-  deliver(arrival: () => void): void {
+  /** Handles a message's arrival from the network, or queues it while frozen. */
+  deliver(onArrival: () => void): void {
     if (this.isFrozen) {
-      this.inbox.push(arrival);
+      this.pendingArrivals.push(onArrival);
     } else {
-      arrival();
+      onArrival();
     }
   }
 }
--- a/packages/cluster/src/test/TestCluster.ts
+++ b/packages/cluster/src/test/TestCluster.ts
@@ -3,11 +3,11 @@
 import { InstanceDirectory, InstanceRole, InstanceState, ObjectStore } from '@apricotrill/store';
 import type { Milliseconds, Random } from '@apricotrill/utils';
 import { createRandom, ManualClock } from '@apricotrill/utils';
-import type { Fate } from '../bench/SimulatedNetwork.js';
-import { Carrier } from '../bench/SimulatedNetwork.js';
+import type { Delivery } from '../bench/SimulatedNetwork.js';
+import { SimulatedNetwork } from '../bench/SimulatedNetwork.js';
 import { CoreHost } from '../bench/CoreHost.js';
 import type { PlatformState } from '../bench/SimulatedPlatform.js';
-import { StoreLink } from '../bench/SimulatedPlatform.js';
+import { SimulatedPlatform } from '../bench/SimulatedPlatform.js';
 import type { ClusterEvent } from '../lib/ClusterEvent.js';
 import type { ClusterOptions } from '../lib/clusterOptions.js';
 import { defaultClusterOptions } from '../lib/clusterOptions.js';
@@ -15,22 +15,22 @@
 import { createManifest } from '../bench/createManifest.js';
 import { FreezableClock } from './FreezableClock.js';
 
-/** One process of a daemon. */
+/** One daemon process under test. */
 export interface TestDaemon {
   id: string;
   host: CoreHost;
   clock: FreezableClock;
   platform: PlatformState;
-  store: StoreLink;
+  store: SimulatedPlatform;
   decisions: ClusterEvent[];
-  /** Generations in the order in which they came in force. */
+  /** Configuration generations in the order in which they came into force. */
   generations: number[];
   leavingReplicas: string[];
 }
 
-/** What the network between the daemons does. */
+/** The faults of the network between the daemons. */
 export interface NetworkFaults {
-  /** Whether messages pass from one id to another. */
+  /** Whether messages pass from one daemon id to another. */
   canPass: (from: string, to: string) => boolean;
   lossShare: number;
   duplicateShare: number;
@@ -38,7 +38,7 @@
 }
 
 interface TestSettings {
-  /** How many daemons in which zone; a zone's region is the text before its slash. */
+  /** The number of daemons by zone, each zone written as `region/zone`. */
   zones: Record<string, number>;
   seed?: number;
   options?: Partial<ClusterOptions>;
@@ -47,19 +47,19 @@
 
 const START = 1_000_000_000;
 
-/** What one daemon holds of another. */
+/** How one daemon sees another. */
 export function getView({ host }: TestDaemon, id: string): Member | undefined {
   return host.core.getMembers().find((member) => member.id === id);
 }
 
-/** The members that a daemon has decided something about. */
+/** The members named by a daemon's events of the given kind. */
 export function getDecided({ decisions }: TestDaemon, kind: ClusterEvent['kind']): string[] {
   return decisions
-    .filter((decision) => decision.kind === kind)
-    .map((decision) => ('member' in decision ? decision.member : ''));
+    .filter((event) => event.kind === kind)
+    .map((event) => ('member' in event ? event.member : ''));
 }
 
-/** Some cores on one clock and one carrier, whose messages and platform the test can disturb. */
+/** Daemon cores on one clock and a simulated network and platform, both open to fault injection. */
 export class TestCluster {
   readonly clock = new ManualClock(START);
 
@@ -69,7 +69,7 @@
 
   readonly daemons: TestDaemon[] = [];
 
-  /** Every process that ever ran, for oracles over the whole history. */
+  /** Every process that ever ran, for checks over the whole history. */
   readonly history: TestDaemon[] = [];
 
   readonly faults: NetworkFaults = {
@@ -83,7 +83,7 @@
 
   private readonly random: Random;
 
-  private readonly carrier: Carrier;
+  private readonly network: SimulatedNetwork;
 
   readonly options: ClusterOptions;
 
@@ -93,9 +93,9 @@
     this.random = createRandom(seed);
     this.options = { ...defaultClusterOptions, ...options };
     this.directory = new InstanceDirectory(this.clock, listLag);
-    this.carrier = new Carrier({
+    this.network = new SimulatedNetwork({
       clock: this.clock,
-      getFate: (from, to) => this.getFate(this.ids.get(from)!, this.ids.get(to) ?? ''),
+      getDelivery: (from, to) => this.getDelivery(this.ids.get(from)!, this.ids.get(to) ?? ''),
     });
     Object.entries(zones).forEach(([zone, size]) => {
       for (let count = 0; count < size; count += 1) {
@@ -112,14 +112,14 @@
     this.clock.advance(span);
   }
 
-  /** Runs until the condition holds; false when it does not within the span. */
+  /** Runs until the condition holds, and returns false if it does not within the span. */
   runUntil(condition: () => boolean, span: Milliseconds): boolean {
     const end = this.clock.now() + span;
     while (!condition() && this.clock.runNext(end));
     return condition();
   }
 
-  /** Cuts one daemon off from all others. */
+  /** Isolates one daemon from all others. */
   isolate(daemon: TestDaemon): void {
     this.faults.canPass = (from, to) => from !== daemon.id && to !== daemon.id;
   }
@@ -128,12 +128,12 @@
     this.faults.canPass = () => true;
   }
 
-  /** The daemons but the given ones. */
+  /** All daemons except the given ones. */
   getOthers(...without: TestDaemon[]): TestDaemon[] {
     return this.daemons.filter((daemon) => !without.includes(daemon));
   }
 
-  /** Has the next generation accepted at the store. */
+  /** Writes the next generation to the store, and returns its number. */
   accept(workspaces?: number): number {
     this.generation += 1;
     const { manifest, parts } = createManifest(this.generation, workspaces);
@@ -151,17 +151,20 @@
     return this.startProcess(id, zone, meshPort);
   }
 
-  /** Ends a process without a word; its instance is replaced, or stays on the platform's list. */
+  /**
+   * Stops a process without announcing that it leaves. Its instance is removed from the platform's
+   * list unless `staysListed`.
+   */
   crash(daemon: TestDaemon, staysListed = false): void {
     daemon.host.stop();
-    this.carrier.remove(daemon.host);
+    this.network.remove(daemon.host);
     this.daemons.splice(this.daemons.indexOf(daemon), 1);
     if (!staysListed) {
       this.directory.remove(daemon.id);
     }
   }
 
-  /** Starts a process in the place of one that crashed, on a machine whose clock may be off. */
+  /** Starts a process at the address of a crashed one, on a machine whose clock may be skewed. */
   restart(old: TestDaemon, clockOffset: Milliseconds = 0, id = old.id): TestDaemon {
     const { meshPort, availabilityZone, region } = old.host.self;
     return this.startProcess(id, `${region}/${availabilityZone}`, meshPort, clockOffset);
@@ -192,15 +195,15 @@
     const clock = new FreezableClock(this.clock, clockOffset);
     const getInstances = (): Instance[] => this.directory.getInstances();
     const platform = { isDown: false, hasSilentWatches: false, latency: 3, getInstances };
-    const store = new StoreLink(clock, this.objects, platform);
+    const store = new SimulatedPlatform(clock, this.objects, platform);
     const host = new CoreHost({
       self,
       clock,
       random: createRandom(this.random.integer(2 ** 31)),
       options: this.options,
       seeds: ['127.0.0.1:7000', '127.0.0.1:7001'],
-      carrier: this.carrier,
-      store,
+      network: this.network,
+      platform: store,
       deliver: (arrival) => clock.deliver(arrival),
     });
     const daemon: TestDaemon = {
@@ -213,12 +216,12 @@
       generations: [],
       leavingReplicas: [],
     };
-    host.events = {
-      onDecision: (decision) => daemon.decisions.push(decision),
+    host.listeners = {
+      onEvent: (event) => daemon.decisions.push(event),
       onGeneration: (generation) => daemon.generations.push(generation),
       onReplicaLeaving: (replica) => daemon.leavingReplicas.push(replica),
     };
-    this.carrier.add(host);
+    this.network.add(host);
     this.daemons.push(daemon);
     this.history.push(daemon);
     this.directory.set({
@@ -233,13 +236,13 @@
     return daemon;
   }
 
-  private getFate(from: string, to: string): Fate {
+  private getDelivery(from: string, to: string): Delivery {
     const { canPass, lossShare, duplicateShare, maxDelay } = this.faults;
     const isLost = !canPass(from, to) || this.random.next() < lossShare;
     if (isLost) {
       return { kind: 'lost' };
     }
     const delay = 1 + this.random.next() * maxDelay;
-    return { kind: 'carried', delay, copies: this.random.next() < duplicateShare ? 2 : 1 };
+    return { kind: 'delivered', delay, copies: this.random.next() < duplicateShare ? 2 : 1 };
   }
 }
--- a/packages/cluster/src/test/clusterCommands.ts
+++ b/packages/cluster/src/test/clusterCommands.ts
@@ -3,21 +3,21 @@
 import type { ClusterWorld } from './ClusterWorld.js';
 import type { NetworkFaults } from './TestCluster.js';
 
-/** A step of the fuzz: what it does to the world; its name is what a counterexample shows. */
-class Step implements fc.Command<object, ClusterWorld> {
+/** A fuzz command. Its name is printed in counterexamples. */
+class WorldCommand implements fc.Command<object, ClusterWorld> {
   constructor(
     private readonly name: string,
     private readonly act: (world: ClusterWorld) => void,
   ) {}
 
-  // eslint-disable-next-line class-methods-use-this -- every step may come at any moment
+  // eslint-disable-next-line class-methods-use-this -- every command may run in any state
   check(): boolean {
     return true;
   }
 
   run(_: object, world: ClusterWorld): void {
     this.act(world);
-    world.check();
+    world.checkInvariants();
   }
 
   toString(): string {
@@ -25,15 +25,17 @@
   }
 }
 
-const index = fc.nat({ max: 99 });
+const daemonIndex = fc.nat({ max: 99 });
 
-function onDaemon(name: string, act: (world: ClusterWorld, index: number) => void) {
-  return index.map((which) => new Step(`${name}(${which})`, (world) => act(world, which)));
+function createDaemonCommand(name: string, act: (world: ClusterWorld, index: number) => void) {
+  return daemonIndex.map(
+    (index) => new WorldCommand(`${name}(${index})`, (world) => act(world, index)),
+  );
 }
 
 const run = fc
   .integer({ min: 50, max: 12_000 })
-  .map((span) => new Step(`run(${span})`, (world) => world.run(span)));
+  .map((span) => new WorldCommand(`run(${span})`, (world) => world.run(span)));
 
 const setFaults = fc
   .constantFrom<Partial<NetworkFaults>>(
@@ -46,7 +48,10 @@
     { maxDelay: 100 },
     { maxDelay: 700 },
   )
-  .map((faults) => new Step(`network(${fc.stringify(faults)})`, (world) => world.disturb(faults)));
+  .map(
+    (faults) =>
+      new WorldCommand(`network(${fc.stringify(faults)})`, (world) => world.setFaults(faults)),
+  );
 
 const setPlatform = fc
   .constantFrom<Partial<PlatformState>>(
@@ -56,14 +61,17 @@
     { latency: 900 },
   )
   .map(
-    (state) => new Step(`platform(${fc.stringify(state)})`, (w) => w.cluster.setPlatform(state)),
+    (state) =>
+      new WorldCommand(`platform(${fc.stringify(state)})`, (w) => w.cluster.setPlatform(state)),
   );
 
-const accept = fc.constant(new Step('accept', ({ cluster }) => cluster.accept()));
-const cutRegions = fc.constant(new Step('cut-regions', (world) => world.cutRegions()));
-const heal = fc.constant(new Step('heal-network', (world) => world.healNetwork()));
+const accept = fc.constant(new WorldCommand('accept', ({ cluster }) => cluster.accept()));
+const partitionRegions = fc.constant(
+  new WorldCommand('partition-regions', (world) => world.partitionRegions()),
+);
+const healNetwork = fc.constant(new WorldCommand('heal-network', (world) => world.healNetwork()));
 
-/** Everything that may happen to a cluster. */
+/** Generates sequences of the faults and changes that a cluster must withstand. */
 export const clusterCommands = fc.commands(
   [
     run,
@@ -73,16 +81,18 @@
     setFaults,
     setFaults,
     setPlatform,
-    cutRegions,
-    heal,
-    onDaemon('crash', (world, which) => world.crash(which)),
-    onDaemon('restart', (world, which) => world.restart(which)),
-    onDaemon('freeze', (world, which) => world.pick(which).clock.freeze()),
-    onDaemon('thaw', (world, which) => world.pick(which).clock.thaw()),
-    onDaemon('isolate', (world, which) => world.isolate(which)),
-    onDaemon('cut-zone', (world, which) => world.cutZone(which)),
-    onDaemon('leave', (world, which) => world.leave(which)),
-    onDaemon('tell-replica', (world, which) => world.tellReplica(which)),
+    partitionRegions,
+    healNetwork,
+    createDaemonCommand('crash', (world, index) => world.crash(index)),
+    createDaemonCommand('restart', (world, index) => world.restart(index)),
+    createDaemonCommand('freeze', (world, index) => world.getDaemon(index).clock.freeze()),
+    createDaemonCommand('thaw', (world, index) => world.getDaemon(index).clock.thaw()),
+    createDaemonCommand('isolate', (world, index) => world.isolate(index)),
+    createDaemonCommand('isolate-zone', (world, index) => world.isolateZone(index)),
+    createDaemonCommand('announce-leaving', (world, index) => world.announceLeaving(index)),
+    createDaemonCommand('report-replica-leaving', (world, index) =>
+      world.reportReplicaLeaving(index),
+    ),
   ],
   { maxCommands: 40 },
 );
