--- a/packages/cluster/src/bench/Fleet.ts
+++ b/packages/cluster/src/bench/Fleet.ts
@@ -85,11 +85,7 @@
    */
   start(): void {
     const { rumourRepeats, syncInterval, syncPageBytes } = this.options;
-    Object.assign(this.options, {
-      rumourRepeats: 0,
-      syncInterval: 2000,
-      syncPageBytes: 1e6,
-    } satisfies Partial<ClusterOptions>);
+    Object.assign(this.options, { rumourRepeats: 0, syncInterval: 2000, syncPageBytes: 1e6 });
     for (let index = 0; index < this.size.daemons; index += 1) {
       this.add(index);
       this.clock.advance(10);
@@ -98,11 +94,7 @@
     while (!isKnown()) {
       this.clock.advance(1000);
     }
-    Object.assign(this.options, {
-      rumourRepeats,
-      syncInterval,
-      syncPageBytes,
-    } satisfies Partial<ClusterOptions>);
+    Object.assign(this.options, { rumourRepeats, syncInterval, syncPageBytes });
   }
 
   /** Writes a new generation to the store, and returns its number. */
--- a/packages/cluster/src/lib/Membership/Membership.ts
+++ b/packages/cluster/src/lib/Membership/Membership.ts
@@ -18,7 +18,7 @@
   /** This daemon's own observation, or a rumour: it is gossiped further. */
   Rumour = 'rumour',
   /** An anti-entropy exchange: too much to gossip further, and peers run exchanges themselves. */
-  Comparison = 'comparison',
+  Comparison = 'anti-entropy',
 }
 
 interface MembershipSettings {
--- a/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
+++ b/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
@@ -8,7 +8,7 @@
 const INCARNATIONS_PER_MILLISECOND = 1024;
 
 /** Keeps two processes with the same id from outbidding each other without pause. */
-const MIN_RAISE_INTERVAL: Milliseconds = 5000;
+const MIN_RAISE_INTERVAL_MS = 5000;
 
 /**
  * This daemon's own record. Nothing is persisted across restarts, so the incarnation is derived from
@@ -62,7 +62,7 @@
    */
   private raiseIncarnation(known: number): void {
     const now = this.context.clock.now();
-    if (now - this.raisedAt < MIN_RAISE_INTERVAL) {
+    if (now - this.raisedAt < MIN_RAISE_INTERVAL_MS) {
       return;
     }
     this.raisedAt = now;
--- a/packages/cluster/src/test/clusterCommands.ts
+++ b/packages/cluster/src/test/clusterCommands.ts
@@ -89,7 +89,7 @@
     createDaemonCommand('thaw', (world, index) => world.getDaemon(index).clock.thaw()),
     createDaemonCommand('isolate', (world, index) => world.isolate(index)),
     createDaemonCommand('isolate-zone', (world, index) => world.isolateZone(index)),
-    createDaemonCommand('announce-leaving', (world, index) => world.announceLeaving(index)),
+    createDaemonCommand('leave', (world, index) => world.announceLeaving(index)),
     createDaemonCommand('report-replica-leaving', (world, index) =>
       world.reportReplicaLeaving(index),
     ),
