--- a/packages/cluster/src/lib/Membership/Membership.test.ts
+++ b/packages/cluster/src/lib/Membership/Membership.test.ts
@@ -94,18 +94,18 @@
     // refuted its suspicion during the pause, and the suspicion's timer runs before the refutation
     // is read from the network.
     const cluster = createCluster({ zones: NINE_DAEMONS });
-    const [sleeper, paused] = cluster.daemons;
+    const [observer, paused] = cluster.daemons;
     paused!.clock.freeze();
-    const isSuspected = () => getView(sleeper!, paused!.id)?.state === MemberState.Suspect;
+    const isSuspected = () => getView(observer!, paused!.id)?.state === MemberState.Suspect;
     expect(cluster.runUntil(isSuspected, 10_000)).toBe(true);
-    sleeper!.clock.freeze();
+    observer!.clock.freeze();
     paused!.clock.thaw();
     cluster.run(60_000);
-    sleeper!.clock.thaw();
+    observer!.clock.thaw();
     cluster.run(30_000);
-    expect(getDecided(sleeper!, 'pause-noticed')).toHaveLength(1);
-    expect(getDecided(sleeper!, 'member-dead')).toEqual([]);
-    expect(getView(sleeper!, paused!.id)?.state).toBe(MemberState.Alive);
+    expect(getDecided(observer!, 'pause-noticed')).toHaveLength(1);
+    expect(getDecided(observer!, 'member-dead')).toEqual([]);
+    expect(getView(observer!, paused!.id)?.state).toBe(MemberState.Alive);
   });
 
   it('detects its own pause also when a suspicion’s timer is the first to run', () => {
@@ -113,17 +113,17 @@
     const options = { gossipBytesPerSecond: 0, syncInterval: 10_000_000 };
     const cluster = new TestCluster({ zones: { 'fi/a': 1 }, options });
     clusters.push(cluster);
-    const [sleeper] = cluster.daemons;
-    const [{ stateSince, ...self }] = sleeper!.host.core.getMembers() as [Member];
+    const [observer] = cluster.daemons;
+    const [{ stateSince, ...self }] = observer!.host.core.getMembers() as [Member];
     const record = { ...self, id: 'daemon-x', state: MemberState.Suspect, refutation: 0 };
     const rumours = [{ kind: 'member' as const, record }];
-    sleeper!.host.receive('peer', { kind: 'gossip', generation: 0, rumours }, () => {});
+    observer!.host.receive('peer', { kind: 'gossip', generation: 0, rumours }, () => {});
     cluster.run(4950);
-    sleeper!.clock.freeze();
+    observer!.clock.freeze();
     cluster.run(60_000);
-    sleeper!.clock.thaw();
-    expect(getDecided(sleeper!, 'pause-noticed')).toHaveLength(1);
-    expect(getDecided(sleeper!, 'member-dead')).toEqual([]);
+    observer!.clock.thaw();
+    expect(getDecided(observer!, 'pause-noticed')).toHaveLength(1);
+    expect(getDecided(observer!, 'member-dead')).toEqual([]);
   });
 
   it('keeps the leaving state of a member that refutes its death', () => {
@@ -156,8 +156,8 @@
 
   it('learns from the peers it calls that it was declared dead', () => {
     // Guards against a daemon that reconnects staying dead for the others although it calls them:
-    // the rumours of its death have been sent out by then, nobody probes dead members, and nobody
-    // else would tell it that it has to refute.
+    // the rumours of its death have been sent out by then, nobody probes dead members, and only
+    // the peers it calls can tell it that it has to refute.
     const cluster = createCluster({ zones: NINE_DAEMONS, options: { syncInterval: 10_000_000 } });
     const [away, other] = cluster.daemons;
     cluster.isolate(away!);
--- a/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
+++ b/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
@@ -50,8 +50,8 @@
  * connections that stay open. Random probing, as SWIM does over UDP, would open a TCP connection for
  * nearly every probe in a cluster of 1,800 daemons.
  *
- * A region's rings contain only its own daemons, so that a partition between regions makes nobody
- * suspect. Each daemon keeps one link into every other region.
+ * A region's rings contain only its own daemons, so that a partition between regions
+ * causes no suspicions. Each daemon keeps one link into every other region.
  */
 export class ProbeTargets {
   private computedVersion = -1;
--- a/packages/cluster/src/lib/Prober/Prober.ts
+++ b/packages/cluster/src/lib/Prober/Prober.ts
@@ -15,7 +15,7 @@
   getGeneration: () => number;
   takeRumours: () => Rumour[];
   /** Handles the generation and the rumours that an ack carries. */
-  hear: (member: string, answer: PeerAnswer) => void;
+  hear: (member: string, response: PeerAnswer) => void;
 }
 
 /**
--- a/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.test.ts
+++ b/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.test.ts
@@ -36,8 +36,8 @@
     expect(late.leavingReplicas).toEqual([]);
     cluster.daemons[1]!.host.core.handle(TELL_LEAVING);
     cluster.run(5000);
-    const heard = cluster.daemons[0]!.leavingReplicas;
-    expect(heard).toEqual(['engine-1', 'engine-1']);
+    const received = cluster.daemons[0]!.leavingReplicas;
+    expect(received).toEqual(['engine-1', 'engine-1']);
     cluster.dispose();
   });
 
