--- a/packages/cluster/src/lib/Membership/Membership.test.ts
+++ b/packages/cluster/src/lib/Membership/Membership.test.ts
@@ -230,7 +230,7 @@
       isDamped: true,
       isEligible: false,
     });
-    const isEligible = () => getView(other!, flapping!.id)?.isEligible === true;
-    expect(cluster.runUntil(isEligible, 120_000)).toBe(true);
+    const isEligibleAgain = () => getView(other!, flapping!.id)?.isEligible === true;
+    expect(cluster.runUntil(isEligibleAgain, 120_000)).toBe(true);
   });
 });
