--- a/packages/cluster/src/bench/CoreHost.ts
+++ b/packages/cluster/src/bench/CoreHost.ts
@@ -6,7 +6,7 @@
 import type { CoreEffect } from '../lib/coreMessages.js';
 import type { DaemonIdentity } from '../lib/Member.js';
 import { getMeshAddress } from '../lib/Member.js';
-import type { PeerAnswer, PeerRequest } from '../lib/messages.js';
+import type { PeerResponse, PeerRequest } from '../lib/messages.js';
 import type { SimulatedNetwork } from './SimulatedNetwork.js';
 import type { SimulatedPlatform } from './SimulatedPlatform.js';
 
@@ -41,7 +41,7 @@
 
   listeners: CoreHostListeners = {};
 
-  private readonly replies = new Map<number, (response: PeerAnswer) => void>();
+  private readonly replies = new Map<number, (response: PeerResponse) => void>();
 
   private lastRequestId = 0;
 
@@ -81,7 +81,7 @@
   }
 
   /** Handles a request from a peer. */
-  receive(from: string, request: PeerRequest, reply: (response: PeerAnswer) => void): void {
+  receive(from: string, request: PeerRequest, reply: (response: PeerResponse) => void): void {
     if (this.isRunning) {
       this.lastRequestId += 1;
       this.replies.set(this.lastRequestId, reply);
@@ -102,19 +102,19 @@
         network.call(this, effect, (response) => this.handleCallResult(effect.callId, response));
         break;
       case 'reply':
-        this.replies.get(effect.requestId)?.(effect.answer);
+        this.replies.get(effect.requestId)?.(effect.response);
         this.replies.delete(effect.requestId);
         break;
       case 'members':
         break;
       case 'configuration':
-        this.listeners.onGeneration?.(effect.inForce.manifest.generation);
+        this.listeners.onGeneration?.(effect.snapshot.manifest.generation);
         break;
       case 'replica-leaving':
         this.listeners.onReplicaLeaving?.(effect.replica);
         break;
       case 'decision':
-        this.listeners.onEvent?.(effect.decision);
+        this.listeners.onEvent?.(effect.event);
         break;
       case 'start-watch':
       case 'end-watch':
@@ -128,12 +128,12 @@
     }
   }
 
-  private handleCallResult(callId: number, response: PeerAnswer | undefined): void {
+  private handleCallResult(callId: number, response: PeerResponse | undefined): void {
     if (this.isRunning) {
       this.core.handle(
         response === undefined
           ? { kind: 'call-failed', callId }
-          : { kind: 'answer', callId, answer: response },
+          : { kind: 'answer', callId, response },
       );
     }
   }
--- a/packages/cluster/src/bench/Fleet.ts
+++ b/packages/cluster/src/bench/Fleet.ts
@@ -84,8 +84,12 @@
    * so many simultaneous joins would take most of the measurement's time.
    */
   start(): void {
-    const { rumourRepeats, syncInterval, syncPageBytes } = this.options;
-    Object.assign(this.options, { rumourRepeats: 0, syncInterval: 2000, syncPageBytes: 1e6 });
+    const { rumourRetransmitMultiplier, syncInterval, maxSyncPageBytes } = this.options;
+    Object.assign(this.options, {
+      rumourRetransmitMultiplier: 0,
+      syncInterval: 2000,
+      maxSyncPageBytes: 1e6,
+    });
     for (let index = 0; index < this.size.daemons; index += 1) {
       this.add(index);
       this.clock.advance(10);
@@ -94,7 +98,7 @@
     while (!isKnown()) {
       this.clock.advance(1000);
     }
-    Object.assign(this.options, { rumourRepeats, syncInterval, syncPageBytes });
+    Object.assign(this.options, { rumourRetransmitMultiplier, syncInterval, maxSyncPageBytes });
   }
 
   /** Writes a new generation to the store, and returns its number. */
--- a/packages/cluster/src/bench/SimulatedNetwork.ts
+++ b/packages/cluster/src/bench/SimulatedNetwork.ts
@@ -1,13 +1,13 @@
 import { decodeEnvelope, encodeEnvelope } from '@apricotrill/mesh';
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import {
-  decodeAnswer,
+  decodeResponse,
   decodeRequest,
-  encodeAnswer,
+  encodeResponse,
   encodeRequest,
 } from '../lib/codec/messageCodec.js';
 import type { CoreEffect } from '../lib/coreMessages.js';
-import type { PeerAnswer } from '../lib/messages.js';
+import type { PeerResponse } from '../lib/messages.js';
 import type { CoreHost } from './CoreHost.js';
 
 type Call = Extract<CoreEffect, { kind: 'call' }>;
@@ -41,9 +41,9 @@
   }
 
   /** Calls a peer. The timeout runs on the caller's own clock, which may be frozen. */
-  call(from: CoreHost, call: Call, onResult: (response: PeerAnswer | undefined) => void): void {
+  call(from: CoreHost, call: Call, onResult: (response: PeerResponse | undefined) => void): void {
     let timer: Timer | undefined;
-    const settle = (response: PeerAnswer | undefined) => {
+    const settle = (response: PeerResponse | undefined) => {
       if (timer !== undefined) {
         timer.cancel();
         timer = undefined;
@@ -65,12 +65,12 @@
   private respond(
     host: CoreHost,
     to: CoreHost,
-    response: PeerAnswer,
-    settle: (response: PeerAnswer) => void,
+    response: PeerResponse,
+    settle: (response: PeerResponse) => void,
   ): void {
-    const decode = this.encode(host, to.address, encodeAnswer(response));
+    const decode = this.encode(host, to.address, encodeResponse(response));
     this.transmit(host.address, to.address, () =>
-      to.deliver(() => settle(decodeAnswer(decode(), host.id))),
+      to.deliver(() => settle(decodeResponse(decode(), host.id))),
     );
   }
 
--- a/packages/cluster/src/bench/SimulatedPlatform.ts
+++ b/packages/cluster/src/bench/SimulatedPlatform.ts
@@ -106,7 +106,7 @@
       if (!this.state.hasSilentWatches) {
         this.watches.delete(watchId);
         this.clock.setTimer(this.state.latency, () =>
-          deliver({ kind: 'watch-answered', watchId, changes }),
+          deliver({ kind: 'watch-completed', watchId, changes }),
         );
       }
     });
--- a/packages/cluster/src/bench/measureEdit.ts
+++ b/packages/cluster/src/bench/measureEdit.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
 import type { Configuration, Replica, Workspace } from '@apricotrill/model';
 import { encodeResponse as encodeBody } from '@apricotrill/mesh';
-import { getManifestAnswer } from '../lib/ConfigurationSpread/getFetchAnswers.js';
+import { createManifestResponse } from '../lib/ConfigurationDistributor/createFetchResponses.js';
 import { defaultClusterOptions } from '../lib/clusterOptions.js';
-import { encodeAnswer } from '../lib/codec/messageCodec.js';
+import { encodeResponse } from '../lib/codec/messageCodec.js';
 import { ManifestHistory } from '../lib/ManifestHistory/ManifestHistory.js';
 import { createManifestFrom } from './createManifest.js';
 
@@ -51,16 +51,16 @@
   const texts = new Map(parts.map(({ hash, text }) => [hash, text]));
   const snapshot = { manifest, parts: texts, configuration: createConfiguration(2) };
   const getBytes = (held: number) => {
-    const getTransfer = () => history.getTransfer(manifest, held);
-    const response = getManifestAnswer(
+    const getTransfer = () => history.createTransfer(manifest, held);
+    const response = createManifestResponse(
       snapshot,
       held,
       getTransfer,
-      defaultClusterOptions.partPageBytes,
+      defaultClusterOptions.maxPartPageBytes,
     );
-    return encodeBody(encodeAnswer(response)).length;
+    return encodeBody(encodeResponse(response)).length;
   };
-  const all = encodeBody(encodeAnswer({ kind: 'parts', generation: 2, parts: texts })).length;
+  const all = encodeBody(encodeResponse({ kind: 'parts', generation: 2, parts: texts })).length;
   return {
     parts: parts.length,
     'bytes of an edit': getBytes(1),
--- a/packages/cluster/src/lib/AntiEntropy/AntiEntropy.test.ts
+++ b/packages/cluster/src/lib/AntiEntropy/AntiEntropy.test.ts
@@ -67,7 +67,7 @@
   });
 
   it('gives a new daemon a view of many pages immediately', () => {
-    const cluster = new TestCluster({ zones: { 'fi/a': 60 }, options: { syncPageBytes: 500 } });
+    const cluster = new TestCluster({ zones: { 'fi/a': 60 }, options: { maxSyncPageBytes: 500 } });
     cluster.run(30_000);
     const late = cluster.add('fi/a');
     expect(cluster.runUntil(() => late.host.core.getMembers().length === 61, 2000)).toBe(true);
--- a/packages/cluster/src/lib/AntiEntropy/AntiEntropy.ts
+++ b/packages/cluster/src/lib/AntiEntropy/AntiEntropy.ts
@@ -1,17 +1,17 @@
 import type { Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { jitter, pickSome } from '../CoreContext.js';
+import { addJitter, pickRandom } from '../CoreContext.js';
 import { getMeshAddress, isRunning } from '../Member.js';
 import type { MemberRecord } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
-import { WordFrom } from '../Membership/Membership.js';
-import { BUCKETS, getBucket } from '../MemberTable/MemberTable.js';
-import type { PeerAnswer, PeerRequest, ReplicaNotice } from '../messages.js';
+import { RecordSource } from '../Membership/Membership.js';
+import { BUCKET_COUNT, getBucketIndex } from '../MemberTable/MemberTable.js';
+import type { PeerResponse, PeerRequest, ReplicaNotice } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { getRumourBytes } from '../RumourQueue/getRumourBytes.js';
+import { estimateRumourBytes } from '../RumourQueue/estimateRumourBytes.js';
 
 type SyncRequest = Extract<PeerRequest, { kind: 'sync' }>;
-type SyncPage = Extract<PeerAnswer, { kind: 'sync-page' }>;
+type SyncPage = Extract<PeerResponse, { kind: 'sync-page' }>;
 
 /** Milliseconds between syncs while this daemon knows no running peer. */
 const JOIN_SYNC_INTERVAL = 1000;
@@ -35,7 +35,7 @@
 }
 
 function getRecordBytes(record: MemberRecord): number {
-  return getRumourBytes({ kind: 'member', record });
+  return estimateRumourBytes({ kind: 'member', record });
 }
 
 /**
@@ -72,12 +72,12 @@
   /** Handles the sync of a peer: returns the records of the buckets that differ. */
   handleSyncRequest(request: SyncRequest): SyncPage {
     const { context, membership } = this.settings;
-    membership.hearRecord(request.sender, WordFrom.Rumour);
+    membership.handleRecord(request.sender, RecordSource.Rumour);
     const hashes = membership.table.getBucketHashes(membership.self.get());
     const records: MemberRecord[] = [];
     let bytes = 0;
     let bucket = request.startBucket;
-    for (; bucket < BUCKETS && bytes < context.options.syncPageBytes; bucket += 1) {
+    for (; bucket < BUCKET_COUNT && bytes < context.options.maxSyncPageBytes; bucket += 1) {
       const offset = bucket * HASH_BYTES;
       const comparison = Buffer.compare(
         hashes.subarray(offset, offset + HASH_BYTES),
@@ -94,7 +94,7 @@
       generation: this.settings.getGeneration(),
       records,
       notices: this.settings.getNotices(),
-      nextBucket: bucket < BUCKETS ? bucket : -1,
+      nextBucket: bucket < BUCKET_COUNT ? bucket : -1,
     };
   }
 
@@ -106,8 +106,8 @@
     const { context } = this.settings;
     const { syncInterval } = context.options;
     const interval = this.getRunningAddresses().length === 0 ? JOIN_SYNC_INTERVAL : syncInterval;
-    this.timer = context.clock.setTimer(jitter(context, interval), () => {
-      this.settings.membership.forgetDead();
+    this.timer = context.clock.setTimer(addJitter(context, interval), () => {
+      this.settings.membership.evictTombstones();
       this.syncWithRandomPeer();
       this.scheduleSync();
     });
@@ -120,7 +120,7 @@
     const shouldTryLost =
       runningAddresses.length === 0 || context.random.integer(SYNCS_PER_RECONNECT) === 0;
     const candidates = shouldTryLost && lostAddresses.length > 0 ? lostAddresses : runningAddresses;
-    pickSome(context, candidates, 1).forEach((address) => this.syncWith(address));
+    pickRandom(context, candidates, 1).forEach((address) => this.syncWith(address));
   }
 
   /** @param isJoining - whether this is the first view, whose pages are all fetched immediately */
@@ -143,7 +143,7 @@
 
   private handlePage(address: string, page: SyncPage, isJoining: boolean): void {
     const { membership } = this.settings;
-    page.records.forEach((record) => membership.hearRecord(record, WordFrom.Comparison));
+    page.records.forEach((record) => membership.handleRecord(record, RecordSource.AntiEntropy));
     this.settings.handleNotices(page.notices);
     this.settings.handleGeneration(page.generation, address);
     if (isJoining && page.nextBucket >= 0) {
@@ -156,7 +156,7 @@
   private getBucketRecords(bucket: number): MemberRecord[] {
     const { table, self } = this.settings.membership;
     const records = table.getBucketRecords(bucket);
-    return getBucket(self.get().id) === bucket ? [...records, self.get()] : records;
+    return getBucketIndex(self.get().id) === bucket ? [...records, self.get()] : records;
   }
 
   private getRunningAddresses(): string[] {
--- a/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
+++ b/packages/cluster/src/lib/ClusterCore/ClusterCore.ts
@@ -54,7 +54,7 @@
 
   /** Whether this daemon considers its own network at fault. */
   get isCutOff(): boolean {
-    return this.components.membership.experience.isCutOff;
+    return this.components.membership.localHealth.isCutOff;
   }
 
   /** Number of members that are not dead, including this daemon. */
@@ -77,7 +77,7 @@
    */
   start(): void {
     const { membership, prober, regionReachability, antiEntropy, listMonitor } = this.components;
-    membership.tellSelf();
+    membership.announceSelf();
     prober.start();
     regionReachability.start();
     antiEntropy.start();
@@ -91,7 +91,7 @@
   }
 
   handle(message: CoreMessage): void {
-    this.components.membership.noticePause();
+    this.components.membership.detectPause();
     this.dispatch(message);
   }
 
@@ -100,7 +100,7 @@
     this.joinGraceTimer?.cancel();
     const { prober, regionReachability, antiEntropy, listMonitor, watcher, loads } =
       this.components;
-    const { spreader, calls, distributor, membership } = this.components;
+    const { gossiper, calls, distributor, membership } = this.components;
     [
       prober,
       regionReachability,
@@ -108,7 +108,7 @@
       listMonitor,
       watcher,
       loads,
-      spreader,
+      gossiper,
       calls,
       distributor,
       membership,
@@ -123,20 +123,20 @@
         requestHandler.handleRequest(message.requestId, message.from, message.request);
         break;
       case 'answer':
-        calls.settle(message.callId, message.answer);
+        calls.settle(message.callId, message.response);
         break;
       case 'call-failed':
         calls.settle(message.callId, undefined);
         break;
-      case 'watch-answered':
-        membership.experience.recordPlatformResponse();
+      case 'watch-completed':
+        membership.localHealth.recordPlatformResponse();
         watcher.handleChanges(message.watchId, message.changes);
         break;
       case 'watch-failed':
         watcher.handleWatchFailure(message.watchId);
         break;
       case 'manifest-read':
-        membership.experience.recordPlatformResponse();
+        membership.localHealth.recordPlatformResponse();
         watcher.handleManifest(message.text, message.version);
         break;
       case 'parts-read':
@@ -146,7 +146,7 @@
         distributor.handleStoreParts(message.readId, new Map());
         break;
       case 'instances-read':
-        membership.experience.recordPlatformResponse();
+        membership.localHealth.recordPlatformResponse();
         listMonitor.handleInstances(message.instances);
         break;
       case 'manifest-read-failed':
@@ -155,8 +155,8 @@
       case 'announce-leaving':
         membership.self.leave();
         break;
-      case 'tell-replica-leaving':
-        notices.report(message.replica);
+      case 'announce-replica-leaving':
+        notices.reportLeaving(message.replica);
         break;
       case 'publish-load':
         loads.publish(message.services);
@@ -187,7 +187,7 @@
     // would flood the store.
     const mayTakeDuties = this.hasJoinGraceEnded || membership.size > 1;
     // A daemon that is cut off from its peers gets no updates, but it may still reach the store.
-    const isNeeded = watchRank >= 0 || membership.experience.isCutOff;
+    const isNeeded = watchRank >= 0 || membership.localHealth.isCutOff;
     watcher.setEnabled(mayTakeDuties && isNeeded, watchRank);
   }
 }
--- a/packages/cluster/src/lib/ClusterCore/CoreComponents.ts
+++ b/packages/cluster/src/lib/ClusterCore/CoreComponents.ts
@@ -6,13 +6,13 @@
 import { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import { getMeshAddress } from '../Member.js';
 import { Membership } from '../Membership/Membership.js';
-import type { PeerAnswer, ServiceLoad } from '../messages.js';
+import type { PeerResponse, ServiceLoad } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import { Prober } from '../Prober/Prober.js';
 import { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 import { RegionReachability } from '../RegionReachability/RegionReachability.js';
 import { ReplicaNotices } from '../ReplicaNotices/ReplicaNotices.js';
-import { Spreader } from '../Spreader/Spreader.js';
+import { Gossiper } from '../Gossiper/Gossiper.js';
 import { StoreWatcher } from '../StoreWatcher/StoreWatcher.js';
 import type { ClusterCoreSettings } from './ClusterCore.js';
 import { ZoneDuties } from './ZoneDuties.js';
@@ -26,7 +26,7 @@
 
   readonly calls: PeerCalls;
 
-  readonly spreader: Spreader;
+  readonly gossiper: Gossiper;
 
   readonly membership: Membership;
 
@@ -62,10 +62,10 @@
     this.context = { clock, random, options, emit, counters: createClusterCounters() };
     this.calls = new PeerCalls(emit);
     this.duties = new ZoneDuties(self, options);
-    this.spreader = this.createSpreader();
+    this.gossiper = this.createGossiper();
     this.membership = this.createMembership();
     this.targets = new ProbeTargets(self, this.membership.table, options);
-    this.notices = new ReplicaNotices(this.context, (rumour) => this.spreader.tell(rumour));
+    this.notices = new ReplicaNotices(this.context, (rumour) => this.gossiper.queueRumour(rumour));
     this.loads = this.createLoads();
     this.distributor = this.createDistributor();
     this.watcher = this.createWatcher();
@@ -77,11 +77,11 @@
     this.requestHandler = this.createRequestHandler();
   }
 
-  private createSpreader(): Spreader {
-    return new Spreader({
+  private createGossiper(): Gossiper {
+    return new Gossiper({
       context: this.context,
-      getSize: () => this.membership.size,
-      push: () => this.peerGossip.sendGossip(this.context.options.gossipFanout),
+      getMemberCount: () => this.membership.size,
+      sendGossip: () => this.peerGossip.sendGossip(this.context.options.gossipFanout),
     });
   }
 
@@ -89,9 +89,9 @@
     return new Membership({
       context: this.context,
       identity: this.settings.self,
-      tell: (rumour) => this.spreader.tell(rumour),
+      queueRumour: (rumour) => this.gossiper.queueRumour(rumour),
       isRegionReachable: (region) => this.regionReachability.isReachable(region),
-      isOursToJudge: (member) => this.targets.isOursToJudge(member),
+      isInOwnRegion: (member) => this.targets.isInOwnRegion(member),
       onChange: this.onChange,
     });
   }
@@ -101,7 +101,7 @@
     return new LoadDigests({
       context: this.context,
       availabilityZone,
-      announce: (rumour) => this.spreader.tellBriefly(rumour),
+      announce: (rumour) => this.gossiper.queueShortLivedRumour(rumour),
       getZoneSize: () => this.duties.zoneSize,
       getReporter: () => (this.duties.reporter === id ? undefined : this.duties.reporter),
       sendLoad: (reporter, services) => this.sendLoad(reporter, services),
@@ -147,7 +147,7 @@
   }
 
   private createPeerGossip(): PeerGossip {
-    const { context, calls, membership, targets, regionReachability, spreader, distributor } = this;
+    const { context, calls, membership, targets, regionReachability, gossiper, distributor } = this;
     const rumourDispatcher = new RumourDispatcher(
       membership,
       this.notices,
@@ -160,7 +160,7 @@
       membership,
       targets,
       regionReachability,
-      spreader,
+      gossiper,
       distributor,
       rumourDispatcher,
     });
@@ -175,7 +175,7 @@
       calls,
       getGeneration: () => this.distributor.getGeneration(),
       takeRumours: () => peerGossip.takeRumours(),
-      hear: (member, response) => peerGossip.handleResponse(member, response),
+      handleAck: (member, response) => peerGossip.handleResponse(member, response),
     });
   }
 
@@ -188,7 +188,7 @@
       seeds: this.settings.seeds,
       getGeneration: () => distributor.getGeneration(),
       getNotices: () => notices.getNotices(),
-      handleNotices: (received) => received.forEach((notice) => notices.hear(notice)),
+      handleNotices: (received) => received.forEach((notice) => notices.handleNotice(notice)),
       handleGeneration: (generation, address) => distributor.handleGeneration(generation, address),
     });
   }
@@ -199,15 +199,15 @@
       membership: this.membership,
       isListReader: () => this.duties.reporter === this.settings.self.id,
       isRegionReachable: (region) => this.regionReachability.isReachable(region),
-      onReplicaLeaving: (replica) => this.notices.report(replica),
+      onReplicaLeaving: (replica) => this.notices.reportLeaving(replica),
       onDaemonAddresses: (addresses) => this.antiEntropy.setListedAddresses(addresses),
     });
   }
 
   private createRequestHandler(): RequestHandler {
     const { context, calls, peerGossip, distributor, antiEntropy, loads } = this;
-    const reply = (requestId: number, response: PeerAnswer) =>
-      this.settings.emit({ kind: 'reply', requestId, answer: response });
+    const reply = (requestId: number, response: PeerResponse) =>
+      this.settings.emit({ kind: 'reply', requestId, response });
     return new RequestHandler({
       context,
       calls,
--- a/packages/cluster/src/lib/ClusterCore/PeerGossip.ts
+++ b/packages/cluster/src/lib/ClusterCore/PeerGossip.ts
@@ -1,13 +1,13 @@
 import type { ConfigurationDistributor } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
-import { pickSome } from '../CoreContext.js';
+import { pickRandom } from '../CoreContext.js';
 import { getMeshAddress } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
-import type { PeerAnswer, Rumour } from '../messages.js';
+import type { PeerResponse, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 import type { RegionReachability } from '../RegionReachability/RegionReachability.js';
-import type { Spreader } from '../Spreader/Spreader.js';
+import type { Gossiper } from '../Gossiper/Gossiper.js';
 import type { RumourDispatcher } from './RumourDispatcher.js';
 
 interface PeerGossipSettings {
@@ -16,7 +16,7 @@
   membership: Membership;
   targets: ProbeTargets;
   regionReachability: RegionReachability;
-  spreader: Spreader;
+  gossiper: Gossiper;
   rumourDispatcher: RumourDispatcher;
   distributor: ConfigurationDistributor;
 }
@@ -34,8 +34,8 @@
 
   /** Takes rumours to piggyback on a message, without those just received from its receiver. */
   takeRumours(received: readonly Rumour[] = []): Rumour[] {
-    return this.settings.spreader
-      .take(received)
+    return this.settings.gossiper
+      .takeRumours(received)
       .map((rumour) => this.settings.rumourDispatcher.refresh(rumour));
   }
 
@@ -46,7 +46,7 @@
 
   /** What a peer needs to know about itself: that it is not considered alive. */
   getUpdatesAbout(member: string): Rumour[] {
-    return this.settings.membership.getWordOn(member);
+    return this.settings.membership.getUpdatesAbout(member);
   }
 
   /** Handles the active generation of a member, which also shows that its region is reachable. */
@@ -61,7 +61,7 @@
   }
 
   /** Handles what is piggybacked on a response. */
-  handleResponse(member: string, response: PeerAnswer): void {
+  handleResponse(member: string, response: PeerResponse): void {
     this.handleGeneration(member, response.generation);
     if (response.kind === 'ack') {
       this.handleRumours(response.rumours);
@@ -71,7 +71,7 @@
   /** Sends rumours and the active generation to some of the peers with an open connection. */
   sendGossip(fanout: number): void {
     const { context, calls, distributor } = this.settings;
-    pickSome(context, this.getGossipTargets(), fanout).forEach((member) => {
+    pickRandom(context, this.getGossipTargets(), fanout).forEach((member) => {
       const { record } = this.settings.membership.table.get(member)!;
       const rumours = this.takeRumours();
       const request = { kind: 'gossip', generation: distributor.getGeneration(), rumours } as const;
--- a/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
+++ b/packages/cluster/src/lib/ClusterCore/RequestHandler.ts
@@ -3,11 +3,11 @@
 import type { ConfigurationDistributor } from '../ConfigurationDistributor/ConfigurationDistributor.js';
 import type { CoreContext } from '../CoreContext.js';
 import type { LoadDigests } from '../LoadDigests/LoadDigests.js';
-import type { PeerAnswer, PeerRequest, Rumour } from '../messages.js';
+import type { PeerResponse, PeerRequest, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { PeerGossip } from './PeerGossip.js';
 
-type IndirectPing = Extract<PeerRequest, { kind: 'ping-through' }>;
+type IndirectPing = Extract<PeerRequest, { kind: 'indirect-ping' }>;
 
 interface RequestHandlerSettings {
   context: CoreContext;
@@ -16,7 +16,7 @@
   distributor: ConfigurationDistributor;
   antiEntropy: AntiEntropy;
   loads: LoadDigests;
-  reply: (requestId: number, response: PeerAnswer) => void;
+  reply: (requestId: number, response: PeerResponse) => void;
 }
 
 /** Handles the requests of peers. */
@@ -26,14 +26,14 @@
   handleRequest(requestId: number, from: string, request: PeerRequest): void {
     this.settings.context.counters.requests += 1;
     this.settings.peerGossip.handleGeneration(from, request.generation);
-    if (request.kind === 'ping-through') {
+    if (request.kind === 'indirect-ping') {
       this.handleIndirectPing(requestId, from, request);
     } else {
       this.settings.reply(requestId, this.respond(from, request));
     }
   }
 
-  private respond(from: string, request: Exclude<PeerRequest, IndirectPing>): PeerAnswer {
+  private respond(from: string, request: Exclude<PeerRequest, IndirectPing>): PeerResponse {
     const { antiEntropy, loads, distributor, peerGossip } = this.settings;
     switch (request.kind) {
       case 'ping':
@@ -56,7 +56,7 @@
     }
   }
 
-  private createAck(from: string, rumours: readonly Rumour[]): PeerAnswer {
+  private createAck(from: string, rumours: readonly Rumour[]): PeerResponse {
     const { distributor, peerGossip } = this.settings;
     const corrections = peerGossip.handleRumours(rumours);
     const ownRumours = [
@@ -77,7 +77,7 @@
       member: request.member,
       rumours: request.rumours,
     } as const;
-    calls.call(request.address, ping, context.options.indirectTimeout, (response) => {
+    calls.call(request.address, ping, context.options.indirectProbeTimeout, (response) => {
       const generation = distributor.getGeneration();
       if (response?.kind === 'ack') {
         peerGossip.handleRumours(response.rumours);
--- a/packages/cluster/src/lib/ClusterCore/RumourDispatcher.ts
+++ b/packages/cluster/src/lib/ClusterCore/RumourDispatcher.ts
@@ -3,7 +3,7 @@
 import type { LoadDigests } from '../LoadDigests/LoadDigests.js';
 import type { MemberRecord } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
-import { WordFrom } from '../Membership/Membership.js';
+import { RecordSource } from '../Membership/Membership.js';
 import type { Rumour } from '../messages.js';
 import type { ReplicaNotices } from '../ReplicaNotices/ReplicaNotices.js';
 
@@ -36,18 +36,18 @@
   /** Updates a rumour that may have waited in the queue to the present time. */
   refresh(rumour: Rumour): Rumour {
     return rumour.kind === 'replica-leaving'
-      ? { kind: 'replica-leaving', notice: this.notices.refresh(rumour.notice) }
+      ? { kind: 'replica-leaving', notice: this.notices.updateRemaining(rumour.notice) }
       : rumour;
   }
 
   private handleRumour(rumour: Rumour): MemberRecord | undefined {
     switch (rumour.kind) {
       case 'member':
-        return this.membership.hearRecord(rumour.record, WordFrom.Rumour);
-      case 'verdict':
-        return this.membership.hearVerdict(rumour.verdict);
+        return this.membership.handleRecord(rumour.record, RecordSource.Rumour);
+      case 'member-state':
+        return this.membership.handleStateUpdate(rumour.update);
       case 'replica-leaving':
-        this.notices.hear(rumour.notice);
+        this.notices.handleNotice(rumour.notice);
         return undefined;
       case 'zone-load':
         this.loads.handleReport(rumour.report);
--- a/packages/cluster/src/lib/ClusterEvent.ts
+++ b/packages/cluster/src/lib/ClusterEvent.ts
@@ -9,13 +9,13 @@
 /** Why a member was declared dead. */
 export enum DeathCause {
   /** It did not refute a suspicion in time. */
-  Unrefuted = 'unrefuted',
+  SuspicionTimeout = 'unrefuted',
   /** It was leaving and no longer responds. */
   Left = 'left',
   /** It does not respond and is no longer on the platform's instance list. */
   Unlisted = 'unlisted',
   /** A peer reported it dead. */
-  Word = 'word',
+  ReportedByPeer = 'word',
 }
 
 /**
--- a/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
+++ b/packages/cluster/src/lib/ClusterManager/ClusterManager.ts
@@ -8,12 +8,17 @@
 import type { ClusterEvent } from '../ClusterEvent.js';
 import { defaultClusterOptions } from '../clusterOptions.js';
 import type { ClusterOptions } from '../clusterOptions.js';
-import { decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from '../codec/messageCodec.js';
+import {
+  decodeResponse,
+  decodeRequest,
+  encodeResponse,
+  encodeRequest,
+} from '../codec/messageCodec.js';
 import type { CoreEffect, CoreMessage } from '../coreMessages.js';
 import type { ZoneLoad } from '../LoadDigests/LoadDigests.js';
 import type { DaemonIdentity, Member } from '../Member.js';
 import { getAddress } from '../Member.js';
-import type { PeerAnswer, PeerRequest, ServiceLoad } from '../messages.js';
+import type { PeerResponse, PeerRequest, ServiceLoad } from '../messages.js';
 import { PlatformEffectRunner } from './PlatformEffectRunner.js';
 
 /** The mesh topics. Traffic is counted by topic. */
@@ -62,7 +67,7 @@
 
   private readonly platformEffects: PlatformEffectRunner;
 
-  private readonly pendingRequests = new Map<number, (response: PeerAnswer) => void>();
+  private readonly pendingRequests = new Map<number, (response: PeerResponse) => void>();
 
   private readonly memberListeners: ((members: Member[]) => void)[] = [];
 
@@ -97,7 +102,7 @@
   start(): void {
     Object.values(Topic).forEach((topic) =>
       this.settings.mesh.handle(topic, async (message, { from }) =>
-        encodeAnswer(await this.handleRequest(message, from)),
+        encodeResponse(await this.handleRequest(message, from)),
       ),
     );
     this.core.start();
@@ -154,7 +159,7 @@
 
   /** Announces to the peers that a backend server reported that it is leaving. */
   announceReplicaLeaving(replica: string): void {
-    this.deliver({ kind: 'tell-replica-leaving', replica });
+    this.deliver({ kind: 'announce-replica-leaving', replica });
   }
 
   /** Reports this daemon's load, to be summed up for its availability zone. */
@@ -169,7 +174,7 @@
     this.pendingRequests.clear();
   }
 
-  private handleRequest(message: unknown, from: string): Promise<PeerAnswer> {
+  private handleRequest(message: unknown, from: string): Promise<PeerResponse> {
     const request = decodeRequest(message, from);
     this.lastRequestId += 1;
     const requestId = this.lastRequestId;
@@ -185,14 +190,14 @@
         this.call(effect);
         break;
       case 'reply':
-        this.pendingRequests.get(effect.requestId)?.(effect.answer);
+        this.pendingRequests.get(effect.requestId)?.(effect.response);
         this.pendingRequests.delete(effect.requestId);
         break;
       case 'members':
         this.notifyMemberListeners();
         break;
       case 'configuration':
-        this.configurationListeners.forEach((listener) => listener(effect.inForce));
+        this.configurationListeners.forEach((listener) => listener(effect.snapshot));
         break;
       case 'replica-leaving':
         this.replicaLeavingListeners.forEach((listener) =>
@@ -200,7 +205,7 @@
         );
         break;
       case 'decision':
-        this.settings.onEvent?.(effect.decision);
+        this.settings.onEvent?.(effect.event);
         break;
       case 'start-watch':
       case 'end-watch':
@@ -222,9 +227,9 @@
   private call({ callId, address, request, timeout }: CallEffect): void {
     this.settings.mesh
       .call(address, getTopic(request), encodeRequest(request), { timeout })
-      .then((message) => decodeAnswer(message, address))
+      .then((message) => decodeResponse(message, address))
       .then(
-        (response) => this.deliver({ kind: 'answer', callId, answer: response }),
+        (response) => this.deliver({ kind: 'answer', callId, response }),
         () => this.deliver({ kind: 'call-failed', callId }),
       );
   }
--- a/packages/cluster/src/lib/ClusterManager/PlatformEffectRunner.ts
+++ b/packages/cluster/src/lib/ClusterManager/PlatformEffectRunner.ts
@@ -72,7 +72,7 @@
       }
     };
     store.watch(MANIFEST_KEY, afterVersion, controller.signal).then(
-      (changes) => deliverOnce({ kind: 'watch-answered', watchId, changes }),
+      (changes) => deliverOnce({ kind: 'watch-completed', watchId, changes }),
       () => deliverOnce({ kind: 'watch-failed', watchId }),
     );
   }
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.fuzz.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.fuzz.test.ts
@@ -4,7 +4,7 @@
 import { createClusterCounters } from '../ClusterCounters.js';
 import { defaultClusterOptions } from '../clusterOptions.js';
 import type { CoreEffect } from '../coreMessages.js';
-import type { PeerAnswer, PeerRequest } from '../messages.js';
+import type { PeerResponse, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import { ConfigurationDistributor } from './ConfigurationDistributor.js';
 
@@ -68,7 +68,7 @@
     const context = {
       clock: this.clock,
       random: createRandom(index + 1),
-      options: { ...defaultClusterOptions, partPageBytes: 9000 },
+      options: { ...defaultClusterOptions, maxPartPageBytes: 9000 },
       counters: createClusterCounters(),
       emit,
     };
@@ -88,7 +88,7 @@
         this.distributors[index]!.handleStoreParts(effect.readId, parts);
       });
     } else if (effect.kind === 'configuration') {
-      this.activatedGenerations[index]!.push(effect.inForce.manifest.generation);
+      this.activatedGenerations[index]!.push(effect.snapshot.manifest.generation);
     }
   }
 
@@ -102,7 +102,7 @@
     this.schedule(`response to ${index}`, () => this.calls[index]!.settle(callId, response));
   }
 
-  private createResponse(peer: number, request: PeerRequest, fate: MessageFate): PeerAnswer {
+  private createResponse(peer: number, request: PeerRequest, fate: MessageFate): PeerResponse {
     const distributor = this.distributors[peer]!;
     const response =
       request.kind === 'fetch-parts'
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.peers.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.peers.test.ts
@@ -3,11 +3,11 @@
 import { createClusterCounters } from '../ClusterCounters.js';
 import { defaultClusterOptions } from '../clusterOptions.js';
 import type { CoreEffect } from '../coreMessages.js';
-import type { PeerAnswer, PeerRequest } from '../messages.js';
+import type { PeerResponse, PeerRequest } from '../messages.js';
 import { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import { ConfigurationDistributor } from './ConfigurationDistributor.js';
 
-type Respond = (request: PeerRequest) => PeerAnswer | undefined;
+type Respond = (request: PeerRequest) => PeerResponse | undefined;
 
 type Effect<Kind> = Extract<CoreEffect, { kind: Kind }>;
 
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.test.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.test.ts
@@ -1,11 +1,11 @@
 import { PART_PREFIX } from '@apricotrill/configuration';
-import { getDecided, TestCluster } from '../../test/TestCluster.js';
+import { getMembersOfEvents, TestCluster } from '../../test/TestCluster.js';
 
 const NINE_DAEMONS = { 'fi/a': 3, 'fi/b': 3, 'fi/c': 3 };
 
 function createCluster(settings: Partial<ConstructorParameters<typeof TestCluster>[0]> = {}) {
   const cluster = new TestCluster({ zones: NINE_DAEMONS, ...settings });
-  cluster.accept();
+  cluster.acceptChange();
   cluster.run(20_000);
   const isActiveEverywhere = () =>
     cluster.daemons.every(({ host }) => host.core.generation === cluster.generation);
@@ -25,7 +25,7 @@
     const { cluster, isActiveEverywhere } = createCluster({ zones: { 'fi/a': 12, 'fi/b': 12 } });
     const fromStore = getCounterSum(cluster, 'partsFromStore');
     const fromPeers = getCounterSum(cluster, 'partsFromPeers');
-    cluster.accept();
+    cluster.acceptChange();
     expect(cluster.runUntil(isActiveEverywhere, 3000)).toBe(true);
     const WATCHERS = 4;
     expect(getCounterSum(cluster, 'partsFromStore') - fromStore).toBeLessThanOrEqual(WATCHERS);
@@ -37,7 +37,7 @@
     // Guards against a daemon that is replaced during a store outage and serves nothing, or an old
     // configuration, because it reads the configuration from the store only.
     const { cluster } = createCluster();
-    cluster.accept(400);
+    cluster.acceptChange(400);
     cluster.run(5000);
     cluster.setPlatform({ isDown: true });
     const late = cluster.add('fi/a');
@@ -56,7 +56,7 @@
     const late = cluster.daemons.find(({ host }) => !host.core.isWatching)!;
     cluster.isolate(late);
     late.platform.isDown = true;
-    cluster.accept();
+    cluster.acceptChange();
     cluster.run(2000);
     cluster.heal();
     expect(cluster.runUntil(isActiveEverywhere, 5000)).toBe(true);
@@ -70,7 +70,7 @@
     const cutOff = cluster.daemons.find(({ host }) => !host.core.isWatching)!;
     cluster.isolate(cutOff);
     cluster.run(30_000);
-    cluster.accept();
+    cluster.acceptChange();
     expect(cluster.runUntil(isActiveEverywhere, 6000)).toBe(true);
     cluster.dispose();
   });
@@ -79,10 +79,10 @@
     // Guards against an old configuration that becomes active again after the platform has restored
     // an old state of its objects.
     const { cluster } = createCluster();
-    cluster.accept();
+    cluster.acceptChange();
     cluster.run(5000);
     cluster.generation = 0;
-    cluster.accept();
+    cluster.acceptChange();
     cluster.run(30_000);
     expect(cluster.daemons.map(({ host }) => host.core.generation)).toEqual(Array(9).fill(2));
     cluster.dispose();
@@ -101,11 +101,11 @@
       }
       return put(...args);
     };
-    cluster.accept();
+    cluster.acceptChange();
     cluster.run(10_000);
     expect(cluster.daemons.map(({ host }) => host.core.generation)).toEqual(Array(9).fill(1));
     expect(
-      cluster.daemons.some((daemon) => getDecided(daemon, 'configuration-refused').length),
+      cluster.daemons.some((daemon) => getMembersOfEvents(daemon, 'configuration-refused').length),
     ).toBe(true);
     heldBack.forEach((args) => put(...args));
     expect(cluster.runUntil(isActiveEverywhere, 10_000)).toBe(true);
--- a/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/ConfigurationDistributor.ts
@@ -3,13 +3,13 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { ConfigurationSource } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
-import { decide, pickSome } from '../CoreContext.js';
+import { emitEvent, pickRandom } from '../CoreContext.js';
 import { ManifestHistory } from '../ManifestHistory/ManifestHistory.js';
-import type { PeerAnswer } from '../messages.js';
+import type { PeerResponse } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
-import { getManifestAnswer, createPartsResponse } from '../ConfigurationSpread/getFetchAnswers.js';
+import { createManifestResponse, createPartsResponse } from './createFetchResponses.js';
 
-type ManifestResponse = Extract<PeerAnswer, { kind: 'manifest' }>;
+type ManifestResponse = Extract<PeerResponse, { kind: 'manifest' }>;
 
 /** Delay of the next manifest fetch after an assembly was abandoned. */
 const RETRY_DELAY: Milliseconds = 1000;
@@ -106,22 +106,22 @@
   }
 
   /** Creates the response to a peer that holds a generation and fetches the active manifest. */
-  createManifestResponse(heldGeneration: number): PeerAnswer {
+  createManifestResponse(heldGeneration: number): PeerResponse {
     const snapshot = this.activeConfiguration.get();
-    return getManifestAnswer(
+    return createManifestResponse(
       snapshot,
       heldGeneration,
-      (manifest) => this.history.getTransfer(manifest, heldGeneration),
-      this.settings.context.options.partPageBytes,
+      (manifest) => this.history.createTransfer(manifest, heldGeneration),
+      this.settings.context.options.maxPartPageBytes,
     );
   }
 
   /** Creates the response to a peer that fetches parts. */
-  createPartsResponse(hashes: readonly string[]): PeerAnswer {
+  createPartsResponse(hashes: readonly string[]): PeerResponse {
     return createPartsResponse(
       this.activeConfiguration.get(),
       hashes,
-      this.settings.context.options.partPageBytes,
+      this.settings.context.options.maxPartPageBytes,
     );
   }
 
@@ -142,7 +142,7 @@
     const addresses = [...this.peerGenerations.keys()].filter(
       (peer) => this.peerGenerations.get(peer) === highestGeneration,
     );
-    const [address] = pickSome(context, addresses, 1);
+    const [address] = pickRandom(context, addresses, 1);
     const request = { kind: 'fetch-manifest', generation: this.getGeneration() } as const;
     this.isFetchingManifest = true;
     context.counters.fetches += 1;
@@ -156,7 +156,7 @@
     return this.assembly?.manifest.generation ?? 0;
   }
 
-  private handleManifestResponse(address: string, response: PeerAnswer | undefined): void {
+  private handleManifestResponse(address: string, response: PeerResponse | undefined): void {
     const manifest =
       response?.kind === 'manifest' ? this.history.resolveTransfer(response.transfer) : undefined;
     if (manifest === undefined) {
@@ -266,7 +266,7 @@
     const { generation } = manifest;
     this.assembly = undefined;
     this.nextFetchAt = context.clock.now() + RETRY_DELAY;
-    decide(context, { kind: 'configuration-refused', generation, reason, peer });
+    emitEvent(context, { kind: 'configuration-refused', generation, reason, peer });
   }
 
   private activate(assembly: Assembly): void {
@@ -299,10 +299,10 @@
         this.peerGenerations.delete(address);
       }
     });
-    decide(context, { kind: 'configuration-in-force', generation, source, peer });
+    emitEvent(context, { kind: 'configuration-in-force', generation, source, peer });
     context.emit({
       kind: 'configuration',
-      inForce: this.activeConfiguration.get() as ConfigurationSnapshot,
+      snapshot: this.activeConfiguration.get() as ConfigurationSnapshot,
     });
     pushGeneration();
     this.fetchManifest();
--- a/packages/cluster/src/lib/ConfigurationSpread/getFetchAnswers.ts
+++ b/packages/cluster/src/lib/ConfigurationDistributor/createFetchResponses.ts
@@ -1,5 +1,5 @@
 import type { ConfigurationSnapshot, Manifest } from '@apricotrill/configuration';
-import type { ManifestTransfer, PeerAnswer } from '../messages.js';
+import type { ManifestTransfer, PeerResponse } from '../messages.js';
 
 /** Selects part texts by hash, as many as fit, but at least one. */
 function getPartsPage(
@@ -30,12 +30,12 @@
  * Creates the response to a peer that fetches the manifest. With a delta it includes the added
  * parts, so that an edit needs only one round trip.
  */
-export function getManifestAnswer(
+export function createManifestResponse(
   snapshot: ConfigurationSnapshot | undefined,
   heldGeneration: number,
   createTransfer: (manifest: Manifest) => ManifestTransfer,
   maxBytes: number,
-): PeerAnswer {
+): PeerResponse {
   const generation = snapshot?.manifest.generation ?? 0;
   if (snapshot === undefined || generation <= heldGeneration) {
     return { kind: 'nack', generation };
@@ -50,7 +50,7 @@
   snapshot: ConfigurationSnapshot | undefined,
   hashes: readonly string[],
   maxBytes: number,
-): PeerAnswer {
+): PeerResponse {
   const generation = snapshot?.manifest.generation ?? 0;
   const parts = getPartsPage(snapshot?.parts ?? new Map<string, string>(), hashes, maxBytes);
   return { kind: 'parts', generation, parts };
--- a/packages/cluster/src/lib/CoreContext.ts
+++ b/packages/cluster/src/lib/CoreContext.ts
@@ -14,21 +14,21 @@
 }
 
 /** Emits an event for the log. */
-export function decide({ emit }: CoreContext, event: ClusterEvent): void {
-  emit({ kind: 'decision', decision: event });
+export function emitEvent({ emit }: CoreContext, event: ClusterEvent): void {
+  emit({ kind: 'decision', event });
 }
 
 /**
  * Varies a duration at random by up to a quarter in either direction, so that daemons don't act in
  * lockstep.
  */
-export function jitter({ random }: CoreContext, duration: number): number {
+export function addJitter({ random }: CoreContext, duration: number): number {
   const MAX_DEVIATION = 0.25;
   return duration * (1 - MAX_DEVIATION + 2 * MAX_DEVIATION * random.next());
 }
 
 /** Picks up to `count` items at random, without repetition. */
-export function pickSome<Item>(
+export function pickRandom<Item>(
   { random }: CoreContext,
   items: readonly Item[],
   count: number,
--- a/packages/cluster/src/lib/FlapDamper/FlapDamper.ts
+++ b/packages/cluster/src/lib/FlapDamper/FlapDamper.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
+import { emitEvent } from '../CoreContext.js';
 
 interface Penalty {
   value: number;
@@ -40,7 +40,7 @@
     const value = this.getPenalty(member) + amount;
     const { reuseTimer } = this.penalties.get(member) ?? { reuseTimer: undefined };
     this.penalties.set(member, { value, updatedAt: clock.now(), reuseTimer });
-    if (reuseTimer === undefined && value <= options.flapSuppress) {
+    if (reuseTimer === undefined && value <= options.flapSuppressThreshold) {
       this.evictDecayed();
       return;
     }
@@ -55,11 +55,11 @@
 
   private damp(member: string, value: number, isNew: boolean): void {
     const { clock, options } = this.context;
-    const delay = options.flapHalfLife * Math.log2(value / options.flapReuse);
+    const delay = options.flapHalfLife * Math.log2(value / options.flapReuseThreshold);
     const reuseTimer = clock.setTimer(delay, () => this.undamp(member));
     this.penalties.set(member, { value, updatedAt: clock.now(), reuseTimer });
     if (isNew) {
-      decide(this.context, { kind: 'member-damped', member, penalty: value });
+      emitEvent(this.context, { kind: 'member-damped', member, penalty: value });
       this.onChange();
     }
   }
@@ -71,7 +71,7 @@
       updatedAt: this.context.clock.now(),
       reuseTimer: undefined,
     });
-    decide(this.context, { kind: 'member-undamped', member });
+    emitEvent(this.context, { kind: 'member-undamped', member });
     this.onChange();
   }
 
--- a/packages/cluster/src/lib/Spreader/Spreader.ts
+++ b/packages/cluster/src/lib/Gossiper/Gossiper.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { jitter } from '../CoreContext.js';
+import { addJitter } from '../CoreContext.js';
 import type { Rumour } from '../messages.js';
 import { getRumourKey, RumourQueue } from '../RumourQueue/RumourQueue.js';
 
@@ -17,9 +17,9 @@
 
 interface GossiperSettings {
   context: CoreContext;
-  getSize: () => number;
+  getMemberCount: () => number;
   /** Sends one round of gossip messages. */
-  push: () => void;
+  sendGossip: () => void;
 }
 
 /**
@@ -27,7 +27,7 @@
  * queued. All of them share one token bucket of bytes, so that a burst of rumours (such as the
  * failure of a zone) takes longer instead of using more bandwidth.
  */
-export class Spreader {
+export class Gossiper {
   private readonly queue = new RumourQueue();
 
   private timer: Timer | undefined;
@@ -43,15 +43,15 @@
   }
 
   /** Queues a rumour with enough sends to reach all members with high probability. */
-  tell(rumour: Rumour): void {
-    const digits = Math.ceil(Math.log10(this.settings.getSize() + 1));
-    const { rumourRepeats } = this.settings.context.options;
-    this.enqueue(rumour, rumourRepeats * Math.max(MIN_DIGITS, digits));
+  queueRumour(rumour: Rumour): void {
+    const digits = Math.ceil(Math.log10(this.settings.getMemberCount() + 1));
+    const { rumourRetransmitMultiplier } = this.settings.context.options;
+    this.enqueue(rumour, rumourRetransmitMultiplier * Math.max(MIN_DIGITS, digits));
   }
 
   /** Queues a rumour that will soon be replaced by a newer one, so a few sends are enough. */
-  tellBriefly(rumour: Rumour): void {
-    this.enqueue(rumour, this.settings.context.options.rumourRepeats);
+  queueShortLivedRumour(rumour: Rumour): void {
+    this.enqueue(rumour, this.settings.context.options.rumourRetransmitMultiplier);
   }
 
   /**
@@ -59,10 +59,10 @@
    *
    * @param received - rumours that the receiver has just sent: echoing them would waste sends
    */
-  take(received: readonly Rumour[] = []): Rumour[] {
+  takeRumours(received: readonly Rumour[] = []): Rumour[] {
     const { options, counters } = this.settings.context;
     this.refill();
-    const maxBytes = Math.min(options.rumourBytes, this.availableBytes);
+    const maxBytes = Math.min(options.maxRumourBytes, this.availableBytes);
     const known = new Set(received.map(getRumourKey));
     const rumours = this.queue.take(maxBytes, known, (bytes) => {
       this.availableBytes -= bytes;
@@ -86,14 +86,14 @@
   private scheduleRound(): void {
     const { context } = this.settings;
     if (this.timer === undefined && this.queue.size > 0) {
-      const delay = jitter(context, context.options.gossipInterval);
+      const delay = addJitter(context, context.options.gossipInterval);
       this.timer = context.clock.setTimer(delay, () => this.runRound());
     }
   }
 
   private runRound(): void {
     this.timer = undefined;
-    this.settings.push();
+    this.settings.sendGossip();
     this.scheduleRound();
   }
 
--- a/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.test.ts
+++ b/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.test.ts
@@ -1,19 +1,19 @@
 import { InstanceRole, InstanceState } from '@apricotrill/store';
-import { getDecided, TestCluster } from '../../test/TestCluster.js';
+import { getMembersOfEvents, TestCluster } from '../../test/TestCluster.js';
 
 function createCluster(listLag = 0) {
   const cluster = new TestCluster({
     zones: { 'fi/a': 3, 'fi/b': 3 },
     listLag,
-    options: { minListInterval: 300, suspicionSpan: 20_000 },
+    options: { minListInterval: 300, suspicionTimeout: 20_000 },
   });
   cluster.run(10_000);
-  cluster.daemons.forEach(({ decisions }) => decisions.splice(0));
+  cluster.daemons.forEach(({ events }) => events.splice(0));
   return cluster;
 }
 
 function getDeaths({ daemons }: TestCluster): string[] {
-  return [...new Set(daemons.flatMap((daemon) => getDecided(daemon, 'member-dead')))];
+  return [...new Set(daemons.flatMap((daemon) => getMembersOfEvents(daemon, 'member-dead')))];
 }
 
 describe('InstanceListMonitor', () => {
@@ -65,9 +65,9 @@
     paused!.clock.thaw();
     cluster.run(10_000);
     expect(getDeaths(cluster)).toEqual([]);
-    expect(cluster.daemons.some((daemon) => getDecided(daemon, 'list-distrusted').length)).toBe(
-      true,
-    );
+    expect(
+      cluster.daemons.some((daemon) => getMembersOfEvents(daemon, 'list-distrusted').length),
+    ).toBe(true);
     cluster.dispose();
   });
 
--- a/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.ts
+++ b/packages/cluster/src/lib/InstanceListMonitor/InstanceListMonitor.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import { DeathCause } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
-import { decide, jitter } from '../CoreContext.js';
+import { emitEvent, addJitter } from '../CoreContext.js';
 import { getAddress, isRunning, MemberState } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
 
@@ -70,9 +70,9 @@
 
   private poll(): void {
     const { context, membership } = this.settings;
-    this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () => this.poll());
+    this.timer = context.clock.setTimer(addJitter(context, this.getInterval()), () => this.poll());
     const isAlone = membership.size === 1;
-    if (isAlone || this.settings.isListReader() || membership.experience.isCutOff) {
+    if (isAlone || this.settings.isListReader() || membership.localHealth.isCutOff) {
       context.counters.listReads += 1;
       context.emit({ kind: 'read-instances' });
     }
@@ -87,7 +87,7 @@
     const isTrusted = daemons.some(({ id }) => id === selfId);
     this.distrustedReads = isTrusted ? 0 : this.distrustedReads + 1;
     if (this.distrustedReads === MIN_DISTRUSTED_READS) {
-      decide(this.settings.context, { kind: 'list-distrusted', instances: daemons.length });
+      emitEvent(this.settings.context, { kind: 'list-distrusted', instances: daemons.length });
     }
     return isTrusted;
   }
@@ -102,7 +102,7 @@
         this.missingReads.set(id, reads);
         const isUnresponsive =
           state === MemberState.Suspect ||
-          membership.experience.hasFailed(id) ||
+          membership.localHealth.hasFailed(id) ||
           !this.settings.isRegionReachable(region);
         if (reads >= MIN_MISSING_READS && isUnresponsive) {
           membership.declareDead(id, DeathCause.Unlisted);
--- a/packages/cluster/src/lib/LoadDigests/LoadDigests.ts
+++ b/packages/cluster/src/lib/LoadDigests/LoadDigests.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { jitter } from '../CoreContext.js';
+import { addJitter } from '../CoreContext.js';
 import type { Rumour, ServiceLoad, ZoneLoadReport } from '../messages.js';
 
 /**
@@ -111,7 +111,7 @@
   private scheduleReport(): void {
     const { context } = this.settings;
     if (this.timer === undefined) {
-      this.timer = context.clock.setTimer(jitter(context, this.getInterval()), () =>
+      this.timer = context.clock.setTimer(addJitter(context, this.getInterval()), () =>
         this.reportLoad(),
       );
     }
--- a/packages/cluster/src/lib/Experience/Experience.ts
+++ b/packages/cluster/src/lib/LocalHealth/LocalHealth.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
+import { emitEvent } from '../CoreContext.js';
 
 /** If fewer peers were tried, responses of the platform can also show that the network works. */
 const MIN_PEER_SAMPLE = 3;
@@ -16,7 +16,7 @@
  * view. So if most of the peers tried did not respond, it considers itself cut off: it suspects
  * nobody, keeps its last view and continues to probe.
  */
-export class Experience {
+export class LocalHealth {
   private readonly lastResults = new Map<string, ContactResult>();
 
   private platformRespondedAt: Milliseconds = Number.NEGATIVE_INFINITY;
@@ -44,7 +44,7 @@
     return this.lastResults.get(peer)?.succeeded === false;
   }
 
-  record(peer: string, succeeded: boolean): void {
+  recordPeerResult(peer: string, succeeded: boolean): void {
     this.lastResults.set(peer, { succeeded, at: this.context.clock.now() });
     this.update();
   }
@@ -65,7 +65,7 @@
   /**
    * Whether another peer or the platform responded since then, which proves that the network works.
    */
-  hasOtherAnswer(peer: string, since: Milliseconds): boolean {
+  hasOtherResponse(peer: string, since: Milliseconds): boolean {
     const hasPeerResponse = [...this.lastResults].some(
       ([other, { succeeded, at }]) => other !== peer && succeeded && at >= since,
     );
@@ -78,7 +78,7 @@
     const isCutOff = failed * 2 > tried && !isPlatformReachable;
     if (isCutOff !== this.cutOff) {
       this.cutOff = isCutOff;
-      decide(this.context, { kind: isCutOff ? 'cut-off' : 'reconnected', tried, failed });
+      emitEvent(this.context, { kind: isCutOff ? 'cut-off' : 'reconnected', tried, failed });
       this.onChange();
     }
   }
--- a/packages/cluster/src/lib/ManifestHistory/ManifestHistory.ts
+++ b/packages/cluster/src/lib/ManifestHistory/ManifestHistory.ts
@@ -47,7 +47,7 @@
   }
 
   /** Creates the transfer of a manifest to a peer that holds a generation. */
-  getTransfer(manifest: Manifest, heldGeneration: number): ManifestTransfer {
+  createTransfer(manifest: Manifest, heldGeneration: number): ManifestTransfer {
     const base = this.partsByGeneration.get(heldGeneration);
     if (base === undefined) {
       return { kind: 'whole', manifest: { ...manifest, recent: [] } };
--- a/packages/cluster/src/lib/MemberTable/MemberTable.ts
+++ b/packages/cluster/src/lib/MemberTable/MemberTable.ts
@@ -4,7 +4,7 @@
 import { isNewerRecord, isRunning, MemberState } from '../Member.js';
 
 /** The number of buckets that records are hashed into for anti-entropy. */
-export const BUCKETS = 64;
+export const BUCKET_COUNT = 64;
 
 /** A member's record with what this daemon keeps locally about it. */
 export interface MemberEntry {
@@ -15,8 +15,8 @@
 }
 
 /** The index of the bucket that a member belongs to. */
-export function getBucket(id: string): number {
-  return getHash(id) % BUCKETS;
+export function getBucketIndex(id: string): number {
+  return getHash(id) % BUCKET_COUNT;
 }
 
 /**
@@ -35,9 +35,9 @@
 export class MemberTable {
   private readonly entries = new Map<string, MemberEntry>();
 
-  private readonly buckets: Set<string>[] = Array.from({ length: BUCKETS }, () => new Set());
+  private readonly buckets: Set<string>[] = Array.from({ length: BUCKET_COUNT }, () => new Set());
 
-  private readonly hashes = new Uint32Array(BUCKETS);
+  private readonly hashes = new Uint32Array(BUCKET_COUNT);
 
   private running = 0;
 
@@ -99,7 +99,7 @@
     const entry = this.entries.get(id);
     if (entry !== undefined) {
       this.subtractFromTotals(entry.record);
-      this.buckets[getBucket(id)]!.delete(id);
+      this.buckets[getBucketIndex(id)]!.delete(id);
       this.entries.delete(id);
       this.changeCount += 1;
     }
@@ -112,7 +112,7 @@
    */
   getBucketHashes(self: MemberRecord): Uint8Array {
     const hashes = new Uint32Array(this.hashes);
-    const bucket = getBucket(self.id);
+    const bucket = getBucketIndex(self.id);
     // eslint-disable-next-line no-bitwise
     hashes[bucket] = (hashes[bucket]! ^ getRecordHash(self)) >>> 0;
     return new Uint8Array(hashes.buffer);
@@ -126,7 +126,7 @@
     }
     const stateSince = isSameState ? previous.stateSince : now;
     this.entries.set(record.id, { record, stateSince, generation: previous?.generation ?? 0 });
-    this.buckets[getBucket(record.id)]!.add(record.id);
+    this.buckets[getBucketIndex(record.id)]!.add(record.id);
     this.toggleHash(record);
     this.running += isRunning(record.state) ? 1 : 0;
     this.changeCount += 1;
@@ -138,7 +138,7 @@
   }
 
   private toggleHash(record: MemberRecord): void {
-    const bucket = getBucket(record.id);
+    const bucket = getBucketIndex(record.id);
     // eslint-disable-next-line no-bitwise
     this.hashes[bucket] = (this.hashes[bucket]! ^ getRecordHash(record)) >>> 0;
   }
--- a/packages/cluster/src/lib/Membership/Membership.test.ts
+++ b/packages/cluster/src/lib/Membership/Membership.test.ts
@@ -1,4 +1,4 @@
-import { getDecided, getView, TestCluster } from '../../test/TestCluster.js';
+import { getMembersOfEvents, getView, TestCluster } from '../../test/TestCluster.js';
 import type { Member } from '../Member.js';
 import { MemberState } from '../Member.js';
 
@@ -40,10 +40,10 @@
     cluster.crash(crashed!);
     cluster.run(6000);
     cluster.isolate(cutOff!);
-    cutOff!.decisions.length = 0;
+    cutOff!.events.length = 0;
     cluster.run(300_000);
-    expect(getDecided(cutOff!, 'member-suspected')).toEqual([]);
-    expect(getDecided(cutOff!, 'member-dead')).toEqual([crashed!.id]);
+    expect(getMembersOfEvents(cutOff!, 'member-suspected')).toEqual([]);
+    expect(getMembersOfEvents(cutOff!, 'member-dead')).toEqual([crashed!.id]);
     expect(cutOff!.host.core.isCutOff).toBe(true);
     expect(cutOff!.host.core.getMembers()).toHaveLength(19);
     expect(getView(cluster.daemons[1]!, cutOff!.id)).toBeUndefined();
@@ -70,7 +70,7 @@
     cluster.run(15_000);
     cluster.isolate(cutOff!);
     cluster.run(60_000);
-    expect(getDecided(cutOff!, 'member-suspected')).toEqual([]);
+    expect(getMembersOfEvents(cutOff!, 'member-suspected')).toEqual([]);
   });
 
   it('does not let a suspicion time out while the refutation cannot arrive', () => {
@@ -86,7 +86,7 @@
     paused!.clock.thaw();
     cluster.run(120_000);
     expect(getView(cutOff!, paused!.id)?.state).toBe(MemberState.Suspect);
-    expect(getDecided(cutOff!, 'member-dead')).toEqual([]);
+    expect(getMembersOfEvents(cutOff!, 'member-dead')).toEqual([]);
   });
 
   it('declares nobody dead because of its own pause', () => {
@@ -103,8 +103,8 @@
     cluster.run(60_000);
     observer!.clock.thaw();
     cluster.run(30_000);
-    expect(getDecided(observer!, 'pause-noticed')).toHaveLength(1);
-    expect(getDecided(observer!, 'member-dead')).toEqual([]);
+    expect(getMembersOfEvents(observer!, 'pause-noticed')).toHaveLength(1);
+    expect(getMembersOfEvents(observer!, 'member-dead')).toEqual([]);
     expect(getView(observer!, paused!.id)?.state).toBe(MemberState.Alive);
   });
 
@@ -122,8 +122,8 @@
     observer!.clock.freeze();
     cluster.run(60_000);
     observer!.clock.thaw();
-    expect(getDecided(observer!, 'pause-noticed')).toHaveLength(1);
-    expect(getDecided(observer!, 'member-dead')).toEqual([]);
+    expect(getMembersOfEvents(observer!, 'pause-noticed')).toHaveLength(1);
+    expect(getMembersOfEvents(observer!, 'member-dead')).toEqual([]);
   });
 
   it('keeps the leaving state of a member that refutes its death', () => {
@@ -179,7 +179,9 @@
     cluster.faults.canPass = (from, to) =>
       !pairs.some((pair) => pair.includes(from) && pair.includes(to));
     cluster.run(120_000);
-    expect(cluster.daemons.flatMap((daemon) => getDecided(daemon, 'member-suspected'))).toEqual([]);
+    expect(
+      cluster.daemons.flatMap((daemon) => getMembersOfEvents(daemon, 'member-suspected')),
+    ).toEqual([]);
     expect(cluster.daemons.some(({ host }) => host.core.counters.probeFailures > 0)).toBe(true);
   });
 
@@ -199,7 +201,10 @@
   it('does not revive a dead member for a delayed record, and evicts its tombstone in the end', () => {
     // Guards against a dead daemon coming back into the view again and again: if its tombstone were
     // evicted at once, a delayed record from before its death would look new.
-    const cluster = createCluster({ zones: { 'fi/a': 6 }, options: { tombstoneSpan: 100_000 } });
+    const cluster = createCluster({
+      zones: { 'fi/a': 6 },
+      options: { tombstoneRetention: 100_000 },
+    });
     const [crashed, other] = cluster.daemons;
     const { stateSince, ...member } = getView(other!, crashed!.id)!;
     const record = { ...member, refutation: 0 };
--- a/packages/cluster/src/lib/Membership/Membership.ts
+++ b/packages/cluster/src/lib/Membership/Membership.ts
@@ -1,34 +1,34 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { DeathCause } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
-import { Experience } from '../Experience/Experience.js';
+import { emitEvent } from '../CoreContext.js';
+import { LocalHealth } from '../LocalHealth/LocalHealth.js';
 import { FlapDamper, REFUTATION_PENALTY, RETURN_PENALTY } from '../FlapDamper/FlapDamper.js';
 import type { DaemonIdentity, Member, MemberRecord } from '../Member.js';
 import { getMeshAddress, isRunning, MemberState } from '../Member.js';
 import type { MemberEntry } from '../MemberTable/MemberTable.js';
 import { MemberTable } from '../MemberTable/MemberTable.js';
-import type { Rumour, Verdict } from '../messages.js';
+import type { Rumour, MemberStateUpdate } from '../messages.js';
 import { PauseDetector } from '../PauseDetector/PauseDetector.js';
 import { SelfRecord } from '../SelfRecord/SelfRecord.js';
 import { SuspicionTimers } from './SuspicionTimers.js';
 
 /** How a change to a member's record reached this daemon. */
-export enum WordFrom {
+export enum RecordSource {
   /** This daemon's own observation, or a rumour: it is gossiped further. */
   Rumour = 'rumour',
   /** An anti-entropy exchange: too much to gossip further, and peers run exchanges themselves. */
-  Comparison = 'anti-entropy',
+  AntiEntropy = 'anti-entropy',
 }
 
 interface MembershipSettings {
   context: CoreContext;
   identity: DaemonIdentity;
-  tell: (rumour: Rumour) => void;
+  queueRumour: (rumour: Rumour) => void;
   /** Whether a region is reachable from this daemon. */
   isRegionReachable: (region: string) => boolean;
   /** Whether the member is in this daemon's region, whose daemons detect its failure. */
-  isOursToJudge: (member: string) => boolean;
+  isInOwnRegion: (member: string) => boolean;
   onChange: () => void;
 }
 
@@ -41,7 +41,7 @@
 
   readonly self: SelfRecord;
 
-  readonly experience: Experience;
+  readonly localHealth: LocalHealth;
 
   readonly pauseDetector: PauseDetector;
 
@@ -57,14 +57,14 @@
     const { context, identity, onChange } = settings;
     this.context = context;
     this.startedAt = context.clock.now();
-    this.experience = new Experience(context, onChange);
+    this.localHealth = new LocalHealth(context, onChange);
     this.pauseDetector = new PauseDetector(context);
     this.flapDamper = new FlapDamper(context, onChange);
-    this.self = new SelfRecord(context, identity, (record) => this.tellSelf(record));
+    this.self = new SelfRecord(context, identity, (record) => this.announceSelf(record));
     this.suspicionTimers = new SuspicionTimers({
       context,
       isExpiryDeferred: (member) => this.isExpiryDeferred(member),
-      onExpiry: (member) => this.declareDead(member, DeathCause.Unrefuted),
+      onExpiry: (member) => this.declareDead(member, DeathCause.SuspicionTimeout),
     });
   }
 
@@ -74,8 +74,8 @@
   }
 
   /** Gossips this daemon's current record. */
-  tellSelf(record = this.self.get()): void {
-    this.settings.tell({ kind: 'member', record });
+  announceSelf(record = this.self.get()): void {
+    this.settings.queueRumour({ kind: 'member', record });
     this.settings.onChange();
   }
 
@@ -84,7 +84,7 @@
    *
    * @returns the record that this daemon holds, if it differs from the received one and wins
    */
-  hearRecord(record: MemberRecord, source: WordFrom): MemberRecord | undefined {
+  handleRecord(record: MemberRecord, source: RecordSource): MemberRecord | undefined {
     if (record.id === this.self.get().id) {
       this.self.refute(record);
       return undefined;
@@ -93,10 +93,10 @@
     if (previous === 'not-newer') {
       return this.getNewerRecord(record);
     }
-    if (source === WordFrom.Rumour) {
-      this.settings.tell({ kind: 'member', record });
+    if (source === RecordSource.Rumour) {
+      this.settings.queueRumour({ kind: 'member', record });
     }
-    this.handleStateChange(previous, record, DeathCause.Word);
+    this.handleStateChange(previous, record, DeathCause.ReportedByPeer);
     return undefined;
   }
 
@@ -105,12 +105,12 @@
    *
    * @returns the record that this daemon holds, if it differs from the update and wins
    */
-  hearVerdict(update: Verdict): MemberRecord | undefined {
+  handleStateUpdate(update: MemberStateUpdate): MemberRecord | undefined {
     if (update.id === this.self.get().id) {
       this.self.refute(update);
       return undefined;
     }
-    return this.applyStateUpdate(update, DeathCause.Word);
+    return this.applyStateUpdate(update, DeathCause.ReportedByPeer);
   }
 
   /** Suspects a member that failed both the direct probe and the indirect ones. */
@@ -121,10 +121,10 @@
     } else if (record?.state === MemberState.Alive) {
       const { id, incarnation, refutation } = record;
       this.context.counters.suspicions += 1;
-      decide(this.context, { kind: 'member-suspected', member, incarnation });
+      emitEvent(this.context, { kind: 'member-suspected', member, incarnation });
       this.applyStateUpdate(
         { id, incarnation, refutation, state: MemberState.Suspect },
-        DeathCause.Word,
+        DeathCause.ReportedByPeer,
       );
     }
   }
@@ -138,7 +138,7 @@
   }
 
   /** The record of a peer that is not alive in this view, to send to the peer so it can refute. */
-  getWordOn(member: string): Rumour[] {
+  getUpdatesAbout(member: string): Rumour[] {
     const record = this.table.get(member)?.record;
     return record === undefined || record.state === MemberState.Alive
       ? []
@@ -152,7 +152,7 @@
    * @returns whether this process has just resumed after a pause: timeouts that expired in the
    *   meantime prove nothing
    */
-  noticePause(): boolean {
+  detectPause(): boolean {
     const hasPaused = this.pauseDetector.check();
     if (hasPaused) {
       this.suspicionTimers.restart();
@@ -165,8 +165,8 @@
    * tombstones: otherwise a delayed message from before the death would bring a member back on
    * every daemon.
    */
-  forgetDead(): void {
-    const evictBefore = this.context.clock.now() - this.context.options.tombstoneSpan;
+  evictTombstones(): void {
+    const evictBefore = this.context.clock.now() - this.context.options.tombstoneRetention;
     [...this.table.values()]
       .filter(({ record, stateSince }) => !isRunning(record.state) && stateSince < evictBefore)
       .forEach(({ record }) => this.table.remove(record.id));
@@ -190,7 +190,7 @@
     this.flapDamper.dispose();
   }
 
-  private applyStateUpdate(update: Verdict, cause: DeathCause): MemberRecord | undefined {
+  private applyStateUpdate(update: MemberStateUpdate, cause: DeathCause): MemberRecord | undefined {
     const record = this.table.getUpdatedRecord(update.id, update);
     if (record === undefined) {
       return undefined;
@@ -199,7 +199,7 @@
     if (previous === 'not-newer') {
       return this.getNewerRecord(record);
     }
-    this.settings.tell({ kind: 'verdict', verdict: update });
+    this.settings.queueRumour({ kind: 'member-state', update });
     this.handleStateChange(previous, record, cause);
     return undefined;
   }
@@ -218,17 +218,17 @@
         this.suspicionTimers.start(id);
         break;
       case MemberState.Leaving:
-        decide(this.context, { kind: 'member-leaving', member: id });
+        emitEvent(this.context, { kind: 'member-leaving', member: id });
         break;
       case MemberState.Dead:
-        this.experience.forget(id);
-        decide(this.context, { kind: 'member-dead', member: id, incarnation, cause });
+        this.localHealth.forget(id);
+        emitEvent(this.context, { kind: 'member-dead', member: id, incarnation, cause });
         break;
       case MemberState.Alive:
       default: {
         const isRefuted = previous?.state === MemberState.Suspect;
         const kind = isRefuted ? 'member-refuted' : 'member-joined';
-        decide(this.context, { kind, member: id, incarnation });
+        emitEvent(this.context, { kind, member: id, incarnation });
       }
     }
     this.settings.onChange();
@@ -258,7 +258,7 @@
    * refutation may never arrive.
    */
   private isExpiryDeferred(member: string): boolean {
-    return this.noticePause() || this.experience.isCutOff || !this.settings.isOursToJudge(member);
+    return this.detectPause() || this.localHealth.isCutOff || !this.settings.isInOwnRegion(member);
   }
 
   private getMember({ record, stateSince, generation }: MemberEntry): Member {
--- a/packages/cluster/src/lib/Membership/SuspicionTimers.ts
+++ b/packages/cluster/src/lib/Membership/SuspicionTimers.ts
@@ -17,7 +17,9 @@
   start(member: string): void {
     const { context } = this.settings;
     this.timers.get(member)?.cancel();
-    const timer = context.clock.setTimer(context.options.suspicionSpan, () => this.expire(member));
+    const timer = context.clock.setTimer(context.options.suspicionTimeout, () =>
+      this.expire(member),
+    );
     this.timers.set(member, timer);
   }
 
--- a/packages/cluster/src/lib/PauseDetector/PauseDetector.ts
+++ b/packages/cluster/src/lib/PauseDetector/PauseDetector.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
+import { emitEvent } from '../CoreContext.js';
 
 /** Minimum length of a pause, in probe intervals. */
 const MIN_PAUSE_INTERVALS = 2;
@@ -38,7 +38,7 @@
       return false;
     }
     this.lastResumedAt = now;
-    decide(this.context, { kind: 'pause-noticed', span: pauseDuration });
+    emitEvent(this.context, { kind: 'pause-noticed', span: pauseDuration });
     return true;
   }
 }
--- a/packages/cluster/src/lib/PeerCalls/PeerCalls.ts
+++ b/packages/cluster/src/lib/PeerCalls/PeerCalls.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { EmitEffect } from '../coreMessages.js';
-import type { PeerAnswer, PeerRequest } from '../messages.js';
+import type { PeerResponse, PeerRequest } from '../messages.js';
 
 /** Called with the response, or undefined if the call failed. */
-export type ResponseListener = (response: PeerAnswer | undefined) => void;
+export type ResponseListener = (response: PeerResponse | undefined) => void;
 
 /** Tracks the core's calls to peers that are in flight. */
 export class PeerCalls {
@@ -27,7 +27,7 @@
   }
 
   /** Completes a call. A second result for the same call is dropped. */
-  settle(callId: number, response: PeerAnswer | undefined): void {
+  settle(callId: number, response: PeerResponse | undefined): void {
     const onResponse = this.pendingCalls.get(callId);
     this.pendingCalls.delete(callId);
     onResponse?.(response);
--- a/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
+++ b/packages/cluster/src/lib/ProbeTargets/ProbeTargets.ts
@@ -99,7 +99,7 @@
    * Whether the member is in this daemon's region. Only then may this daemon suspect it or declare
    * it dead: each region detects the failures of its own daemons.
    */
-  isOursToJudge(member: string): boolean {
+  isInOwnRegion(member: string): boolean {
     return this.table.get(member)?.record.region === this.self.region;
   }
 
@@ -109,8 +109,8 @@
    * this daemon's region is too small to judge by.
    */
   isLocalHealthEvidence(member: string): boolean {
-    const isAmongFew = this.getRegionSize(this.self.region) < this.options.smallRegion;
-    return isAmongFew || this.isOursToJudge(member);
+    const isAmongFew = this.getRegionSize(this.self.region) < this.options.smallRegionSize;
+    return isAmongFew || this.isInOwnRegion(member);
   }
 
   private refresh(): void {
--- a/packages/cluster/src/lib/Prober/Prober.ts
+++ b/packages/cluster/src/lib/Prober/Prober.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { jitter, pickSome } from '../CoreContext.js';
+import { addJitter, pickRandom } from '../CoreContext.js';
 import { getMeshAddress, isRunning } from '../Member.js';
 import type { Membership } from '../Membership/Membership.js';
-import type { PeerAnswer, Rumour } from '../messages.js';
+import type { PeerResponse, Rumour } from '../messages.js';
 import type { PeerCalls } from '../PeerCalls/PeerCalls.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 
@@ -15,7 +15,7 @@
   getGeneration: () => number;
   takeRumours: () => Rumour[];
   /** Handles the generation and the rumours that an ack carries. */
-  hear: (member: string, response: PeerAnswer) => void;
+  handleAck: (member: string, response: PeerResponse) => void;
 }
 
 /**
@@ -49,7 +49,7 @@
       kind: 'ping',
       generation: this.settings.getGeneration(),
       member,
-      rumours: [...membership.getWordOn(member), ...this.settings.takeRumours()],
+      rumours: [...membership.getUpdatesAbout(member), ...this.settings.takeRumours()],
     } as const;
     calls.call(getMeshAddress(record), request, context.options.probeTimeout, (response) => {
       this.handleProbeResult(member, startedAt, response);
@@ -70,13 +70,13 @@
     let isReached = false;
     relays.forEach((relay) => {
       const request = {
-        kind: 'ping-through',
+        kind: 'indirect-ping',
         generation: this.settings.getGeneration(),
         member,
         address: getMeshAddress(record),
-        rumours: membership.getWordOn(member),
+        rumours: membership.getUpdatesAbout(member),
       } as const;
-      const timeout = context.options.probeTimeout + context.options.indirectTimeout;
+      const timeout = context.options.probeTimeout + context.options.indirectProbeTimeout;
       calls.call(this.getAddress(relay), request, timeout, (response) => {
         pending -= 1;
         isReached ||= response?.kind === 'ack';
@@ -95,14 +95,14 @@
   private tick(): void {
     const { context, membership, targets } = this.settings;
     const neighbours = targets.getNeighbours();
-    const interval = jitter(context, context.options.probeInterval);
+    const interval = addJitter(context, context.options.probeInterval);
     this.timer = context.clock.setTimer(interval, () => this.tick());
-    membership.noticePause();
+    membership.detectPause();
     if (neighbours.length > 0) {
       this.neighbourIndex = (this.neighbourIndex + 1) % neighbours.length;
       this.probe(neighbours[this.neighbourIndex]!);
     }
-    if (membership.experience.hasFailures()) {
+    if (membership.localHealth.hasFailures()) {
       this.probeBeyondNeighbours(neighbours);
     }
   }
@@ -117,7 +117,7 @@
       .filter(({ record }) => isRunning(record.state) && !neighbours.includes(record.id))
       .map(({ record }) => record.id)
       .filter((member) => this.settings.targets.isLocalHealthEvidence(member));
-    pickSome(context, others, 1).forEach((member) => this.probe(member));
+    pickRandom(context, others, 1).forEach((member) => this.probe(member));
   }
 
   /**
@@ -127,7 +127,7 @@
   private handleProbeResult(
     member: string,
     startedAt: Milliseconds,
-    response: PeerAnswer | undefined,
+    response: PeerResponse | undefined,
   ): void {
     const { context, membership } = this.settings;
     this.recordCallResult(member, startedAt, response);
@@ -135,7 +135,7 @@
       return;
     }
     context.counters.probeFailures += 1;
-    const maySuspect = this.settings.targets.isOursToJudge(member);
+    const maySuspect = this.settings.targets.isInOwnRegion(member);
     if (maySuspect && startedAt > membership.pauseDetector.resumedAt) {
       this.probeIndirectly(member, startedAt);
     }
@@ -145,17 +145,17 @@
   private recordCallResult(
     peer: string,
     startedAt: Milliseconds,
-    response: PeerAnswer | undefined,
+    response: PeerResponse | undefined,
   ): void {
     const { membership } = this.settings;
-    membership.noticePause();
+    membership.detectPause();
     const isConclusive = response !== undefined || startedAt > membership.pauseDetector.resumedAt;
     const isMember = isRunning(membership.table.get(peer)?.record.state);
     if (isConclusive && isMember && this.settings.targets.isLocalHealthEvidence(peer)) {
-      membership.experience.record(peer, response !== undefined);
+      membership.localHealth.recordPeerResult(peer, response !== undefined);
     }
     if (response?.kind === 'ack') {
-      this.settings.hear(peer, response);
+      this.settings.handleAck(peer, response);
     }
   }
 
@@ -165,9 +165,9 @@
    * responded since the probe started and most of its peers respond.
    */
   private suspectUnlessUnhealthy(member: string, startedAt: Milliseconds): void {
-    const { experience, pauseDetector } = this.settings.membership;
-    const isNetworkWorking = experience.hasOtherAnswer(member, startedAt);
-    if (isNetworkWorking && !experience.isCutOff && startedAt > pauseDetector.resumedAt) {
+    const { localHealth, pauseDetector } = this.settings.membership;
+    const isNetworkWorking = localHealth.hasOtherResponse(member, startedAt);
+    if (isNetworkWorking && !localHealth.isCutOff && startedAt > pauseDetector.resumedAt) {
       this.settings.membership.suspect(member);
     }
   }
@@ -178,7 +178,7 @@
     const peers = (targets.getRegions().get(region ?? '') ?? []).filter((id) => id !== member);
     const neighbours = targets.getNeighbours().filter((id) => id !== member);
     const candidates = peers.length > 0 ? peers : neighbours;
-    return pickSome(context, candidates, context.options.indirectProbes);
+    return pickRandom(context, candidates, context.options.indirectProbeCount);
   }
 
   private getAddress(member: string): string {
--- a/packages/cluster/src/lib/RegionReachability/RegionReachability.test.ts
+++ b/packages/cluster/src/lib/RegionReachability/RegionReachability.test.ts
@@ -1,4 +1,4 @@
-import { getDecided, getView, TestCluster } from '../../test/TestCluster.js';
+import { getMembersOfEvents, getView, TestCluster } from '../../test/TestCluster.js';
 import { MemberState } from '../Member.js';
 
 const TWO_REGIONS = { 'fi/a': 3, 'fi/b': 3, 'se/c': 3, 'se/d': 3 };
@@ -19,7 +19,7 @@
     // daemons of the other one by one and adds them again later, which moves every duty twice,
     // because silence across regions is held against each daemon.
     const { cluster, partitionRegions } = createCluster();
-    cluster.daemons.forEach(({ decisions }) => decisions.splice(0));
+    cluster.daemons.forEach(({ events }) => events.splice(0));
     partitionRegions();
     cluster.run(300_000);
     cluster.daemons.forEach((daemon) => {
@@ -28,7 +28,7 @@
       expect(members.filter(({ isReachable }) => !isReachable)).toHaveLength(6);
       expect(members.filter(({ isEligible }) => isEligible)).toHaveLength(6);
       expect(daemon.host.core.isCutOff).toBe(false);
-      expect(getDecided(daemon, 'member-suspected')).toEqual([]);
+      expect(getMembersOfEvents(daemon, 'member-suspected')).toEqual([]);
     });
     cluster.heal();
     const areAllEligible = () =>
--- a/packages/cluster/src/lib/RegionReachability/RegionReachability.ts
+++ b/packages/cluster/src/lib/RegionReachability/RegionReachability.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide, jitter } from '../CoreContext.js';
+import { emitEvent, addJitter } from '../CoreContext.js';
 import type { ProbeTargets } from '../ProbeTargets/ProbeTargets.js';
 
 /** This many links into a region must have failed in a row before it counts as unreachable. */
@@ -40,7 +40,7 @@
 
   start(): void {
     const { context } = this.settings;
-    const delay = jitter(context, context.options.probeInterval);
+    const delay = addJitter(context, context.options.probeInterval);
     this.timer = context.clock.setTimer(delay, () => {
       this.start();
       this.probeRegions();
@@ -61,7 +61,7 @@
     state.consecutiveFailures = 0;
     if (!state.isReachable) {
       state.isReachable = true;
-      decide(this.settings.context, { kind: 'region-reachable', region });
+      emitEvent(this.settings.context, { kind: 'region-reachable', region });
       this.settings.onChange(region);
     }
   }
@@ -93,7 +93,7 @@
     const isSilent = now - state.lastContactAt > context.options.regionTimeout;
     if (state.isReachable && isSilent && state.consecutiveFailures >= MIN_FAILED_LINKS) {
       state.isReachable = false;
-      decide(context, { kind: 'region-unreachable', region });
+      emitEvent(context, { kind: 'region-unreachable', region });
       this.settings.onChange(region);
     }
   }
--- a/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.test.ts
+++ b/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.test.ts
@@ -1,6 +1,6 @@
 import { TestCluster } from '../../test/TestCluster.js';
 
-const TELL_LEAVING = { kind: 'tell-replica-leaving', replica: 'engine-1' } as const;
+const TELL_LEAVING = { kind: 'announce-replica-leaving', replica: 'engine-1' } as const;
 
 function createCluster() {
   const cluster = new TestCluster({ zones: { 'fi/a': 5, 'se/b': 5 } });
--- a/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.ts
+++ b/packages/cluster/src/lib/ReplicaNotices/ReplicaNotices.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
+import { emitEvent } from '../CoreContext.js';
 import type { ReplicaNotice, Rumour } from '../messages.js';
 
 /** A notice that extends the known one by less than this share of the lifetime is ignored. */
@@ -29,16 +29,16 @@
   ) {}
 
   /** Reports that a replica is leaving, as observed by this daemon or read from the list. */
-  report(replica: string): void {
-    const lifetime = this.context.options.replicaNoticeSpan;
+  reportLeaving(replica: string): void {
+    const lifetime = this.context.options.replicaNoticeLifetime;
     if (this.getRemaining(replica) < lifetime * RENEWAL_SHARE) {
       this.set(replica, lifetime, true);
     }
   }
 
   /** Handles a peer's notice. Its remaining time is capped at the lifetime of a new notice. */
-  hear({ replica, remaining }: ReplicaNotice): void {
-    const lifetime = this.context.options.replicaNoticeSpan;
+  handleNotice({ replica, remaining }: ReplicaNotice): void {
+    const lifetime = this.context.options.replicaNoticeLifetime;
     const bounded = Math.min(remaining, lifetime);
     if (bounded > this.getRemaining(replica) + lifetime * MIN_EXTENSION_SHARE) {
       this.set(replica, bounded, false);
@@ -55,7 +55,7 @@
   }
 
   /** Updates a notice's remaining time, since it may have waited in a queue. */
-  refresh(notice: ReplicaNotice): ReplicaNotice {
+  updateRemaining(notice: ReplicaNotice): ReplicaNotice {
     return { replica: notice.replica, remaining: this.getRemaining(notice.replica) };
   }
 
@@ -74,7 +74,7 @@
     this.queueRumour({ kind: 'replica-leaving', notice: { replica, remaining } });
     this.context.emit({ kind: 'replica-leaving', replica, remaining });
     if (isNew) {
-      decide(this.context, { kind: 'replica-leaving', replica, isOwnWord: isOwnFinding });
+      emitEvent(this.context, { kind: 'replica-leaving', replica, isOwnWord: isOwnFinding });
     }
   }
 
--- a/packages/cluster/src/lib/RumourQueue/RumourQueue.test.ts
+++ b/packages/cluster/src/lib/RumourQueue/RumourQueue.test.ts
@@ -4,7 +4,7 @@
 
 function createRumour(id: string, incarnation = 1): Rumour {
   const update = { id, incarnation, refutation: 0, state: MemberState.Dead as const };
-  return { kind: 'verdict', verdict: update };
+  return { kind: 'member-state', update };
 }
 
 const NO_KEYS = new Set<string>();
--- a/packages/cluster/src/lib/RumourQueue/RumourQueue.ts
+++ b/packages/cluster/src/lib/RumourQueue/RumourQueue.ts
@@ -1,5 +1,5 @@
 import type { Rumour } from '../messages.js';
-import { getRumourBytes } from './getRumourBytes.js';
+import { estimateRumourBytes } from './estimateRumourBytes.js';
 
 interface QueuedRumour {
   key: string;
@@ -14,8 +14,8 @@
   switch (rumour.kind) {
     case 'member':
       return `member ${rumour.record.id}`;
-    case 'verdict':
-      return `member ${rumour.verdict.id}`;
+    case 'member-state':
+      return `member ${rumour.update.id}`;
     case 'replica-leaving':
       return `replica ${rumour.notice.replica}`;
     case 'zone-load':
@@ -39,7 +39,7 @@
   /** Adds a rumour to be sent the given number of times, replacing one with the same key. */
   add(rumour: Rumour, sends: number): void {
     const key = getRumourKey(rumour);
-    const bytes = getRumourBytes(rumour);
+    const bytes = estimateRumourBytes(rumour);
     this.queue.set(key, { key, rumour, bytes, sendsLeft: sends, sends: 0 });
   }
 
--- a/packages/cluster/src/lib/RumourQueue/getRumourBytes.ts
+++ b/packages/cluster/src/lib/RumourQueue/estimateRumourBytes.ts
@@ -12,7 +12,7 @@
 }
 
 /** Estimates a rumour's encoded size from above, so that size limits hold. */
-export function getRumourBytes(rumour: Rumour): number {
+export function estimateRumourBytes(rumour: Rumour): number {
   switch (rumour.kind) {
     case 'member': {
       const { id, region, availabilityZone, host } = rumour.record;
@@ -20,8 +20,8 @@
         MEMBER_OVERHEAD_BYTES + id.length + region.length + availabilityZone.length + host.length
       );
     }
-    case 'verdict':
-      return STATE_UPDATE_OVERHEAD_BYTES + rumour.verdict.id.length;
+    case 'member-state':
+      return STATE_UPDATE_OVERHEAD_BYTES + rumour.update.id.length;
     case 'replica-leaving':
       return NOTICE_OVERHEAD_BYTES + rumour.notice.replica.length;
     case 'zone-load':
--- a/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
+++ b/packages/cluster/src/lib/SelfRecord/SelfRecord.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { CoreContext } from '../CoreContext.js';
-import { decide } from '../CoreContext.js';
+import { emitEvent } from '../CoreContext.js';
 import type { DaemonIdentity, MemberRecord, RecordVersion } from '../Member.js';
 import { isNewerRecord, MemberState } from '../Member.js';
 
@@ -50,7 +50,7 @@
     } else if (isNewerRecord(reported, this.record)) {
       const refutation = reported.refutation + 1;
       this.context.counters.refutations += 1;
-      decide(this.context, { kind: 'self-refuted', refutation });
+      emitEvent(this.context, { kind: 'self-refuted', refutation });
       this.set({ ...this.record, refutation });
     }
   }
@@ -71,7 +71,7 @@
       known +
       INCARNATIONS_PER_MILLISECOND +
       this.context.random.integer(INCARNATIONS_PER_MILLISECOND);
-    decide(this.context, { kind: 'incarnation-raised', from, to });
+    emitEvent(this.context, { kind: 'incarnation-raised', from, to });
     this.set({ ...this.record, incarnation: to, refutation: 0 });
   }
 
--- a/packages/cluster/src/lib/StoreWatcher/StoreWatcher.test.ts
+++ b/packages/cluster/src/lib/StoreWatcher/StoreWatcher.test.ts
@@ -4,7 +4,7 @@
 
 function createCluster(options: Parameters<typeof Object.assign>[0] = {}) {
   const cluster = new TestCluster({ zones: { 'fi/a': 4, 'fi/b': 4 }, options });
-  cluster.accept();
+  cluster.acceptChange();
   cluster.run(20_000);
   const isActiveEverywhere = () =>
     cluster.daemons.every(({ host }) => host.core.generation === cluster.generation);
@@ -21,7 +21,7 @@
     // watches but never responds to them, which is indistinguishable from a watch without changes.
     const { cluster, isActiveEverywhere } = createCluster();
     cluster.setPlatform({ hasSilentWatches: true });
-    cluster.accept();
+    cluster.acceptChange();
     expect(cluster.runUntil(isActiveEverywhere, 5000)).toBe(true);
     cluster.dispose();
   });
@@ -33,7 +33,7 @@
     cluster.setPlatform({ hasSilentWatches: true });
     cluster.run(60_000);
     cluster.setPlatform({ hasSilentWatches: false });
-    cluster.accept();
+    cluster.acceptChange();
     expect(cluster.runUntil(isActiveEverywhere, 35_000)).toBe(true);
     cluster.dispose();
   });
@@ -50,7 +50,7 @@
     const watches = cluster.daemons.map(({ host }) => host.core.counters.watches);
     expect(Math.max(...watches)).toBeLessThan(40);
     cluster.setPlatform({ isDown: false });
-    cluster.accept();
+    cluster.acceptChange();
     expect(cluster.runUntil(isActiveEverywhere, 7000)).toBe(true);
     cluster.dispose();
   });
@@ -65,8 +65,8 @@
     const hasReplacement = () =>
       getWatchers(cluster, 'a').some((daemon) => !before.includes(daemon));
     expect(cluster.runUntil(hasReplacement, 10_000)).toBe(true);
-    const deaths = cluster.daemons.flatMap(({ decisions }) =>
-      decisions.filter(({ kind }) => kind === 'member-dead'),
+    const deaths = cluster.daemons.flatMap(({ events }) =>
+      events.filter(({ kind }) => kind === 'member-dead'),
     );
     expect(deaths).toEqual([]);
     cluster.dispose();
@@ -76,7 +76,7 @@
     // Guards against a restart of all daemons that floods the store: each knows no peers at first,
     // and would become a watcher if it took on duties before it has looked for peers.
     const cluster = new TestCluster({ zones: { 'fi/a': 20 } });
-    cluster.accept();
+    cluster.acceptChange();
     cluster.run(1500);
     const readers = cluster.daemons.filter(({ host }) => host.core.counters.manifestReads > 0);
     expect(readers.length).toBeLessThan(cluster.daemons.length / 2);
--- a/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
+++ b/packages/cluster/src/lib/StoreWatcher/StoreWatcher.ts
@@ -4,7 +4,7 @@
 import type { Milliseconds, Timer } from '@apricotrill/utils';
 import { ConfigurationSource } from '../ClusterEvent.js';
 import type { CoreContext } from '../CoreContext.js';
-import { decide, jitter } from '../CoreContext.js';
+import { emitEvent, addJitter } from '../CoreContext.js';
 
 interface StoreWatcherSettings {
   context: CoreContext;
@@ -54,11 +54,11 @@
     }
     this.isEnabled = isEnabled;
     if (isEnabled) {
-      decide(this.settings.context, { kind: 'watch-started', rank });
+      emitEvent(this.settings.context, { kind: 'watch-started', rank });
       this.poll();
       this.startWatch();
     } else {
-      decide(this.settings.context, { kind: 'watch-ended' });
+      emitEvent(this.settings.context, { kind: 'watch-ended' });
       this.stop();
     }
   }
@@ -109,7 +109,7 @@
     if (manifest.ok) {
       this.lastManifest = { manifest: manifest.value, version };
     } else {
-      decide(this.settings.context, {
+      emitEvent(this.settings.context, {
         kind: 'configuration-refused',
         generation: 0,
         reason: manifest.error,
@@ -122,7 +122,7 @@
     const { context } = this.settings;
     context.counters.manifestReads += 1;
     context.emit({ kind: 'read-manifest' });
-    this.pollTimer = context.clock.setTimer(jitter(context, context.options.pollInterval), () =>
+    this.pollTimer = context.clock.setTimer(addJitter(context, context.options.pollInterval), () =>
       this.poll(),
     );
   }
@@ -167,7 +167,7 @@
     const { context } = this.settings;
     const { minStoreBackoff, maxStoreBackoff } = context.options;
     const delay = Math.min(maxStoreBackoff, minStoreBackoff * 2 ** (this.consecutiveFailures - 1));
-    return jitter(context, delay);
+    return addJitter(context, delay);
   }
 
   private stop(): void {
--- a/packages/cluster/src/lib/codec/messageCodec.test.ts
+++ b/packages/cluster/src/lib/codec/messageCodec.test.ts
@@ -4,8 +4,8 @@
 import { ManifestHistory } from '../ManifestHistory/ManifestHistory.js';
 import { MemberState } from '../Member.js';
 import type { MemberRecord } from '../Member.js';
-import type { PeerAnswer, PeerRequest, Rumour, Verdict } from '../messages.js';
-import { decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from './messageCodec.js';
+import type { PeerResponse, PeerRequest, Rumour, MemberStateUpdate } from '../messages.js';
+import { decodeResponse, decodeRequest, encodeResponse, encodeRequest } from './messageCodec.js';
 
 const nameArbitrary = fc.string({ minLength: 1, maxLength: 20 });
 const countArbitrary = fc.nat();
@@ -24,7 +24,7 @@
   adminPort: portArbitrary,
 });
 
-const updatedStateArbitrary = fc.constantFrom<Verdict['state'][]>(
+const updatedStateArbitrary = fc.constantFrom<MemberStateUpdate['state'][]>(
   MemberState.Suspect,
   MemberState.Dead,
 );
@@ -50,7 +50,7 @@
         refutation: countArbitrary,
         state: updatedStateArbitrary,
       })
-      .map((verdict) => ({ kind: 'verdict', verdict })),
+      .map((update) => ({ kind: 'member-state', update })),
     noticeArbitrary.map((value) => ({ kind: 'replica-leaving', notice: value })),
     fc
       .record({
@@ -72,7 +72,7 @@
     member: nameArbitrary,
   }),
   fc.record({
-    kind: fc.constant('ping-through'),
+    kind: fc.constant('indirect-ping'),
     generation: countArbitrary,
     rumours: rumoursArbitrary,
     member: nameArbitrary,
@@ -98,7 +98,7 @@
   .array(fc.tuple(nameArbitrary, fc.string()))
   .map((pairs) => new Map(pairs));
 
-const responseArbitrary = fc.oneof<fc.Arbitrary<PeerAnswer>[]>(
+const responseArbitrary = fc.oneof<fc.Arbitrary<PeerResponse>[]>(
   fc.record({ kind: fc.constant('ack'), generation: countArbitrary, rumours: rumoursArbitrary }),
   fc.record({ kind: fc.constant('nack'), generation: countArbitrary }),
   fc.record({
@@ -118,7 +118,7 @@
     fc.assert(
       fc.property(requestArbitrary, responseArbitrary, (request, response) => {
         expect(decodeRequest(encodeRequest(request), 'peer')).toEqual(request);
-        expect(decodeAnswer(encodeAnswer(response), 'peer')).toEqual(response);
+        expect(decodeResponse(encodeResponse(response), 'peer')).toEqual(response);
       }),
       { seed: SEED },
     );
@@ -128,10 +128,10 @@
     const history = new ManifestHistory();
     const [before, after] = [createManifest(1, 20_000), createManifest(2, 20_000)];
     const getTransferSize = (heldGeneration: number) => {
-      const transfer = history.getTransfer(after.manifest, heldGeneration);
+      const transfer = history.createTransfer(after.manifest, heldGeneration);
       const parts = new Map<string, string>();
-      const encoded = encodeAnswer({ kind: 'manifest', generation: 2, transfer, parts });
-      const decoded = decodeAnswer(encoded, 'peer');
+      const encoded = encodeResponse({ kind: 'manifest', generation: 2, transfer, parts });
+      const decoded = decodeResponse(encoded, 'peer');
       expect(decoded).toMatchObject({ kind: 'manifest', transfer: { kind: transfer.kind } });
       const manifest = decoded.kind === 'manifest' && history.resolveTransfer(decoded.transfer);
       expect(manifest).toEqual(after.manifest);
@@ -148,7 +148,7 @@
     const [local, remote] = [new ManifestHistory(), new ManifestHistory()];
     local.add(createManifest(1, 500).manifest);
     remote.add(createManifest(1, 2000).manifest);
-    const transfer = remote.getTransfer(createManifest(2, 2000).manifest, 1);
+    const transfer = remote.createTransfer(createManifest(2, 2000).manifest, 1);
     expect(local.resolveTransfer(transfer)).toBeUndefined();
   });
 
@@ -157,7 +157,7 @@
     fc.assert(
       fc.property(fc.oneof(fc.anything(), fc.constant(invalidCompressedText)), (message) => {
         expect(() => decodeRequest(message, 'peer')).toThrow(StepError);
-        expect(() => decodeAnswer(message, 'peer')).toThrow(StepError);
+        expect(() => decodeResponse(message, 'peer')).toThrow(StepError);
       }),
       { seed: SEED },
     );
--- a/packages/cluster/src/lib/codec/messageCodec.ts
+++ b/packages/cluster/src/lib/codec/messageCodec.ts
@@ -1,7 +1,7 @@
 import { exhaustiveSwitchError, StepError } from '@apricotrill/utils';
 import { z } from 'zod';
-import { BUCKETS } from '../MemberTable/MemberTable.js';
-import type { PeerAnswer, PeerRequest } from '../messages.js';
+import { BUCKET_COUNT } from '../MemberTable/MemberTable.js';
+import type { PeerResponse, PeerRequest } from '../messages.js';
 import {
   countSchema,
   encodeNotice,
@@ -44,8 +44,8 @@
 
 const bucketHashesSchema = z
   .instanceof(Uint8Array)
-  .refine(({ length }) => length === BUCKETS * HASH_BYTES);
-const bucketSchema = countSchema.max(BUCKETS - 1);
+  .refine(({ length }) => length === BUCKET_COUNT * HASH_BYTES);
+const bucketSchema = countSchema.max(BUCKET_COUNT - 1);
 
 const requestSchemas: Record<RequestTag, z.ZodType<PeerRequest>> = {
   [RequestTag.Ping]: z
@@ -59,7 +59,7 @@
   [RequestTag.IndirectPing]: z
     .tuple([z.number(), countSchema, rumoursSchema, z.string(), z.string()])
     .transform(([, generation, rumours, member, address]) => ({
-      kind: 'ping-through',
+      kind: 'indirect-ping',
       generation,
       rumours,
       member,
@@ -88,7 +88,7 @@
     .transform(([, generation, services]) => ({ kind: 'load', generation, services })),
 };
 
-const responseSchemas: Record<ResponseTag, z.ZodType<PeerAnswer>> = {
+const responseSchemas: Record<ResponseTag, z.ZodType<PeerResponse>> = {
   [ResponseTag.Ack]: z
     .tuple([z.number(), countSchema, rumoursSchema])
     .transform(([, generation, rumours]) => ({ kind: 'ack', generation, rumours })),
@@ -122,7 +122,7 @@
   switch (request.kind) {
     case 'ping':
       return [RequestTag.Ping, generation, request.rumours.map(encodeRumour), request.member];
-    case 'ping-through': {
+    case 'indirect-ping': {
       const rumours = request.rumours.map(encodeRumour);
       return [RequestTag.IndirectPing, generation, rumours, request.member, request.address];
     }
@@ -143,7 +143,7 @@
   }
 }
 
-export function encodeAnswer(response: PeerAnswer): unknown[] {
+export function encodeResponse(response: PeerResponse): unknown[] {
   const { generation } = response;
   switch (response.kind) {
     case 'ack':
@@ -189,6 +189,6 @@
 }
 
 /** @throws StepError if the message is not a valid response */
-export function decodeAnswer(message: unknown, peer: string): PeerAnswer {
+export function decodeResponse(message: unknown, peer: string): PeerResponse {
   return decode(responseTagSchema, responseSchemas, message, { step: 'cluster-answer', peer });
 }
--- a/packages/cluster/src/lib/codec/rumourCodec.ts
+++ b/packages/cluster/src/lib/codec/rumourCodec.ts
@@ -92,7 +92,7 @@
     .transform(([, record]) => ({ kind: 'member' as const, record })),
   z
     .tuple([z.literal(RumourTag.MemberStateUpdate), stateUpdateSchema])
-    .transform(([, verdict]) => ({ kind: 'verdict' as const, verdict })),
+    .transform(([, update]) => ({ kind: 'member-state' as const, update })),
   z
     .tuple([z.literal(RumourTag.ReplicaLeaving), noticeSchema])
     .transform(([, notice]) => ({ kind: 'replica-leaving' as const, notice })),
@@ -126,9 +126,9 @@
   switch (rumour.kind) {
     case 'member':
       return [RumourTag.Member, encodeRecord(rumour.record)];
-    case 'verdict': {
-      const { id, incarnation, refutation } = rumour.verdict;
-      const stateIndex = STATES_BY_INDEX.indexOf(rumour.verdict.state);
+    case 'member-state': {
+      const { id, incarnation, refutation } = rumour.update;
+      const stateIndex = STATES_BY_INDEX.indexOf(rumour.update.state);
       return [RumourTag.MemberStateUpdate, [id, incarnation, refutation, stateIndex]];
     }
     case 'replica-leaving':
--- a/packages/cluster/src/lib/coreMessages.ts
+++ b/packages/cluster/src/lib/coreMessages.ts
@@ -2,14 +2,14 @@
 import type { Instance, StoreChange } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { ClusterEvent } from './ClusterEvent.js';
-import type { PeerAnswer, PeerRequest, ServiceLoad } from './messages.js';
+import type { PeerResponse, PeerRequest, ServiceLoad } from './messages.js';
 
 /** Input of the core: messages from peers, results of its calls, and requests of its host. */
 export type CoreMessage =
   | { kind: 'request'; requestId: number; from: string; request: PeerRequest }
-  | { kind: 'answer'; callId: number; answer: PeerAnswer }
+  | { kind: 'answer'; callId: number; response: PeerResponse }
   | { kind: 'call-failed'; callId: number }
-  | { kind: 'watch-answered'; watchId: number; changes: StoreChange[] }
+  | { kind: 'watch-completed'; watchId: number; changes: StoreChange[] }
   | { kind: 'watch-failed'; watchId: number }
   /** `text` is undefined if the store holds no manifest. */
   | { kind: 'manifest-read'; text: string | undefined; version: number }
@@ -19,7 +19,7 @@
   | { kind: 'instances-read'; instances: Instance[] }
   | { kind: 'instances-read-failed' }
   | { kind: 'announce-leaving' }
-  | { kind: 'tell-replica-leaving'; replica: string }
+  | { kind: 'announce-replica-leaving'; replica: string }
   | { kind: 'publish-load'; services: readonly ServiceLoad[] };
 
 /** Output of the core: what its host is to carry out. */
@@ -31,7 +31,7 @@
       request: PeerRequest;
       timeout: Milliseconds;
     }
-  | { kind: 'reply'; requestId: number; answer: PeerAnswer }
+  | { kind: 'reply'; requestId: number; response: PeerResponse }
   | { kind: 'start-watch'; watchId: number; afterVersion: number }
   | { kind: 'end-watch'; watchId: number }
   | { kind: 'read-manifest' }
@@ -39,9 +39,9 @@
   | { kind: 'read-instances' }
   /** The member list has changed. */
   | { kind: 'members' }
-  | { kind: 'configuration'; inForce: ConfigurationSnapshot }
+  | { kind: 'configuration'; snapshot: ConfigurationSnapshot }
   | { kind: 'replica-leaving'; replica: string; remaining: Milliseconds }
-  | { kind: 'decision'; decision: ClusterEvent };
+  | { kind: 'decision'; event: ClusterEvent };
 
 /** Receives the effects that the core emits. */
 export type EmitEffect = (effect: CoreEffect) => void;
--- a/packages/cluster/src/lib/messages.ts
+++ b/packages/cluster/src/lib/messages.ts
@@ -20,7 +20,7 @@
 }
 
 /** A new state of a member without the rest of its record, for peers that know it. */
-export interface Verdict {
+export interface MemberStateUpdate {
   id: string;
   incarnation: number;
   refutation: number;
@@ -47,7 +47,7 @@
 /** An update that is gossiped from daemon to daemon. */
 export type Rumour =
   | { kind: 'member'; record: MemberRecord }
-  | { kind: 'verdict'; verdict: Verdict }
+  | { kind: 'member-state'; update: MemberStateUpdate }
   | { kind: 'replica-leaving'; notice: ReplicaNotice }
   | { kind: 'zone-load'; report: ZoneLoadReport };
 
@@ -75,7 +75,7 @@
   /** Names the member that it is for, since another daemon may have taken over the address. */
   | { kind: 'ping'; generation: number; member: string; rumours: readonly Rumour[] }
   | {
-      kind: 'ping-through';
+      kind: 'indirect-ping';
       generation: number;
       member: string;
       address: string;
@@ -95,7 +95,7 @@
   | { kind: 'load'; generation: number; services: readonly ServiceLoad[] };
 
 /** A response to a peer. Every response carries the sender's active generation. */
-export type PeerAnswer =
+export type PeerResponse =
   /** To `ping`, `gossip` and `load`; to an indirect ping if the target responded. */
   | { kind: 'ack'; generation: number; rumours: readonly Rumour[] }
   /**
--- a/packages/cluster/src/test/ClusterWorld.ts
+++ b/packages/cluster/src/test/ClusterWorld.ts
@@ -37,7 +37,7 @@
   constructor(seed: number) {
     this.cluster = new TestCluster({ zones: ZONES, seed });
     this.cluster.faults.canPass = (from, to) => this.canPass(from, to);
-    this.cluster.accept();
+    this.cluster.acceptChange();
     this.run(10_000);
   }
 
@@ -104,7 +104,7 @@
 
   reportReplicaLeaving(index: number): void {
     const replica = `replica-${index}`;
-    this.getDaemon(index).host.core.handle({ kind: 'tell-replica-leaving', replica });
+    this.getDaemon(index).host.core.handle({ kind: 'announce-replica-leaving', replica });
   }
 
   /** Ends all faults and gives the cluster time to converge. */
--- a/packages/cluster/src/test/TestCluster.ts
+++ b/packages/cluster/src/test/TestCluster.ts
@@ -22,7 +22,7 @@
   clock: FreezableClock;
   platform: PlatformState;
   store: SimulatedPlatform;
-  decisions: ClusterEvent[];
+  events: ClusterEvent[];
   /** Configuration generations in the order in which they came into force. */
   generations: number[];
   leavingReplicas: string[];
@@ -53,8 +53,8 @@
 }
 
 /** The members named by a daemon's events of the given kind. */
-export function getDecided({ decisions }: TestDaemon, kind: ClusterEvent['kind']): string[] {
-  return decisions
+export function getMembersOfEvents({ events }: TestDaemon, kind: ClusterEvent['kind']): string[] {
+  return events
     .filter((event) => event.kind === kind)
     .map((event) => ('member' in event ? event.member : ''));
 }
@@ -134,7 +134,7 @@
   }
 
   /** Writes the next generation to the store, and returns its number. */
-  accept(workspaces?: number): number {
+  acceptChange(workspaces?: number): number {
     this.generation += 1;
     const { manifest, parts } = createManifest(this.generation, workspaces);
     parts.forEach(({ hash, text }) => this.objects.put(PART_PREFIX + hash, text, 0));
@@ -212,12 +212,12 @@
       clock,
       platform,
       store,
-      decisions: [],
+      events: [],
       generations: [],
       leavingReplicas: [],
     };
     host.listeners = {
-      onEvent: (event) => daemon.decisions.push(event),
+      onEvent: (event) => daemon.events.push(event),
       onGeneration: (generation) => daemon.generations.push(generation),
       onReplicaLeaving: (replica) => daemon.leavingReplicas.push(replica),
     };
--- a/packages/cluster/src/test/clusterCommands.ts
+++ b/packages/cluster/src/test/clusterCommands.ts
@@ -65,7 +65,7 @@
       new WorldCommand(`platform(${fc.stringify(state)})`, (w) => w.cluster.setPlatform(state)),
   );
 
-const accept = fc.constant(new WorldCommand('accept', ({ cluster }) => cluster.accept()));
+const accept = fc.constant(new WorldCommand('accept', ({ cluster }) => cluster.acceptChange()));
 const partitionRegions = fc.constant(
   new WorldCommand('partition-regions', (world) => world.partitionRegions()),
 );
