--- a/packages/router/src/lib/pipeline/CallerServer.keys.test.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.keys.test.ts
@@ -3,7 +3,7 @@
 import { SystemClock } from '@apricotrill/utils';
 import { once } from 'node:events';
 import { connect } from 'node:tls';
-import type { CallerContext } from './CallerContext.js';
+import type { CallerContext } from './HandlerContext.js';
 import { CallerServer } from './CallerServer.js';
 
 /** A context for requests that need no scheduler. */
--- a/packages/router/src/lib/pipeline/handlePlain.ts
+++ b/packages/router/src/lib/pipeline/handlePlain.ts
@@ -1,12 +1,12 @@
 import { ExecutionOutcome } from '@apricotrill/policy';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { PlainWork, writePlainAnswer } from '../request/PlainWork.js';
+import { PlainWork, writePlainAnswer } from '../request/PlainExecution.js';
 import type { Settlement } from '../request/RequestTask.js';
-import type { CallerCall } from './CallerCall.js';
-import type { CallerContext } from './CallerContext.js';
+import type { CallerCall } from './IdentifiedCall.js';
+import type { CallerContext } from './HandlerContext.js';
 import { claim, getFingerprint, readIdempotencyKey } from './claim.js';
 import type { ClaimEnd } from './ClaimPort.js';
-import { getErrorInDoubt } from './getErrorInDoubt.js';
+import { getErrorInDoubt } from './markOutcomeUnknown.js';
 import { CLASS_HEADER, identifyClass, identifyPlainService } from './identify.js';
 import { receive } from './receive.js';
 import type { ReceivedRequest } from './receive.js';
--- a/packages/router/src/lib/pipeline/receive.ts
+++ b/packages/router/src/lib/pipeline/receive.ts
@@ -2,7 +2,7 @@
 import type { Workspace } from '@apricotrill/model';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
-import type { CallerContext } from './CallerContext.js';
+import type { CallerContext } from './HandlerContext.js';
 import { identifyWorkspace } from './identify.js';
 import { ProblemError, ProblemReason } from './Problem.js';
 import { readBody } from './readBody.js';
--- a/packages/router/src/lib/pipeline/settle.ts
+++ b/packages/router/src/lib/pipeline/settle.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RouterMetrics } from '../observe/RouterMetrics.js';
 import type { Settlement } from '../request/RequestTask.js';
-import type { CallerCall } from './CallerCall.js';
+import type { CallerCall } from './IdentifiedCall.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
 const TOKENS_PER_PRICE = 1000;
--- a/packages/router/src/lib/request/ChatWork.ts
+++ b/packages/router/src/lib/request/ChatExecution.ts
@@ -2,13 +2,13 @@
 import type { ServerResponse } from 'node:http';
 import type { Problem } from '../pipeline/Problem.js';
 import type { AttemptResult } from '../upstream/Attempt.js';
-import type { ChatAnswerListener } from '../upstream/ChatAnswerReader.js';
+import type { ChatAnswerListener } from '../upstream/ChatResponseReader.js';
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import { runChatAttempt } from '../upstream/runChatAttempt.js';
 import type { ChatSink } from './ChatSink.js';
-import type { EngineBody } from './EngineBody.js';
-import type { OrderedAttempt, RequestWork } from './RequestWork.js';
+import type { EngineBody } from './EngineRequestBody.js';
+import type { OrderedAttempt, RequestWork } from './RequestExecution.js';
 import { waitForCaller } from './waitForCaller/waitForCaller.js';
 
 /** How often, in the longest gap between tokens, the scheduler hears that a caller is slow. */
--- a/packages/router/src/lib/request/ChatStreamSink.ts
+++ b/packages/router/src/lib/request/ChatStreamSink.ts
@@ -2,7 +2,7 @@
 import { getProblemBody, writeProblem } from '../pipeline/writeProblem.js';
 import type { Problem } from '../pipeline/Problem.js';
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
-import { getAnswerId, getUsage } from './chatAnswer.js';
+import { getAnswerId, getUsage } from './chatCompletion.js';
 import type { ChatSink } from './ChatSink.js';
 
 /**
--- a/packages/router/src/lib/request/PlainWork.ts
+++ b/packages/router/src/lib/request/PlainExecution.ts
@@ -6,7 +6,7 @@
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import { runPlainAttempt } from '../upstream/runPlainAttempt.js';
 import type { PlainAnswer } from '../upstream/runPlainAttempt.js';
-import type { OrderedAttempt, RequestWork } from './RequestWork.js';
+import type { OrderedAttempt, RequestWork } from './RequestExecution.js';
 
 /**
  * What a plain call is made of.
--- a/packages/router/src/lib/request/ProgressReport/ProgressReport.test.ts
+++ b/packages/router/src/lib/request/ProgressReporter/ProgressReporter.test.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@apricotrill/utils';
 import { routerOptions } from '../../options.js';
-import { ProgressReport } from './ProgressReport.js';
+import { ProgressReport } from '../ProgressReporter/ProgressReporter.js';
 
 describe('ProgressReport', () => {
   function setUp() {
--- a/packages/router/src/lib/request/RequestRunner.ts
+++ b/packages/router/src/lib/request/RequestRunner.ts
@@ -4,14 +4,14 @@
 import type { DecisionLog } from '../observe/DecisionLog.js';
 import type { RouterMetrics } from '../observe/RouterMetrics.js';
 import { routerOptions } from '../options.js';
-import type { CallerCall } from '../pipeline/CallerCall.js';
+import type { CallerCall } from '../pipeline/IdentifiedCall.js';
 import { settle } from '../pipeline/settle.js';
 import type { LoadListener } from '../upstream/Attempt.js';
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import type { ChatRequest } from './ChatRequest.js';
 import { RequestTask } from './RequestTask.js';
 import type { Settlement } from './RequestTask.js';
-import type { RequestWork } from './RequestWork.js';
+import type { RequestWork } from './RequestExecution.js';
 import type { SchedulingTask } from './SchedulingTask.js';
 
 /**
--- a/packages/router/src/lib/request/RequestTask.ts
+++ b/packages/router/src/lib/request/RequestTask.ts
@@ -13,8 +13,8 @@
 import type { Problem } from '../pipeline/Problem.js';
 import type { AttemptResult, LoadListener } from '../upstream/Attempt.js';
 import { getGiveUpProblem } from './getGiveUpProblem.js';
-import { ProgressReport } from './ProgressReport/ProgressReport.js';
-import type { RequestWork } from './RequestWork.js';
+import { ProgressReport } from './ProgressReporter/ProgressReporter.js';
+import type { RequestWork } from './RequestExecution.js';
 
 type Dispatch = Extract<SchedulerEffect, { kind: 'dispatch' }>;
 type GiveUp = Extract<SchedulerEffect, { kind: 'give-up' }>;
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
@@ -5,10 +5,10 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { Client, buildConnector } from 'undici';
 import type { Dispatcher, buildConnector as Connector } from 'undici';
-import type { AnswerFlow, AnswerReader } from '../AnswerReader.js';
+import type { AnswerFlow, AnswerReader } from '../ResponseReader.js';
 import type { Attempt, AttemptResult } from '../Attempt.js';
-import { PlainAnswerReader } from '../PlainAnswerReader.js';
-import type { PlainAnswer } from '../PlainAnswerReader.js';
+import { PlainAnswerReader } from '../PlainResponseReader.js';
+import type { PlainAnswer } from '../PlainResponseReader.js';
 import { AttemptExchange } from './AttemptExchange.js';
 
 const REQUEST = { method: 'POST', path: '/holds', body: 'sheet 7' } as const;
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
@@ -3,10 +3,10 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 import { routerOptions } from '../../options.js';
-import type { AnswerFlow, AnswerReader } from '../AnswerReader.js';
+import type { AnswerFlow, AnswerReader } from '../ResponseReader.js';
 import type { Attempt, AttemptResult } from '../Attempt.js';
 import { parseLoad } from '../parseLoad.js';
-import { SilenceGuard } from '../SilenceGuard/SilenceGuard.js';
+import { SilenceGuard } from '../SilenceTimer.js';
 
 /**
  * What an exchange is made of.
--- a/packages/router/src/lib/upstream/ChatAnswerReader.ts
+++ b/packages/router/src/lib/upstream/ChatResponseReader.ts
@@ -1,9 +1,9 @@
 import { AttemptStatus } from '@apricotrill/policy';
-import type { AnswerFlow, AnswerHead, AnswerReader } from './AnswerReader.js';
+import type { AnswerFlow, AnswerHead, AnswerReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
 import type { ChatListener } from './ChatChunk.js';
 import { ChatStreamReader } from './ChatStreamReader/ChatStreamReader.js';
-import { FailureReader } from './FailureReader.js';
+import { FailureReader } from './ErrorResponseReader.js';
 
 const OK = 200;
 
--- a/packages/router/src/lib/upstream/FailureReader.ts
+++ b/packages/router/src/lib/upstream/ErrorResponseReader.ts
@@ -1,5 +1,5 @@
 import { AttemptStatus } from '@apricotrill/policy';
-import type { AnswerHead, AnswerReader } from './AnswerReader.js';
+import type { AnswerHead, AnswerReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
--- a/packages/router/src/lib/upstream/PlainAnswerReader.ts
+++ b/packages/router/src/lib/upstream/PlainResponseReader.ts
@@ -1,8 +1,8 @@
 import { AttemptStatus } from '@apricotrill/policy';
 import { routerOptions } from '../options.js';
-import type { AnswerHead, AnswerReader } from './AnswerReader.js';
+import type { AnswerHead, AnswerReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
-import { FailureReader } from './FailureReader.js';
+import { FailureReader } from './ErrorResponseReader.js';
 
 /**
  * A whole answer of a plain service.
--- a/packages/router/src/lib/upstream/runChatAttempt.ts
+++ b/packages/router/src/lib/upstream/runChatAttempt.ts
@@ -3,8 +3,8 @@
 import { getAttemptName } from './Attempt.js';
 import type { Attempt, AttemptResult } from './Attempt.js';
 import { AttemptExchange } from './AttemptExchange/AttemptExchange.js';
-import { ChatAnswerReader } from './ChatAnswerReader.js';
-import type { ChatAnswerListener } from './ChatAnswerReader.js';
+import { ChatAnswerReader } from './ChatResponseReader.js';
+import type { ChatAnswerListener } from './ChatResponseReader.js';
 
 /**
  * What a chat attempt needs.
--- a/packages/router/src/lib/upstream/runPlainAttempt.ts
+++ b/packages/router/src/lib/upstream/runPlainAttempt.ts
@@ -3,10 +3,10 @@
 import { getAttemptName } from './Attempt.js';
 import type { Attempt, AttemptResult } from './Attempt.js';
 import { AttemptExchange } from './AttemptExchange/AttemptExchange.js';
-import { PlainAnswerReader } from './PlainAnswerReader.js';
-import type { PlainAnswer } from './PlainAnswerReader.js';
+import { PlainAnswerReader } from './PlainResponseReader.js';
+import type { PlainAnswer } from './PlainResponseReader.js';
 
-export type { PlainAnswer } from './PlainAnswerReader.js';
+export type { PlainAnswer } from './PlainResponseReader.js';
 
 /**
  * What a plain attempt needs.
