--- a/packages/router/src/lib/RunCommand.ts
+++ b/packages/router/src/lib/RunCommand.ts
@@ -6,26 +6,26 @@
 import type { RouterDaemon } from './daemon/RouterDaemon.js';
 import { SharedFiles } from './daemon/SharedFiles.js';
 
-const EXIT_WRONG_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 const EXIT_FAILED = 1;
 const EXIT_FORCED = 130;
 
-/** The command ends with its process. */
-const untilExit = new Promise<number>(() => {});
+/** Never resolves: the command runs until its process exits. */
+const pendingForever = new Promise<number>(() => {});
 
-const LAST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
-/** @throws UsageError when it is no port */
-function readPort(text: string): number {
+/** @throws UsageError when the text is not a valid port */
+function parsePort(text: string): number {
   const port = Number(text);
-  if (!Number.isInteger(port) || port < 1 || port > LAST_PORT) {
-    throw new UsageError(`--announced-mesh-port takes a port, 1 to ${LAST_PORT}, not "${text}"`);
+  if (!Number.isInteger(port) || port < 1 || port > MAX_PORT) {
+    throw new UsageError(`--announced-mesh-port takes a port, 1 to ${MAX_PORT}, not "${text}"`);
   }
   return port;
 }
 
 /**
- * Runs the daemon until it is told to stop.
+ * Runs the daemon until it receives a signal to stop.
  *
  * @internal
  */
@@ -35,41 +35,41 @@
   static override usage = Command.Usage({
     description: 'runs a router daemon',
     details: `
-      Serves callers until SIGTERM or SIGINT. Then the readiness answer turns, every request in
-      flight is finished, and the process ends; a second signal ends it at once.
+      Serves requests until SIGTERM or SIGINT. Then the readiness check fails, every request in
+      flight is completed, and the process exits; a second signal makes it exit immediately.
 
-      Decisions are logged on standard error, one JSON line each, by step: DEBUG=apricotrill:*
+      Decisions are logged to standard error, one line of JSON each, by step: DEBUG=apricotrill:*
     `,
-    examples: [['Run with settings', 'apricotrill-router --settings router.jsonc']],
+    examples: [['Run with a settings file', 'apricotrill-router --settings router.jsonc']],
   });
 
   settings = Option.String('--settings', {
     required: true,
-    description: 'the settings of this daemon, JSON with comments',
+    description: 'the settings file of this daemon, JSON with comments',
   });
 
   announcedMeshPort = Option.String('--announced-mesh-port', {
-    description: 'where other daemons reach the mesh, when something in between translates ports',
+    description: 'the port at which peers reach the mesh, if port translation changes it',
   });
 
   register = Option.String('--register', {
-    description: 'run alone on this register instead of the platform',
+    description: 'run standalone with this register file instead of the platform',
   });
 
-  rules = Option.String('--rules', { description: 'run alone on these rules' });
+  rules = Option.String('--rules', { description: 'run standalone with this rules file' });
 
   override async execute(): Promise<number> {
     const settings = await this.readSettings();
     if (settings === undefined) {
-      return EXIT_WRONG_SETTINGS;
+      return EXIT_INVALID_SETTINGS;
     }
     const daemon = this.createDaemon(settings);
-    this.endOnSignals(daemon);
+    this.stopOnSignals(daemon);
     const ports = await daemon.start().catch((error: unknown) => this.fail(error));
     this.context.stdout.write(
       `${JSON.stringify({ listening: { host: settings.host, ...ports } })}\n`,
     );
-    return untilExit;
+    return pendingForever;
   }
 
   private async readSettings(): Promise<Settings | undefined> {
@@ -86,29 +86,30 @@
   private createDaemon(settings: Settings): RouterDaemon {
     const { register, rules } = this;
     if (register === undefined || rules === undefined) {
-      const announced = this.announcedMeshPort;
-      const announcedMeshPort = announced === undefined ? undefined : readPort(announced);
+      const portText = this.announcedMeshPort;
+      const announcedMeshPort = portText === undefined ? undefined : parsePort(portText);
       return createRouterDaemon(settings, { announcedMeshPort });
     }
-    const lone = new SharedFiles(settings.id, register, rules);
-    return createRouterDaemon(settings, { lone });
+    const sharedState = new SharedFiles(settings.id, register, rules);
+    return createRouterDaemon(settings, { sharedState });
   }
 
-  /** A daemon that could not start would go on with some of its ports open and serve nobody. */
+  /** Exits, since a daemon that failed to start would keep some ports open without serving requests. */
   private fail(error: unknown): never {
     this.context.stderr.write(`${String(error)}\n`);
     process.exit(EXIT_FAILED);
   }
 
   /**
-   * Exits by itself once the daemon has stopped: a connection whose other end is frozen would stay
-   * half closed and hold the process for as long as that end sleeps, and a restart with it.
+   * Stops the daemon on SIGTERM or SIGINT and then exits explicitly. Otherwise a connection whose peer
+   * is frozen would stay half closed and keep the process running, and so delay a restart, until the
+   * peer resumes.
    */
-  private endOnSignals(daemon: RouterDaemon): void {
-    let signals = 0;
+  private stopOnSignals(daemon: RouterDaemon): void {
+    let signalCount = 0;
     const onSignal = () => {
-      signals += 1;
-      if (signals > 1) {
+      signalCount += 1;
+      if (signalCount > 1) {
         process.exit(EXIT_FORCED);
       }
       daemon.stop().then(
--- a/packages/router/src/lib/createRouterDaemon.ts
+++ b/packages/router/src/lib/createRouterDaemon.ts
@@ -10,26 +10,26 @@
 import { SharedPlatform } from './shared/SharedPlatform.js';
 
 /**
- * What differs from a daemon's usual surroundings.
+ * Options of {@link createRouterDaemon}.
  *
  * @public
  */
 export interface RouterDaemonOptions {
-  /** What a daemon that runs alone has in place of the platform. */
-  lone?: SharedState;
-  /** Where the others reach its mesh, when something in between translates ports. */
+  /** Used instead of the platform, for a standalone daemon. */
+  sharedState?: SharedState;
+  /** The port at which peers reach the mesh, if it differs because of port translation. */
   announcedMeshPort?: number;
 }
 
 function createKeyFiles({ tls }: Settings, clock: Clock, log: DecisionLog): KeyFiles | undefined {
-  const onDecision = (decision: KeyEvent) => log('daemon', decision);
-  return tls && new KeyFiles({ files: tls, clock, onEvent: onDecision });
+  const onEvent = (event: KeyEvent) => log('daemon', event);
+  return tls && new KeyFiles({ files: tls, clock, onEvent });
 }
 
 /**
- * Creates a router daemon on the machine's clock, joined to the platform of its settings.
+ * Creates a router daemon that uses the system clock and the platform named in its settings.
  *
- * @param settings - checked settings
+ * @param settings - validated settings
  * @example
  * ```ts
  * const daemon = createRouterDaemon(settings);
@@ -39,13 +39,13 @@
  */
 export function createRouterDaemon(
   settings: Settings,
-  { lone, announcedMeshPort }: RouterDaemonOptions = {},
+  { sharedState, announcedMeshPort }: RouterDaemonOptions = {},
 ): RouterDaemon {
   const clock = new SystemClock();
   const random = createRandom(getHash(`${settings.id} ${clock.now()}`));
   const log = createDecisionLog(settings.id);
   const keys = createKeyFiles(settings, clock, log);
-  const parts = { settings, clock, random, log, keys };
-  const shared = lone ?? new SharedPlatform({ ...parts, announcedMeshPort });
-  return new RouterDaemon({ ...parts, shared });
+  const dependencies = { settings, clock, random, log, keys };
+  const shared = sharedState ?? new SharedPlatform({ ...dependencies, announcedMeshPort });
+  return new RouterDaemon({ ...dependencies, shared });
 }
--- a/packages/router/src/lib/daemon/LeavingReplicas/LeavingReplicas.test.ts
+++ b/packages/router/src/lib/daemon/LeavingReplicas/LeavingReplicas.test.ts
@@ -13,30 +13,29 @@
 
 describe('LeavingReplicas', () => {
   /*
-   * Symptom: a backend server that is shutting down gets new work again after half a minute.
-   * Sequence: a peer's word and its own load report both say that it leaves; the word runs out.
-   * Cause: the end of one source's word was taken for the server's return.
+   * Guards against sending requests to a backend server that is still shutting down, half a minute
+   * later: a peer's announcement and the server's own load report both say that it is leaving, and
+   * the expiry of the announcement is mistaken for its return.
    */
-  it('keeps a replica that still says it is leaving when the word of others runs out', () => {
+  it('keeps a replica leaving while it reports so itself, even if the announcement expires', () => {
     const { clock, events, replicas } = setUp();
-    replicas.noteWord('engine-1', 1000);
-    replicas.noteItself('engine-1');
+    replicas.recordAnnouncement('engine-1', 1000);
+    replicas.recordSelfReport('engine-1');
     clock.advance(2000);
     expect(events).toEqual(['leaving engine-1']);
-    replicas.noteReturned('engine-1');
+    replicas.recordReturn('engine-1');
     expect(events).toEqual(['leaving engine-1', 'returned engine-1']);
   });
 
   /*
-   * Symptom: a replica that stayed after all gets no work for good.
-   * Sequence: a peer says that it is leaving; nobody ever takes it back.
-   * Cause: word without an end.
+   * Guards against announcements that never expire: peers don't revoke them, so a replica that did not
+   * leave after all would never get requests again.
    */
-  it('lets word of others run out, counted from the last', () => {
+  it('expires announcements, counted from the last one', () => {
     const { clock, events, replicas } = setUp();
-    replicas.noteWord('engine-1', 1000);
+    replicas.recordAnnouncement('engine-1', 1000);
     clock.advance(600);
-    replicas.noteWord('engine-1', 1000);
+    replicas.recordAnnouncement('engine-1', 1000);
     clock.advance(900);
     expect(events).toEqual(['leaving engine-1']);
     clock.advance(100);
--- a/packages/router/src/lib/daemon/LeavingReplicas/LeavingReplicas.ts
+++ b/packages/router/src/lib/daemon/LeavingReplicas/LeavingReplicas.ts
@@ -1,82 +1,80 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
- * What changes for the scheduler.
+ * Receives changes of whether a replica is leaving.
  *
  * @internal
  */
-export interface LeavingListener {
+export interface LeavingReplicasListener {
   onLeaving: (replica: string) => void;
   onReturned: (replica: string) => void;
 }
 
 /**
- * Joins what the replica says about itself with what others say. Word from others runs out, since
- * nobody takes it back; without the join, word that runs out would send work to a replica that
- * still says it is leaving.
+ * Tracks which replicas are leaving, combining the replicas' own reports with announcements from
+ * peers. Announcements expire, since peers don't revoke them. Without combining both sources, an
+ * expired announcement would direct requests to a replica that still reports that it is leaving.
  *
  * @internal
  */
 export class LeavingReplicas {
-  private readonly itself = new Set<string>();
+  private readonly selfReported = new Set<string>();
 
-  private readonly words = new Map<string, Timer>();
+  private readonly announcements = new Map<string, Timer>();
 
   private readonly clock: Clock;
 
-  private readonly listener: LeavingListener;
+  private readonly listener: LeavingReplicasListener;
 
-  constructor(clock: Clock, listener: LeavingListener) {
+  constructor(clock: Clock, listener: LeavingReplicasListener) {
     this.clock = clock;
     this.listener = listener;
   }
 
-  /** The replica says that it is leaving. */
-  noteItself(replica: string): void {
-    const known = this.isLeaving(replica);
-    this.itself.add(replica);
-    if (!known) {
+  /** The replica itself reports that it is leaving. */
+  recordSelfReport(replica: string): void {
+    const wasLeaving = this.isLeaving(replica);
+    this.selfReported.add(replica);
+    if (!wasLeaving) {
       this.listener.onLeaving(replica);
     }
   }
 
-  /**
-   * The replica says that it takes work, which ends all word to the contrary: no one knows better.
-   */
-  noteReturned(replica: string): void {
-    const known = this.isLeaving(replica);
-    this.itself.delete(replica);
-    this.words.get(replica)?.cancel();
-    this.words.delete(replica);
-    if (known) {
+  /** The replica itself reports that it accepts requests, which overrides all announcements. */
+  recordReturn(replica: string): void {
+    const wasLeaving = this.isLeaving(replica);
+    this.selfReported.delete(replica);
+    this.announcements.get(replica)?.cancel();
+    this.announcements.delete(replica);
+    if (wasLeaving) {
       this.listener.onReturned(replica);
     }
   }
 
-  /** Somebody else says that the replica is leaving; holds for `span`. */
-  noteWord(replica: string, span: Milliseconds): void {
-    const known = this.isLeaving(replica);
-    this.words.get(replica)?.cancel();
-    const timer = this.clock.setTimer(span, () => this.endWord(replica));
-    this.words.set(replica, timer);
-    if (!known) {
+  /** A peer announces that the replica is leaving; the announcement is valid for `validity`. */
+  recordAnnouncement(replica: string, validity: Milliseconds): void {
+    const wasLeaving = this.isLeaving(replica);
+    this.announcements.get(replica)?.cancel();
+    const timer = this.clock.setTimer(validity, () => this.expireAnnouncement(replica));
+    this.announcements.set(replica, timer);
+    if (!wasLeaving) {
       this.listener.onLeaving(replica);
     }
   }
 
   dispose(): void {
-    this.words.forEach((timer) => timer.cancel());
-    this.words.clear();
+    this.announcements.forEach((timer) => timer.cancel());
+    this.announcements.clear();
   }
 
-  private endWord(replica: string): void {
-    this.words.delete(replica);
+  private expireAnnouncement(replica: string): void {
+    this.announcements.delete(replica);
     if (!this.isLeaving(replica)) {
       this.listener.onReturned(replica);
     }
   }
 
   private isLeaving(replica: string): boolean {
-    return this.itself.has(replica) || this.words.has(replica);
+    return this.selfReported.has(replica) || this.announcements.has(replica);
   }
 }
--- a/packages/router/src/lib/daemon/RouterDaemon.ts
+++ b/packages/router/src/lib/daemon/RouterDaemon.ts
@@ -17,28 +17,28 @@
 import type { DaemonPorts, SharedState } from './SharedState.js';
 
 /**
- * What a daemon is made of.
+ * Dependencies of a {@link RouterDaemon}.
  *
  * @internal
  */
-export interface RouterDaemonParts {
+export interface RouterDaemonDependencies {
   settings: Settings;
   clock: Clock;
   random: Random;
   shared: SharedState;
   log: DecisionLog;
-  /** The keys for TLS; plain connections when absent. */
+  /** Key and certificate for TLS; plain connections when absent. */
   keys?: KeyFiles;
 }
 
 /**
- * One router daemon: joins the scheduler, the sockets around it and what the daemons share, and
- * owns the order in which they start and stop.
+ * One router daemon. Connects the scheduler, the servers and connections, and the state shared with
+ * peers, and controls the order in which they start and stop.
  *
  * @internal
  */
 export class RouterDaemon {
-  private readonly parts: RouterDaemonParts;
+  private readonly dependencies: RouterDaemonDependencies;
 
   private readonly metrics = new RouterMetrics();
 
@@ -48,22 +48,22 @@
 
   private readonly scheduler: Scheduler;
 
-  private readonly leaving: LeavingReplicas;
+  private readonly leavingReplicas: LeavingReplicas;
 
-  private readonly poller: LoadPoller;
+  private readonly loadPoller: LoadPoller;
 
-  private readonly callers: CallerServer;
+  private readonly callerServer: CallerServer;
 
-  private readonly admin: AdminServer;
+  private readonly adminServer: AdminServer;
 
-  private table: RoutingTable | undefined;
+  private routingTable: RoutingTable | undefined;
 
-  private stopping = false;
+  private isStopping = false;
 
-  constructor(parts: RouterDaemonParts) {
-    this.parts = parts;
-    const { clock, random, log } = parts;
-    parts.shared.addMetrics?.(this.metrics.registry);
+  constructor(dependencies: RouterDaemonDependencies) {
+    this.dependencies = dependencies;
+    const { clock, random, log } = dependencies;
+    dependencies.shared.addMetrics?.(this.metrics.registry);
     this.scheduling = new SchedulingTask(log);
     this.scheduler = new Scheduler({
       clock,
@@ -71,50 +71,50 @@
       emit: (effect) => this.scheduling.perform(effect),
     });
     this.scheduling.attach(this.scheduler);
-    this.leaving = new LeavingReplicas(clock, {
+    this.leavingReplicas = new LeavingReplicas(clock, {
       onLeaving: (replica) => this.scheduler.handle({ kind: 'replica-leaving', replica }),
       onReturned: (replica) => this.scheduler.handle({ kind: 'replica-returned', replica }),
     });
-    this.poller = this.createPoller();
-    this.callers = this.createCallerServer();
-    this.admin = this.createAdminServer();
+    this.loadPoller = this.createPoller();
+    this.callerServer = this.createCallerServer();
+    this.adminServer = this.createAdminServer();
   }
 
-  /** Starts to listen; callers are served once a configuration is in force. */
+  /** Starts listening; requests are served once a configuration is in force. */
   async start(): Promise<DaemonPorts & { meshPort?: number }> {
-    const { settings, shared, keys } = this.parts;
+    const { settings, shared, keys } = this.dependencies;
     await keys?.load();
-    const adminPort = await this.admin.listen(settings.host, settings.adminPort);
-    const port = await this.callers.listen();
+    const adminPort = await this.adminServer.listen(settings.host, settings.adminPort);
+    const port = await this.callerServer.listen();
     const listener = {
       onConfiguration: (configuration: Configuration, generation: number) =>
-        this.putInForce(configuration, generation),
+        this.applyConfiguration(configuration, generation),
       onDaemons: (self: string, daemons: string[]) =>
         this.scheduler.handle({ kind: 'daemons', self, daemons }),
-      onReplicaLeaving: (replica: string, span: Milliseconds) =>
-        this.leaving.noteWord(replica, span),
+      onReplicaLeaving: (replica: string, validity: Milliseconds) =>
+        this.leavingReplicas.recordAnnouncement(replica, validity),
     };
     const meshPort = (await shared.start(listener, { port, adminPort })) ?? undefined;
     return { port, adminPort, meshPort };
   }
 
   /**
-   * Ends gracefully: the readiness answer turns first, so that the balancer sends no more; whoever
-   * still comes in the meantime is served; every request in flight ends in its own time.
+   * Shuts down gracefully. First the readiness check fails, so that the load balancer stops sending
+   * requests; requests that still arrive meanwhile are served. Every request in flight is completed.
    */
   async stop(): Promise<void> {
-    const { clock, log, shared } = this.parts;
-    if (this.stopping) {
+    const { clock, log, shared } = this.dependencies;
+    if (this.isStopping) {
       return;
     }
-    this.stopping = true;
-    log('daemon', { event: 'draining', inFlight: this.scheduling.getSize() });
+    this.isStopping = true;
+    log('daemon', { event: 'draining', inFlight: this.scheduling.getRequestCount() });
     shared.announceLeaving();
     await new Promise<void>((resolve) => {
-      clock.setTimer(routerOptions.drainNotice, resolve);
+      clock.setTimer(routerOptions.readinessDrainDelay, resolve);
     });
-    // A request that is still being read or claimed is in no queue yet, but on a connection.
-    await this.callers.close();
+    // Requests still being read or claimed are not queued yet, but their connections are open.
+    await this.callerServer.close();
     await this.scheduling.waitUntilIdle();
     this.scheduler.handle({ kind: 'drain' });
     await shared.handOver();
@@ -122,49 +122,49 @@
     log('daemon', { event: 'stopped' });
   }
 
-  /** Ends at once; requests in flight are cut off. */
+  /** Stops immediately; requests in flight are aborted. */
   async dispose(): Promise<void> {
-    this.stopping = true;
-    this.poller.dispose();
-    this.leaving.dispose();
-    this.callers.dispose();
-    this.admin.dispose();
+    this.isStopping = true;
+    this.loadPoller.dispose();
+    this.leavingReplicas.dispose();
+    this.callerServer.dispose();
+    this.adminServer.dispose();
     this.scheduler.dispose();
     await this.connections.dispose();
-    await this.parts.shared.dispose();
-    this.parts.keys?.dispose();
+    await this.dependencies.shared.dispose();
+    this.dependencies.keys?.dispose();
   }
 
-  private putInForce(configuration: Configuration, generation: number): void {
-    this.table = new RoutingTable(configuration);
+  private applyConfiguration(configuration: Configuration, generation: number): void {
+    this.routingTable = new RoutingTable(configuration);
     const { replicas } = configuration.register;
     this.scheduler.handle({ kind: 'replicas', replicas });
-    this.poller.setReplicas(replicas);
+    this.loadPoller.setReplicas(replicas);
     this.connections.retain(replicas);
     this.metrics.setGeneration(generation);
-    this.parts.log('configuration', { event: 'in-force', generation });
+    this.dependencies.log('configuration', { event: 'in-force', generation });
   }
 
-  private noteLoad(report: LoadReport): void {
-    this.poller.hear(report.replica);
+  private recordLoad(report: LoadReport): void {
+    this.loadPoller.recordReport(report.replica);
     this.scheduler.handle({ kind: 'load-report', report });
   }
 
-  private noteLeaving(replica: string): void {
-    this.leaving.noteItself(replica);
-    this.parts.shared.tellReplicaLeaving(replica);
+  private recordReplicaLeaving(replica: string): void {
+    this.leavingReplicas.recordSelfReport(replica);
+    this.dependencies.shared.tellReplicaLeaving(replica);
   }
 
   private createPoller(): LoadPoller {
-    return new LoadPoller(this.parts.clock, this.parts.random, {
+    return new LoadPoller(this.dependencies.clock, this.dependencies.random, {
       onReport: (report) => this.scheduler.handle({ kind: 'load-report', report }),
-      onLeaving: (replica) => this.noteLeaving(replica),
-      onReturned: (replica) => this.leaving.noteReturned(replica),
+      onLeaving: (replica) => this.recordReplicaLeaving(replica),
+      onReturned: (replica) => this.leavingReplicas.recordReturn(replica),
     });
   }
 
   private createCallerServer(): CallerServer {
-    const { settings, clock, log, shared } = this.parts;
+    const { settings, clock, log, shared } = this.dependencies;
     const { limits, host, port } = settings;
     const { connections, scheduling, metrics } = this;
     const runner = new RequestRunner({
@@ -173,13 +173,13 @@
       scheduling,
       metrics,
       log,
-      onLoad: (report) => this.noteLoad(report),
-      onReplicaLeaving: (replica) => this.noteLeaving(replica),
+      onLoad: (report) => this.recordLoad(report),
+      onReplicaLeaving: (replica) => this.recordReplicaLeaving(replica),
     });
     const context = {
       clock,
       limits: { maxBodyBytes: limits.maxBodyBytes, bodyTimeout: limits.bodyTimeoutMs },
-      getTable: () => this.table,
+      getTable: () => this.routingTable,
       claims: shared.claims,
       runner,
       connections,
@@ -189,20 +189,20 @@
       host,
       port,
       headersTimeout: limits.headersTimeoutMs,
-      keys: this.parts.keys,
+      keys: this.dependencies.keys,
     });
   }
 
   private createAdminServer(): AdminServer {
-    const { shared, settings } = this.parts;
+    const { shared, settings } = this.dependencies;
     return new AdminServer({
-      isReady: () => this.table !== undefined && !this.stopping,
+      isReady: () => this.routingTable !== undefined && !this.isStopping,
       getMembers: () => shared.getMembers(),
       getStatus: () => ({
         id: settings.id,
         generation: shared.getGeneration(),
-        inFlight: this.scheduling.getSize(),
-        stopping: this.stopping,
+        inFlight: this.scheduling.getRequestCount(),
+        stopping: this.isStopping,
         scheduler: this.scheduler.getSnapshot(),
       }),
       metrics: this.metrics,
--- a/packages/router/src/lib/daemon/SharedFiles.ts
+++ b/packages/router/src/lib/daemon/SharedFiles.ts
@@ -4,18 +4,19 @@
 import type { ClaimPort } from '../pipeline/ClaimPort.js';
 import type { SharedState, SharedStateListener } from './SharedState.js';
 
-/** Claims can't be kept without the platform: what may not be repeated is refused. */
-const NO_CLAIMS: ClaimPort = {
+/** Claims need the platform: without it, non-repeatable requests are rejected. */
+const UNAVAILABLE_CLAIMS: ClaimPort = {
   claim: () => Promise.resolve({ kind: 'unavailable', retryAfter: 60_000, isProvedNotRun: false }),
 };
 
 /**
- * The shared state of a daemon that runs alone on two files, for a first look without a platform.
+ * The shared state of a standalone daemon that reads its configuration from two files, for trying out
+ * the router without a platform.
  *
  * @internal
  */
 export class SharedFiles implements SharedState {
-  readonly claims = NO_CLAIMS;
+  readonly claims = UNAVAILABLE_CLAIMS;
 
   private readonly daemon: string;
 
@@ -39,8 +40,8 @@
     });
     if (!result.ok) {
       const [first] = result.error;
-      const text = `line ${first?.line}: ${first?.reason}; ${first?.expected}`;
-      throw new StepError(text, { step: 'configuration', peer: first?.file ?? registerFile });
+      const detail = `line ${first?.line}: ${first?.reason}; ${first?.expected}`;
+      throw new StepError(detail, { step: 'configuration', peer: first?.file ?? registerFile });
     }
     listener.onDaemons(this.daemon, [this.daemon]);
     listener.onConfiguration(result.value, this.getGeneration());
--- a/packages/router/src/lib/daemon/SharedState.ts
+++ b/packages/router/src/lib/daemon/SharedState.ts
@@ -4,55 +4,55 @@
 import type { ClaimPort } from '../pipeline/ClaimPort.js';
 
 /**
- * Where a daemon listens.
+ * The ports at which a daemon listens.
  *
  * @internal
  */
 export interface DaemonPorts {
-  /** For callers. */
+  /** The port for callers. */
   port: number;
-  /** For the balancer, for metrics and for operators. */
+  /** The port for the load balancer, metrics and operators. */
   adminPort: number;
 }
 
 /**
- * What a daemon shares with the others, as the request path sees it.
+ * The state that a daemon shares with its peers, as the request path uses it.
  *
  * @internal
  */
 export interface SharedState {
   /**
-   * Begins to take part; configurations and news come to the listener from now on.
+   * Joins the cluster; configurations and other updates are passed to the listener from now on.
    *
-   * @param ports - where this daemon is reached
+   * @param ports - the ports at which this daemon is reached
    * @returns the port of its mesh, if it has one
    */
   start(listener: SharedStateListener, ports: DaemonPorts): Promise<number | void>;
-  /** Adds what control costs to the daemon's metrics; absent where there is no control. */
+  /** Adds metrics of the control traffic to the registry; absent where there is none. */
   addMetrics?(registry: Registry): void;
-  /** Claims on requests that may not be repeated. */
+  /** Claims of non-repeatable requests. */
   claims: ClaimPort;
-  /** A replica told this daemon that it is leaving: let the others know. */
+  /** Announces to peers that a replica has reported to this daemon that it is leaving. */
   tellReplicaLeaving(replica: string): void;
-  /** The members and the generation each has in force. */
+  /** Returns the members, with the generation each has in force. */
   getMembers(): unknown;
-  /** The generation in force here; 0 before the first. */
+  /** Returns the generation in force at this daemon; 0 before the first. */
   getGeneration(): number;
-  /** This daemon begins to shut down: it gets no new duties. */
+  /** Announces that this daemon is shutting down, so that it gets no new duties. */
   announceLeaving(): void;
-  /** Nothing is in flight any more: gives the duties it still has to others. */
+  /** Hands over the remaining duties to peers; called when no request is in flight any more. */
   handOver(): Promise<void>;
   dispose(): Promise<void>;
 }
 
 /**
- * What the request path wants to know.
+ * Receives updates of the shared state.
  *
  * @internal
  */
 export interface SharedStateListener {
   onConfiguration(configuration: Configuration, generation: number): void;
   onDaemons(self: string, daemons: string[]): void;
-  /** Word that a replica is leaving; it holds for `span`. */
-  onReplicaLeaving(replica: string, span: Milliseconds): void;
+  /** A peer announced that a replica is leaving; the announcement is valid for `validity`. */
+  onReplicaLeaving(replica: string, validity: Milliseconds): void;
 }
--- a/packages/router/src/lib/observe/AdminServer.ts
+++ b/packages/router/src/lib/observe/AdminServer.ts
@@ -5,15 +5,15 @@
 import type { RouterMetrics } from './RouterMetrics.js';
 
 /**
- * What the admin port shows.
+ * Provides the data that the admin server exposes.
  *
  * @internal
  */
-export interface AdminView {
+export interface AdminSource {
   isReady: () => boolean;
-  /** The members as this daemon sees them, with the generation each has in force. */
+  /** Returns the members as this daemon sees them, with the generation each has in force. */
   getMembers: () => unknown;
-  /** The state of this daemon, for operators. */
+  /** Returns the state of this daemon, for operators. */
   getStatus: () => unknown;
   metrics: RouterMetrics;
 }
@@ -25,25 +25,25 @@
 }
 
 /**
- * The HTTP server for the platform's balancer (readiness), for metrics and for operators.
+ * The HTTP server for the platform's load balancer (readiness), metrics and operators.
  *
  * @internal
  */
 export class AdminServer {
   private readonly server: Server;
 
-  private readonly view: AdminView;
+  private readonly source: AdminSource;
 
-  constructor(view: AdminView) {
-    this.view = view;
+  constructor(source: AdminSource) {
+    this.source = source;
     this.server = createServer();
     const app = polka({ server: this.server });
-    app.get('/ready', (_request, response) => this.writeReady(response));
+    app.get('/ready', (_request, response) => this.writeReadiness(response));
     app.get('/admin/members', (_request, response) => {
-      writeJson(response, 200, view.getMembers());
+      writeJson(response, 200, source.getMembers());
     });
     app.get('/admin/status', (_request, response) => {
-      writeJson(response, 200, view.getStatus());
+      writeJson(response, 200, source.getStatus());
     });
     app.get('/metrics', (_request, response) => this.writeMetrics(response));
     const handler = app.handler.bind(app) as unknown as (
@@ -53,7 +53,7 @@
     this.server.on('request', handler);
   }
 
-  /** @returns the port, for when the machine chose it */
+  /** @returns the port, which the operating system chooses when the configured one is 0 */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -66,13 +66,13 @@
     this.server.closeAllConnections();
   }
 
-  private writeReady(response: ServerResponse): void {
-    const ready = this.view.isReady();
+  private writeReadiness(response: ServerResponse): void {
+    const ready = this.source.isReady();
     writeJson(response, ready ? 200 : 503, { ready });
   }
 
   private async writeMetrics(response: ServerResponse): Promise<void> {
-    const { registry } = this.view.metrics;
+    const { registry } = this.source.metrics;
     const text = await registry.metrics();
     response.setHeader('content-type', registry.contentType);
     response.end(text);
--- a/packages/router/src/lib/observe/DecisionLog.ts
+++ b/packages/router/src/lib/observe/DecisionLog.ts
@@ -1,8 +1,8 @@
 import debug from 'debug';
 
 /**
- * The filters of the request path and the duties of the control side: each has its own kind of
- * decision log line, switched by `DEBUG=apricotrill:<step>`.
+ * The steps of the request path and the areas of the control plane. Each has its own decision log
+ * lines, enabled by `DEBUG=apricotrill:<step>`.
  *
  * @internal
  */
@@ -19,16 +19,16 @@
   | 'daemon';
 
 /**
- * Writes one decision as one line of JSON.
+ * Logs one decision as one line of JSON.
  *
  * @internal
  */
 export type DecisionLog = (step: DecisionStep, fields: object) => void;
 
 /**
- * Creates the log of one daemon. A step that is switched off costs one check and no JSON.
+ * Creates the decision log of a daemon. A disabled step costs one check; nothing is serialized.
  *
- * @param daemon - the daemon's id, in every line
+ * @param daemon - the id of the daemon, included in every line
  * @example
  * ```ts
  * const log = createDecisionLog('daemon-1');
--- a/packages/router/src/lib/observe/RouterMetrics.ts
+++ b/packages/router/src/lib/observe/RouterMetrics.ts
@@ -1,15 +1,15 @@
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 import { routerOptions } from '../options.js';
 
-/** Buckets in seconds around the targets of both users, from a gate check to a long draft. */
+/** Histogram buckets in seconds, chosen around the latency targets, from gate checks to long drafts. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 2.5, 5, 10, 30, 60];
 
-/** The label of all workspaces beyond the first ones. */
+/** The label shared by all workspaces beyond the first `maxWorkspaceLabels`. */
 const OTHER_WORKSPACE = 'other';
 
 /**
- * What the users measure: attainment, goodput and wasted work by class and workspace, and spend
- * per useful answer.
+ * The metrics of a daemon: target attainment, goodput and wasted work by class and workspace, and the
+ * spend on useful responses.
  *
  * @internal
  */
@@ -18,7 +18,7 @@
 
   private readonly workspaces = new Set<string>();
 
-  private readonly answers = new Counter({
+  private readonly requests = new Counter({
     name: 'apricotrill_requests_total',
     help: 'Requests that ended, by how they ended for the caller.',
     labelNames: ['class', 'workspace', 'outcome'] as const,
@@ -71,32 +71,32 @@
     collectDefaultMetrics({ register: this.registry, prefix: 'apricotrill_' });
   }
 
-  /** Counts a request that ended. */
-  countEnd(className: string, workspace: string, outcome: string): void {
-    this.answers.inc({ class: className, workspace: this.getLabel(workspace), outcome });
+  /** Records a request that has ended. */
+  recordRequest(className: string, workspace: string, outcome: string): void {
+    this.requests.inc({ class: className, workspace: this.getWorkspaceLabel(workspace), outcome });
   }
 
-  /** Counts a whole answer: its tokens, its spend, and whether it came in time. */
-  countAnswer(
+  /** Records a complete response: its tokens, its spend, and whether it met the latency target. */
+  recordCompletedResponse(
     className: string,
     workspace: string,
-    answer: { tokens: number; spend: number; onTarget: boolean },
+    usage: { tokens: number; spend: number; onTarget: boolean },
   ): void {
-    const label = this.getLabel(workspace);
-    this.usefulTokens.inc({ class: className, workspace: label }, answer.tokens);
-    this.spend.inc({ class: className, use: 'useful' }, answer.spend);
-    if (answer.onTarget) {
+    const label = this.getWorkspaceLabel(workspace);
+    this.usefulTokens.inc({ class: className, workspace: label }, usage.tokens);
+    this.spend.inc({ class: className, use: 'useful' }, usage.spend);
+    if (usage.onTarget) {
       this.onTarget.inc({ class: className, workspace: label });
     }
   }
 
-  /** Observes the time to the first token, in seconds. */
-  observeFirstToken(className: string, seconds: number): void {
+  /** Records the time to the first token, in seconds. */
+  recordFirstToken(className: string, seconds: number): void {
     this.firstToken.observe({ class: className }, seconds);
   }
 
-  /** Counts tokens nobody will use. */
-  countWaste(className: string, reason: string, waste: { tokens: number; spend: number }): void {
+  /** Records tokens that were computed in vain. */
+  recordWaste(className: string, reason: string, waste: { tokens: number; spend: number }): void {
     this.wastedTokens.inc({ class: className, reason }, waste.tokens);
     this.spend.inc({ class: className, use: 'wasted' }, waste.spend);
   }
@@ -106,10 +106,11 @@
   }
 
   /**
-   * 3,500 workspaces times classes and outcomes would be a hundred thousand series in each daemon,
-   * past its memory; the first ones seen get a label, the rest share one.
+   * Limits the number of time series. 3,500 workspaces times classes and outcomes would be a hundred
+   * thousand series per daemon, more than its memory allows, so only the first workspaces seen get
+   * their own label.
    */
-  private getLabel(workspace: string): string {
+  private getWorkspaceLabel(workspace: string): string {
     if (this.workspaces.has(workspace)) {
       return workspace;
     }
--- a/packages/router/src/lib/observe/addControlMetrics.test.ts
+++ b/packages/router/src/lib/observe/addControlMetrics.test.ts
@@ -5,11 +5,10 @@
 
 describe('addControlMetrics', () => {
   /*
-   * Symptom: the metrics show twice the traffic after two readings, and none before the first.
-   * Sequence: the parts count for themselves; each reading copies their counters.
-   * Cause: a copy was added to what an earlier reading had left.
+   * Guards against adding the counters of the components to the values of the previous scrape, which
+   * would show twice the traffic after two scrapes, and none before the first.
    */
-  it('shows what the parts have counted, however often it is read', async () => {
+  it('exposes the counters of the components, however often they are scraped', async () => {
     const traffic = { bytesIn: 10, bytesOut: 20, messagesIn: 1, messagesOut: 2 };
     const store = { ...NO_CALLS, reads: 7, bytesSent: 5, bytesReceived: 6 };
     const registry = new Registry();
--- a/packages/router/src/lib/observe/addControlMetrics.ts
+++ b/packages/router/src/lib/observe/addControlMetrics.ts
@@ -5,20 +5,20 @@
 import type { Registry } from 'prom-client';
 
 /**
- * Where the figures come from: each part counts for itself and is asked only when somebody reads
- * the metrics.
+ * The sources of the control metrics. Each component keeps its own counters, which are read only when
+ * the metrics are scraped.
  *
  * @internal
  */
-export interface ControlSources {
+export interface ControlMetricSources {
   getTraffic: () => ReadonlyMap<string, Readonly<TopicTraffic>>;
-  /** Undefined until the daemon has joined the others. */
+  /** Returns undefined until the daemon has joined the cluster. */
   getCluster: () => Readonly<ClusterCounters> | undefined;
   getStore: () => CallCounters & { bytesSent: number; bytesReceived: number };
 }
 
-/** What a counter has reached for some labels. */
-interface Reading {
+/** The value of a counter for a set of labels. */
+interface Sample {
   labels: Record<string, string>;
   value: number;
 }
@@ -29,32 +29,32 @@
   labelNames: string[];
 }
 
-/** One reading for each entry, with the entry's name as the label's value. */
-function getReadings(label: string, values: Record<string, number>): Reading[] {
+/** Returns one sample per entry, with the entry's key as the value of the label. */
+function getSamples(label: string, values: Record<string, number>): Sample[] {
   return Object.entries(values).map(([name, value]) => ({ labels: { [label]: name }, value }));
 }
 
-/** Adds a counter that shows what another part has counted. */
+/** Adds a counter that exposes the counts kept by another component. */
 function addCounter(
   registry: Registry,
   description: CounterDescription,
-  read: () => Reading[],
+  collectSamples: () => Sample[],
 ): void {
   const counter = new Counter({
     ...description,
     registers: [],
     collect() {
       this.reset();
-      read().forEach(({ labels, value }) => this.inc(labels, value));
+      collectSamples().forEach(({ labels, value }) => this.inc(labels, value));
     },
   });
   registry.registerMetric(counter);
 }
 
-function addMeshMetrics(registry: Registry, { getTraffic }: ControlSources): void {
-  const read = (getBoth: (traffic: TopicTraffic) => Record<string, number>) =>
+function addMeshMetrics(registry: Registry, { getTraffic }: ControlMetricSources): void {
+  const collectSamples = (getValues: (traffic: TopicTraffic) => Record<string, number>) =>
     [...getTraffic()].flatMap(([topic, traffic]) =>
-      getReadings('direction', getBoth(traffic)).map(({ labels, value }) => ({
+      getSamples('direction', getValues(traffic)).map(({ labels, value }) => ({
         labels: { ...labels, topic },
         value,
       })),
@@ -67,16 +67,16 @@
       help: 'Bytes of encoded envelopes and answers; HTTP/2 and TCP come on top.',
       labelNames,
     },
-    () => read(({ bytesIn, bytesOut }) => ({ in: bytesIn, out: bytesOut })),
+    () => collectSamples(({ bytesIn, bytesOut }) => ({ in: bytesIn, out: bytesOut })),
   );
   addCounter(
     registry,
     { name: 'apricotrill_mesh_messages_total', help: 'Envelopes and answers.', labelNames },
-    () => read(({ messagesIn, messagesOut }) => ({ in: messagesIn, out: messagesOut })),
+    () => collectSamples(({ messagesIn, messagesOut }) => ({ in: messagesIn, out: messagesOut })),
   );
 }
 
-function addClusterMetrics(registry: Registry, { getCluster }: ControlSources): void {
+function addClusterMetrics(registry: Registry, { getCluster }: ControlMetricSources): void {
   addCounter(
     registry,
     {
@@ -84,11 +84,11 @@
       help: 'What membership and the spread of configuration did, by kind.',
       labelNames: ['kind'],
     },
-    () => getReadings('kind', { ...getCluster() }),
+    () => getSamples('kind', { ...getCluster() }),
   );
 }
 
-function addStoreMetrics(registry: Registry, { getStore }: ControlSources): void {
+function addStoreMetrics(registry: Registry, { getStore }: ControlMetricSources): void {
   addCounter(
     registry,
     {
@@ -98,7 +98,7 @@
     },
     () => {
       const { reads, writes, watches } = getStore();
-      return getReadings('kind', { read: reads, write: writes, watch: watches });
+      return getSamples('kind', { read: reads, write: writes, watch: watches });
     },
   );
   addCounter(
@@ -110,10 +110,10 @@
     },
     () => {
       const { bytesSent, bytesReceived } = getStore();
-      return getReadings('direction', { in: bytesReceived, out: bytesSent });
+      return getSamples('direction', { in: bytesReceived, out: bytesSent });
     },
   );
-  const waiting = new Gauge({
+  const waitingWatches = new Gauge({
     name: 'apricotrill_store_waiting_watches',
     help: 'Watches open at the store.',
     registers: [],
@@ -121,22 +121,22 @@
       this.set(getStore().waitingWatches);
     },
   });
-  registry.registerMetric(waiting);
+  registry.registerMetric(waitingWatches);
 }
 
 /**
- * Adds what control costs a daemon to its metrics: traffic with other daemons, what the cluster
- * did, calls to the store. Nothing is computed between two readings.
+ * Adds metrics of the cost of control: traffic with peers, cluster events, and calls to the store.
+ * Nothing is computed between scrapes.
  *
- * @param registry - the daemon's metrics
- * @param sources - the parts that count
+ * @param registry - the registry of the daemon's metrics
+ * @param sources - the components that keep the counters
  * @example
  * ```ts
  * addControlMetrics(registry, { getTraffic: () => mesh.traffic.getTopics(), getCluster, getStore });
  * ```
  * @internal
  */
-export function addControlMetrics(registry: Registry, sources: ControlSources): void {
+export function addControlMetrics(registry: Registry, sources: ControlMetricSources): void {
   addMeshMetrics(registry, sources);
   addClusterMetrics(registry, sources);
   addStoreMetrics(registry, sources);
--- a/packages/router/src/lib/options.ts
+++ b/packages/router/src/lib/options.ts
@@ -1,55 +1,53 @@
 /**
- * The router's tunables, times in milliseconds. What differs from deployment to deployment is in
- * the settings; these are the same everywhere.
+ * Options of the router that are the same in all deployments; what differs between deployments is in
+ * the settings. Times are in milliseconds.
  */
 export const routerOptions = {
-  /** How long a connection to a replica may take to open. */
+  /** Timeout for opening a connection to a replica. */
   connectTimeout: 500,
-  /** How long an idle connection to a replica is kept. */
-  upstreamIdle: 10_000,
-  /** How long the last bytes of an answer that needs no more reading may take. */
-  answerTail: 1000,
-  /** How long a caller that just connected may take to send when the daemon stops. */
-  firstRequest: 1000,
-  /** How long a caller may take nothing of its answer before it counts as gone. */
-  callerStall: 30_000,
-  /** How often the scheduler hears of the tokens of one attempt. */
+  /** How long an idle connection to a replica is kept open. */
+  upstreamIdleTimeout: 10_000,
+  /** Timeout for the last bytes of a response whose result is already known. */
+  responseDrainTimeout: 1000,
+  /** How long a shutdown waits for the first request on a new connection. */
+  firstRequestTimeout: 1000,
+  /** How long a caller may read nothing of its response before it is disconnected. */
+  callerStallTimeout: 30_000,
+  /** The minimum interval between progress reports of an attempt to the scheduler. */
   progressInterval: 200,
-  /** How often connections are looked at whose headers are overdue. */
-  connectionsCheck: 1000,
-  /** How long, and how much of, a request that was refused unread is still read. */
+  /** How often connections are checked for overdue request headers. */
+  connectionsCheckInterval: 1000,
+  /** How long, and up to how many bytes, the body of a rejected request is read and discarded. */
   refusedBodyTimeout: 2000,
-  refusedBodyBytes: 64 * 1024 * 1024,
-  /** When asking again makes sense after a fault of this daemon. */
+  maxRefusedBodyBytes: 64 * 1024 * 1024,
+  /** Retry delay reported to callers after an internal error. */
   internalRetryAfter: 1000,
-  /** The longest plain answer that is relayed, in bytes. */
-  maxPlainAnswer: 8 * 1024 * 1024,
-  /** How often a replica's load is asked for when no answer brought it. */
+  maxPlainResponseBytes: 8 * 1024 * 1024,
+  /** How often a replica's load is polled if no response carried it. */
   loadInterval: 1000,
-  /** How many replicas are asked in one interval at most. */
+  /** The maximum number of replicas polled per interval. */
   loadQuestions: 50,
-  /** How long a load question may take. */
-  loadTimeout: 800,
-  /** Prompt characters that count for prefix affinity. */
-  prefixLength: 1024,
-  /** Characters of the answer body kept with a claim, for a repeat of the key. */
-  maxKeptAnswer: 4096,
-  /** How long the readiness answer says no before the daemon stops accepting connections. */
-  drainNotice: 2000,
-  /** Workspaces with a metrics label of their own; the rest share the label `other`. */
+  loadPollTimeout: 800,
+  /** The number of prompt characters used for prefix affinity. */
+  prefixCharacters: 1024,
+  /** Characters of the response body stored with a claim, for retries with the same key. */
+  maxStoredBodyCharacters: 4096,
+  /** How long the readiness check fails before the daemon stops accepting connections. */
+  readinessDrainDelay: 2000,
+  /** The number of workspaces with their own metrics label; the rest share the label `other`. */
   maxWorkspaceLabels: 100,
-  /** How long a request may wait for another one with its Idempotency-Key. */
+  /** Retry delay reported while another request with the same Idempotency-Key is running. */
   inProgressRetryAfter: 1000,
-  /** When asking again makes sense for a caller whose key could not be claimed in time. */
+  /** Retry delay reported when the key could not be claimed in time. */
   claimRetryAfter: 1000,
-  /** How long a call to the platform may take. */
+  /** Timeout of a call to the platform. */
   platformTimeout: 2000,
-  /** How long a daemon that starts waits for the store's word on what is accepted. */
-  startGrace: 3000,
-  /** How long it then waits for the accepted configuration itself. */
-  startLimit: 10_000,
-  /** How long a claim message between daemons may take. */
+  /** How long a starting daemon waits for the store to name the accepted generation. */
+  acceptedGenerationTimeout: 3000,
+  /** How long a starting daemon waits at most for the accepted configuration itself. */
+  firstConfigurationTimeout: 10_000,
+  /** Timeout of a claim message between daemons. */
   claimCallTimeout: 1000,
-  /** How long the hand-over of claim shards may take at shutdown. */
+  /** Timeout for handing over the claim shards at shutdown. */
   handOverTimeout: 5000,
 } as const;
--- a/packages/router/src/lib/pipeline/CallerServer.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.ts
@@ -13,9 +13,9 @@
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
 import { routerOptions } from '../options.js';
-import type { CallerContext } from './HandlerContext.js';
+import type { HandlerContext } from './HandlerContext.js';
 import { discardBody } from './discardBody.js';
-import { getMalformedBody } from './getRefusalBody.js';
+import { getRefusalBody } from './getRefusalBody.js';
 import { handleChat } from './handleChat.js';
 import { handlePlain } from './handlePlain.js';
 import { ProblemError, ProblemReason } from './Problem.js';
@@ -23,7 +23,7 @@
 import { writeProblem } from './writeProblem.js';
 
 /**
- * Where callers reach the daemon.
+ * The address at which the daemon listens for callers.
  *
  * @internal
  */
@@ -31,7 +31,7 @@
   host: string;
   port: number;
   headersTimeout: number;
-  /** The keys for HTTPS; plain HTTP when absent. */
+  /** Key and certificate for HTTPS; plain HTTP when absent. */
   keys?: KeySource;
 }
 
@@ -41,7 +41,7 @@
   requestId: string,
 ) => Promise<void> | void;
 
-const UNKNOWN_PATH: Problem = {
+const UNKNOWN_PATH_PROBLEM: Problem = {
   reason: ProblemReason.UnknownService,
   status: 404,
   title: 'Unknown path',
@@ -49,7 +49,7 @@
   outcome: ExecutionOutcome.NotRun,
 };
 
-const INTERNAL: Problem = {
+const INTERNAL_ERROR_PROBLEM: Problem = {
   reason: ProblemReason.Internal,
   status: 500,
   title: 'Internal error',
@@ -59,12 +59,12 @@
 };
 
 /**
- * The HTTP server towards callers: receives requests and hands them to their filters.
+ * The HTTP server for callers. Dispatches each request to the handler of its route.
  *
  * @internal
  */
 export class CallerServer {
-  private readonly context: CallerContext;
+  private readonly context: HandlerContext;
 
   private readonly address: CallerServerAddress;
 
@@ -72,43 +72,43 @@
 
   private readonly connections: CallerConnections;
 
-  private closing = false;
+  private isClosing = false;
 
-  private stopKeys: (() => void) | undefined;
+  private unsubscribeFromKeys: (() => void) | undefined;
 
-  constructor(context: CallerContext, address: CallerServerAddress) {
+  constructor(context: HandlerContext, address: CallerServerAddress) {
     this.context = context;
     this.address = address;
     this.connections = new CallerConnections({
       clock: context.clock,
       headersTimeout: address.headersTimeout,
-      firstRequestTimeout: routerOptions.firstRequest,
-      callerStallTimeout: routerOptions.callerStall,
+      firstRequestTimeout: routerOptions.firstRequestTimeout,
+      callerStallTimeout: routerOptions.callerStallTimeout,
     });
     this.server = this.createServer();
     const { server } = this;
     const app = polka({
       server,
       onNoMatch: (request, response) =>
-        this.handle(request, response, () => {
-          throw new ProblemError(UNKNOWN_PATH, { step: 'receive', peer: 'caller' });
+        this.handleRequest(request, response, () => {
+          throw new ProblemError(UNKNOWN_PATH_PROBLEM, { step: 'receive', peer: 'caller' });
         }),
     });
     app.post('/v1/chat/completions', (request, response) =>
-      this.handle(request, response, (...parts) => handleChat(context, ...parts)),
+      this.handleRequest(request, response, (...args) => handleChat(context, ...args)),
     );
     app.get('/v1/models', (request, response) =>
-      this.handle(request, response, () => this.listModels(response)),
+      this.handleRequest(request, response, () => this.listModels(response)),
     );
     app.use('/services', (request, response) =>
-      this.handle(request, response, (...parts) => this.servePlain(...parts)),
+      this.handleRequest(request, response, (...args) => this.handlePlainRequest(...args)),
     );
     server.on('request', (request, response) => app.handler(request as never, response));
   }
 
-  /** @returns the port, for when the machine chose it */
+  /** @returns the port, which the operating system chooses when the configured one is 0 */
   listen(): Promise<number> {
-    this.useKeys();
+    this.applyKeys();
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(this.address.port, this.address.host, () => {
@@ -118,12 +118,12 @@
   }
 
   /**
-   * Stops taking connections; answers in flight go on. Every answer from now on asks its caller to
-   * close, and connections without a request end, or those kept for reuse would hold the process
-   * for good.
+   * Stops accepting connections; responses in flight continue. From now on every response asks its
+   * caller to close the connection, and connections without a request are closed: otherwise
+   * keep-alive connections would prevent the process from ever exiting.
    */
   async close(): Promise<void> {
-    this.closing = true;
+    this.isClosing = true;
     await waitForPendingConnections();
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -131,23 +131,23 @@
     });
   }
 
-  /** Cuts every connection: only for a forced end. */
+  /** Closes every connection immediately, including those with a request in flight. */
   dispose(): void {
-    this.stopKeys?.();
+    this.unsubscribeFromKeys?.();
     this.server.close();
     this.server.closeAllConnections();
   }
 
-  /** New connections take the newest keys; open ones keep theirs. */
-  private useKeys(): void {
+  /** Uses the latest keys for new connections; open connections keep theirs. */
+  private applyKeys(): void {
     const { keys } = this.address;
     if (keys === undefined) {
       return;
     }
-    const use = ({ certificate, privateKey }: KeyMaterial) =>
+    const apply = ({ certificate, privateKey }: KeyMaterial) =>
       (this.server as TlsServer).setSecureContext({ cert: certificate, key: privateKey });
-    use(keys.getCurrent());
-    this.stopKeys = keys.onChange(use);
+    apply(keys.getCurrent());
+    this.unsubscribeFromKeys = keys.onChange(apply);
   }
 
   private createServer(): Server {
@@ -155,9 +155,9 @@
     const options = {
       headersTimeout,
       requestTimeout: 0,
-      connectionsCheckingInterval: routerOptions.connectionsCheck,
+      connectionsCheckingInterval: routerOptions.connectionsCheckInterval,
     };
-    // A handshake that never ends would hold the shutdown as an idle connection does.
+    // Without a timeout, an unfinished TLS handshake would block shutdown as an idle connection does.
     const server =
       keys === undefined
         ? createServer(options)
@@ -165,50 +165,59 @@
     server.on(keys === undefined ? 'connection' : 'secureConnection', (socket: Socket) =>
       this.connections.add(socket),
     );
-    server.on('clientError', (error, socket) => this.refuseBytes(error, socket as Socket));
+    server.on('clientError', (error, socket) => this.rejectMalformedBytes(error, socket as Socket));
     return server;
   }
 
-  private handle(request: IncomingMessage, response: ServerResponse, handler: Handler): void {
+  private handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+    handler: Handler,
+  ): void {
     const requestId = randomUUID();
-    const leave = this.context.runner.enter();
+    const endArrival = this.context.runner.trackArrival();
     this.connections.trackRequest(request, response);
-    if (this.closing) {
+    if (this.isClosing) {
       response.setHeader('connection', 'close');
     }
-    const handling = async () => handler(request, response, requestId);
-    handling()
+    const runHandler = async () => handler(request, response, requestId);
+    runHandler()
       .catch((error: unknown) => {
-        this.refuse(response, requestId, error);
+        this.rejectRequest(response, requestId, error);
         discardBody(request, this.context.clock);
       })
-      .finally(leave);
+      .finally(endArrival);
   }
 
-  private refuse(response: ServerResponse, requestId: string, error: unknown): void {
-    const known = error instanceof ProblemError;
-    const problem = known ? error.problem : INTERNAL;
-    const detail = known ? error.message : String((error as Error).stack ?? error);
+  private rejectRequest(response: ServerResponse, requestId: string, error: unknown): void {
+    const isProblem = error instanceof ProblemError;
+    const problem = isProblem ? error.problem : INTERNAL_ERROR_PROBLEM;
+    const detail = isProblem ? error.message : String((error as Error).stack ?? error);
     this.context.log('identify', { request: requestId, refused: problem.reason, detail });
     writeProblem(response, problem, requestId);
   }
 
   /**
-   * Bytes that are not HTTP end their own connection only. When they follow a request that is being
-   * answered, they must not become part of its answer, nor pass it off as not run.
+   * Bytes that are not valid HTTP close only their own connection. If they follow a request that is
+   * still being answered, no error is written: it would become part of that response, or claim that
+   * the request was not run.
    */
-  private refuseBytes(error: NodeJS.ErrnoException, socket: Socket): void {
+  private rejectMalformedBytes(error: NodeJS.ErrnoException, socket: Socket): void {
     if (!this.connections.isResponding(socket)) {
-      refuseConnection(socket, error, getMalformedBody);
+      refuseConnection(socket, error, getRefusalBody);
     }
   }
 
-  private servePlain(request: IncomingMessage, response: ServerResponse, requestId: string) {
+  private handlePlainRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+    requestId: string,
+  ) {
     const { originalUrl, url = '/' } = request as { originalUrl?: string; url?: string };
-    const [, , service = '', ...rest] = (originalUrl ?? url).split('/');
-    const [name = '', query] = service.split('?');
-    const path = `/${rest.join('/')}${query === undefined ? '' : `?${query}`}`;
-    return handlePlain(this.context, request, response, { requestId, service: name, path });
+    const [, , serviceSegment = '', ...pathSegments] = (originalUrl ?? url).split('/');
+    const [service = '', query] = serviceSegment.split('?');
+    const path = `/${pathSegments.join('/')}${query === undefined ? '' : `?${query}`}`;
+    return handlePlain(this.context, request, response, { requestId, service, path });
   }
 
   private listModels(response: ServerResponse): void {
--- a/packages/router/src/lib/pipeline/ClaimPort.ts
+++ b/packages/router/src/lib/pipeline/ClaimPort.ts
@@ -1,15 +1,15 @@
 import type { Milliseconds } from '@apricotrill/utils';
-import type { PlainAnswer } from '../upstream/runPlainAttempt.js';
+import type { PlainResponse } from '../upstream/runPlainAttempt.js';
 
 /**
- * A request that may not be repeated, as it is claimed.
+ * The claim of a non-repeatable request.
  *
  * @internal
  */
 export interface ClaimRequest {
   workspace: string;
   key: string;
-  /** Tells the same request from another one under the same key. */
+  /** Distinguishes different requests sent with the same key. */
   fingerprint: string;
   requestId: string;
 }
@@ -20,31 +20,31 @@
  * @internal
  */
 export type ClaimEnd =
-  /** The request ran; a repeat of the key gets this answer. */
-  | { kind: 'answered'; answer: PlainAnswer }
-  /** It is proved that the request did not run; the key may be claimed again. */
+  /** The request ran; later requests with the same key get this response. */
+  | { kind: 'answered'; answer: PlainResponse }
+  /** The request is proved not to have run; the key may be claimed again. */
   | { kind: 'released' }
-  /** Nobody can tell whether it ran; a repeat of the key is told so. */
+  /** It is unknown whether the request ran; later requests with the same key are told so. */
   | { kind: 'unknown' };
 
 /**
- * What the claim of a key came to.
+ * The result of claiming a key.
  *
  * @internal
  */
 export type ClaimVerdict =
   | { kind: 'granted'; end: (end: ClaimEnd) => void }
-  | { kind: 'answered'; answer: PlainAnswer }
-  /** The request ran; its answer was too long to keep. */
+  | { kind: 'answered'; answer: PlainResponse }
+  /** The request ran, but its response was too large to store. */
   | { kind: 'answer-not-kept'; status: number }
   | { kind: 'in-progress' }
   | { kind: 'mismatch' }
   | { kind: 'unknown' }
-  /** `isProvedNotRun`: the key was this request's, so that no other one has run under it. */
+  /** `isProvedNotRun`: this request held the key, so no other request with it can have run. */
   | { kind: 'unavailable'; retryAfter: Milliseconds; isProvedNotRun: boolean };
 
 /**
- * Where claims are kept.
+ * The claim service as the request path uses it.
  *
  * @internal
  */
--- a/packages/router/src/lib/pipeline/HandlerContext.ts
+++ b/packages/router/src/lib/pipeline/HandlerContext.ts
@@ -7,14 +7,14 @@
 import type { RoutingTable } from './RoutingTable.js';
 
 /**
- * What the handlers of callers' requests share.
+ * Dependencies shared by the request handlers.
  *
  * @internal
  */
-export interface CallerContext {
+export interface HandlerContext {
   clock: Clock;
   limits: BodyLimits;
-  /** The configuration in force; undefined until the first one is. */
+  /** Returns the configuration in force, or undefined before the first one. */
   getTable: () => RoutingTable | undefined;
   claims: ClaimPort;
   runner: RequestRunner;
--- a/packages/router/src/lib/pipeline/IdentifiedCall.ts
+++ b/packages/router/src/lib/pipeline/IdentifiedCall.ts
@@ -3,13 +3,14 @@
 import type { ServerResponse } from 'node:http';
 
 /**
- * A call after the filters receive and identify: read, checked, and known whose and what it is.
+ * A caller's request after the receive and identify steps: its body has been read and validated, and
+ * its workspace, service and class are known.
  *
  * @internal
  */
-export interface CallerCall {
+export interface IdentifiedCall {
   requestId: string;
-  arrived: Milliseconds;
+  arrivedAt: Milliseconds;
   workspace: Workspace;
   service: Service;
   serviceClass: ServiceClass;
--- a/packages/router/src/lib/pipeline/Problem.ts
+++ b/packages/router/src/lib/pipeline/Problem.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * Why a request got no answer of its own, as callers see it in `type`.
+ * Why a request failed, as callers see it in the `type` of the problem document.
  *
  * @public
  */
@@ -35,14 +35,14 @@
   status: number;
   title: string;
   detail: string;
-  /** What the request is known to have done. */
+  /** What is known about whether the request was executed. */
   outcome: ExecutionOutcome;
-  /** When asking again makes sense; absent when it never does. */
+  /** The delay after which a retry makes sense; absent when it never does. */
   retryAfter?: Milliseconds;
 }
 
 /**
- * A filter of the request path ends the request with this problem.
+ * Thrown by a step of the request path to end the request with a problem document.
  *
  * @public
  */
@@ -50,8 +50,8 @@
   readonly problem: Problem;
 
   /**
-   * @param problem - what the caller is told
-   * @param context - the filter that ended the request, and the peer it was about
+   * @param problem - the problem sent to the caller
+   * @param context - the step that ended the request, and the peer it concerns
    */
   constructor(problem: Problem, context: { step: string; peer: string; cause?: unknown }) {
     super(problem.detail, context);
--- a/packages/router/src/lib/pipeline/RoutingTable.ts
+++ b/packages/router/src/lib/pipeline/RoutingTable.ts
@@ -2,8 +2,8 @@
 import type { Configuration, Replica, Service } from '@apricotrill/model';
 
 /**
- * A configuration in the form the request path reads: every look-up of a request is a map access.
- * It is built once for each configuration put in force, and never changed.
+ * A configuration indexed for the request path, so that every lookup is a map access. Immutable: a
+ * new table is built for each configuration that comes into force.
  *
  * @internal
  */
@@ -29,23 +29,23 @@
     );
   }
 
-  /** The plain service of that name. */
+  /** Returns the plain service with the given name. */
   getPlainService(name: string): Service | undefined {
     const service = this.services.get(name);
     return service?.kind === ServiceKind.Plain ? service : undefined;
   }
 
-  /** The service that serves a model. */
-  getServiceOfModel(model: string): Service | undefined {
+  /** Returns the service that serves a model. */
+  getServiceByModel(model: string): Service | undefined {
     return this.servicesByModel.get(model);
   }
 
-  /** All models callers may ask for. */
+  /** Returns the names of all models that callers may request. */
   getModels(): string[] {
     return [...this.servicesByModel.keys()];
   }
 
-  /** What a service costs. */
+  /** Returns the service with the given name, of any kind. */
   getService(name: string): Service | undefined {
     return this.services.get(name);
   }
--- a/packages/router/src/lib/pipeline/claim.ts
+++ b/packages/router/src/lib/pipeline/claim.ts
@@ -4,23 +4,23 @@
 import { createHash } from 'node:crypto';
 import type { DecisionLog } from '../observe/DecisionLog.js';
 import { routerOptions } from '../options.js';
-import type { PlainAnswer } from '../upstream/runPlainAttempt.js';
+import type { PlainResponse } from '../upstream/runPlainAttempt.js';
 import type { ClaimEnd, ClaimPort, ClaimRequest, ClaimVerdict } from './ClaimPort.js';
 import { ProblemError, ProblemReason } from './Problem.js';
 import type { Problem } from './Problem.js';
 
-/** The longest key that is taken, in characters. */
+/** The maximum length of an idempotency key, in characters. */
 const MAX_KEY_LENGTH = 255;
 
 /**
- * What the claim filter lets through: the right to run, or the answer of the run before.
+ * The result of the claim step: permission to run, or the response of an earlier run.
  *
  * @internal
  */
-export type ClaimPass =
-  { kind: 'run'; end: (end: ClaimEnd) => void } | { kind: 'answered'; answer: PlainAnswer };
+export type ClaimResult =
+  { kind: 'run'; end: (end: ClaimEnd) => void } | { kind: 'answered'; answer: PlainResponse };
 
-type Unavailable = Extract<ClaimVerdict, { kind: 'unavailable' }>;
+type UnavailableVerdict = Extract<ClaimVerdict, { kind: 'unavailable' }>;
 
 const TITLE = 'The request may not be repeated';
 
@@ -29,10 +29,10 @@
 }
 
 /**
- * Reads the key of a request that may not be repeated.
+ * Reads the idempotency key of a non-repeatable request.
  *
  * @param header - the `Idempotency-Key` header
- * @throws ProblemError 400 without a usable key: a repeat could not be told from a new request
+ * @throws ProblemError 400 without a valid key: a retry could not be distinguished from a new request
  * @example
  * ```ts
  * const key = readIdempotencyKey(request.headers['idempotency-key']);
@@ -52,7 +52,7 @@
 }
 
 /**
- * What tells one request from another under the same key.
+ * Computes the hash that distinguishes different requests sent with the same key.
  *
  * @example
  * ```ts
@@ -65,10 +65,11 @@
 }
 
 /**
- * This request was not run, and an earlier one of the key may be running: a caller that is told "not
- * run" places the order again under a new key, and has two. So that is said only where it is proved.
+ * This request was not run, but an earlier one with the same key may be running. A caller that is
+ * told "not run" sends the request again with a new key, so that it may run twice. "Not run" is
+ * therefore reported only when it is proved.
  */
-function getUnavailable({ retryAfter, isProvedNotRun }: Unavailable): Problem {
+function getUnavailableProblem({ retryAfter, isProvedNotRun }: UnavailableVerdict): Problem {
   return {
     reason: ProblemReason.NoClaim,
     status: 503,
@@ -81,7 +82,7 @@
   };
 }
 
-function getRefusal(verdict: Exclude<ClaimVerdict, { kind: 'granted' | 'answered' }>): Problem {
+function getProblem(verdict: Exclude<ClaimVerdict, { kind: 'granted' | 'answered' }>): Problem {
   switch (verdict.kind) {
     case 'in-progress':
       return {
@@ -117,43 +118,43 @@
         outcome: ExecutionOutcome.Unknown,
       };
     case 'unavailable':
-      return getUnavailable(verdict);
+      return getUnavailableProblem(verdict);
     default:
       throw exhaustiveSwitchError(verdict);
   }
 }
 
-/** What a claim needs around it. */
-interface ClaimSurroundings {
+/** Timeout and dependencies of a claim. */
+interface ClaimOptions {
   clock: Clock;
-  /** How long the claim may take. */
-  patience: Milliseconds;
+  /** The maximum duration of the claim. */
+  timeout: Milliseconds;
   log: DecisionLog;
 }
 
 /**
- * Asks for the claim, for a bounded time. What comes later comes for nobody: a key granted then is
- * given back, since nothing was sent for it, and the caller may ask again with it.
+ * Requests the claim, with a timeout. A claim granted after the timeout is released, since nothing
+ * was sent for it, so that the caller can retry with the same key.
  */
-function getVerdict(
+function requestVerdict(
   claims: ClaimPort,
   request: ClaimRequest,
-  { clock, patience, log }: ClaimSurroundings,
+  { clock, timeout, log }: ClaimOptions,
 ): Promise<ClaimVerdict> {
   const { requestId, key } = request;
   return new Promise((resolve) => {
     const retryAfter = routerOptions.claimRetryAfter;
     const unavailable = { kind: 'unavailable', retryAfter, isProvedNotRun: false } as const;
-    let late = false;
-    const timer = clock.setTimer(patience, () => {
-      late = true;
-      log('claim', { request: requestId, key, event: 'no-verdict', after: patience });
+    let hasTimedOut = false;
+    const timer = clock.setTimer(timeout, () => {
+      hasTimedOut = true;
+      log('claim', { request: requestId, key, event: 'no-verdict', after: timeout });
       resolve(unavailable);
     });
     claims.claim(request).then(
       (verdict) => {
         timer.cancel();
-        if (late && verdict.kind === 'granted') {
+        if (hasTimedOut && verdict.kind === 'granted') {
           verdict.end({ kind: 'released' });
         }
         resolve(verdict);
@@ -168,31 +169,31 @@
 }
 
 /**
- * The filter that lets a request which may not be repeated run at most once, whichever daemon its
- * caller asks again.
+ * The step of the request path that ensures a non-repeatable request runs at most once, even if its
+ * caller retries at another daemon.
  *
- * @param claims - where claims are kept
- * @param request - the key and what it is for
- * @param around - how long the claim may take, and where that is logged
+ * @param claims - the claim service
+ * @param request - the key and the request it identifies
+ * @param options - the timeout of the claim, the clock and the log
  * @throws ProblemError when it may not run
  * @example
  * ```ts
- * const pass = await claim(claims, { workspace, key, fingerprint, requestId }, around);
+ * const result = await claim(claims, { workspace, key, fingerprint, requestId }, options);
  * ```
  * @internal
  */
 export async function claim(
   claims: ClaimPort,
   request: ClaimRequest,
-  around: ClaimSurroundings,
-): Promise<ClaimPass> {
-  const verdict = await getVerdict(claims, request, around);
+  options: ClaimOptions,
+): Promise<ClaimResult> {
+  const verdict = await requestVerdict(claims, request, options);
   switch (verdict.kind) {
     case 'granted':
       return { kind: 'run', end: verdict.end };
     case 'answered':
       return verdict;
     default:
-      throw new ProblemError(getRefusal(verdict), { step: 'claim', peer: request.key });
+      throw new ProblemError(getProblem(verdict), { step: 'claim', peer: request.key });
   }
 }
--- a/packages/router/src/lib/pipeline/discardBody.ts
+++ b/packages/router/src/lib/pipeline/discardBody.ts
@@ -3,12 +3,12 @@
 import { routerOptions } from '../options.js';
 
 /**
- * Reads the rest of a refused request and throws it away, within bounds. A caller that is still
- * sending when the connection is cut sees a reset in place of its answer, so it is let finish; one
- * that goes on sending for long is cut off, or it would hold its connection for ever.
+ * Reads and discards the rest of a rejected request, within limits. A caller that is still sending
+ * when the connection is closed sees a connection reset instead of the response, so it may finish
+ * sending. Beyond the limits the connection is closed, or the caller could keep it open forever.
  *
- * @param request - a request that has been answered before it was read
- * @param clock - where time comes from
+ * @param request - a request that was answered before its body was read
+ * @param clock - the time source
  * @example
  * ```ts
  * writeProblem(response, problem, requestId);
@@ -20,13 +20,13 @@
   if (request.complete || request.destroyed) {
     return;
   }
-  let left: number = routerOptions.refusedBodyBytes;
-  const cut = () => request.socket.destroy();
-  const timer = clock.setTimer(routerOptions.refusedBodyTimeout, cut);
+  let remainingBytes: number = routerOptions.maxRefusedBodyBytes;
+  const destroySocket = () => request.socket.destroy();
+  const timer = clock.setTimer(routerOptions.refusedBodyTimeout, destroySocket);
   request.on('data', (chunk: Buffer) => {
-    left -= chunk.length;
-    if (left < 0) {
-      cut();
+    remainingBytes -= chunk.length;
+    if (remainingBytes < 0) {
+      destroySocket();
     }
   });
   request.once('close', () => timer.cancel());
--- a/packages/router/src/lib/pipeline/getRefusalBody.ts
+++ b/packages/router/src/lib/pipeline/getRefusalBody.ts
@@ -6,7 +6,7 @@
 import type { Problem } from './Problem.js';
 import { getProblemBody } from './writeProblem.js';
 
-const BY_KIND: Readonly<Record<MalformedKind, Pick<Problem, 'reason' | 'detail'>>> = {
+const PROBLEM_BY_KIND: Readonly<Record<MalformedKind, Pick<Problem, 'reason' | 'detail'>>> = {
   [MalformedKind.Malformed]: {
     reason: ProblemReason.Malformed,
     detail: 'what came is not a whole HTTP request',
@@ -22,13 +22,13 @@
 };
 
 /**
- * What is said of bytes that never became a request, as problem details (RFC 9457).
+ * Creates the problem document (RFC 9457) for bytes that could not be parsed as a request.
  *
  * @internal
  */
-export function getMalformedBody(kind: MalformedKind, status: number): RefusalBody {
+export function getRefusalBody(kind: MalformedKind, status: number): RefusalBody {
   const problem = {
-    ...BY_KIND[kind],
+    ...PROBLEM_BY_KIND[kind],
     status,
     title: 'The request could not be read',
     outcome: ExecutionOutcome.NotRun,
--- a/packages/router/src/lib/pipeline/handleChat.ts
+++ b/packages/router/src/lib/pipeline/handleChat.ts
@@ -3,17 +3,17 @@
 import { getChatRequestFault } from '../request/ChatRequest.js';
 import type { ChatRequest } from '../request/ChatRequest.js';
 import { ChatStreamSink } from '../request/ChatStreamSink.js';
-import { ChatWholeSink } from '../request/ChatCompletionSink.js';
-import { ChatWork } from '../request/ChatExecution.js';
-import { EngineBody } from '../request/EngineRequestBody.js';
-import type { CallerCall } from './IdentifiedCall.js';
-import type { CallerContext } from './HandlerContext.js';
+import { ChatCompletionSink } from '../request/ChatCompletionSink.js';
+import { ChatExecution } from '../request/ChatExecution.js';
+import { EngineRequestBody } from '../request/EngineRequestBody.js';
+import type { IdentifiedCall } from './IdentifiedCall.js';
+import type { HandlerContext } from './HandlerContext.js';
 import { CLASS_HEADER, identifyClass, identifyModelService } from './identify.js';
 import { ProblemError, ProblemReason } from './Problem.js';
 import { receive } from './receive.js';
 import type { ReceivedRequest } from './receive.js';
 
-function createMalformed(detail: string): ProblemError {
+function createMalformedError(detail: string): ProblemError {
   return new ProblemError(
     {
       reason: ProblemReason.Malformed,
@@ -26,26 +26,26 @@
   );
 }
 
-function parseChat(body: Buffer): ChatRequest {
+function parseChatRequest(body: Buffer): ChatRequest {
   let value: unknown;
   try {
     value = JSON.parse(body.toString('utf8'));
   } catch (error) {
-    throw createMalformed(`the body is not JSON: ${(error as Error).message}`);
+    throw createMalformedError(`the body is not JSON: ${(error as Error).message}`);
   }
   const fault = getChatRequestFault(value);
   if (fault !== undefined) {
-    throw createMalformed(fault);
+    throw createMalformedError(fault);
   }
   return value as ChatRequest;
 }
 
-/** A body of brackets in brackets is read without trouble, and exhausts the stack when written. */
-function createEngineBody(chat: ChatRequest): EngineBody {
+/** A deeply nested body can be parsed but exhausts the stack when it is serialized. */
+function createEngineRequestBody(chat: ChatRequest): EngineRequestBody {
   try {
-    return new EngineBody(chat);
+    return new EngineRequestBody(chat);
   } catch {
-    throw createMalformed('the body is nested too deeply');
+    throw createMalformedError('the body is nested too deeply');
   }
 }
 
@@ -54,8 +54,8 @@
   chat: ChatRequest,
   request: IncomingMessage,
   response: ServerResponse,
-): CallerCall {
-  const { table, workspace, requestId, arrived } = received;
+): IdentifiedCall {
+  const { table, workspace, requestId, arrivedAt } = received;
   const service = identifyModelService(table, chat.model);
   const serviceClass = identifyClass(table, {
     service: service.name,
@@ -63,13 +63,13 @@
     maxTokens: chat.max_completion_tokens ?? chat.max_tokens,
     wishedClass: request.headers[CLASS_HEADER] as string | undefined,
   });
-  return { requestId, arrived, workspace, service, serviceClass, response };
+  return { requestId, arrivedAt, workspace, service, serviceClass, response };
 }
 
 /**
- * Serves a chat completion, streamed or whole.
+ * Serves a chat completion, streamed or not.
  *
- * @throws ProblemError when the request is refused before it is scheduled
+ * @throws ProblemError when the request is rejected before it is scheduled
  * @example
  * ```ts
  * await handleChat(context, request, response, requestId);
@@ -77,14 +77,14 @@
  * @internal
  */
 export async function handleChat(
-  context: CallerContext,
+  context: HandlerContext,
   request: IncomingMessage,
   response: ServerResponse,
   requestId: string,
 ): Promise<void> {
   const received = await receive(context, request, requestId);
-  const chat = parseChat(received.body);
-  const body = createEngineBody(chat);
+  const chat = parseChatRequest(received.body);
+  const body = createEngineRequestBody(chat);
   const call = identifyCall(received, chat, request, response);
   const { clock, connections, log } = context;
   log('identify', {
@@ -93,8 +93,8 @@
     service: call.service.name,
     class: call.serviceClass.name,
   });
-  const Sink = chat.stream === true ? ChatStreamSink : ChatWholeSink;
-  const work = new ChatWork({
+  const Sink = chat.stream === true ? ChatStreamSink : ChatCompletionSink;
+  const execution = new ChatExecution({
     requestId,
     body,
     tier: call.serviceClass.tier,
@@ -102,8 +102,8 @@
     sink: new Sink(response, requestId),
     connections,
     clock,
-    onStray: (what) => log('relay', { request: requestId, dropped: what }),
+    onDropped: (what) => log('relay', { request: requestId, dropped: what }),
     onSlowCaller: () => log('relay', { request: requestId, event: 'caller-slow' }),
   });
-  context.runner.run({ call, work, chat, outlivesCaller: false });
+  context.runner.run({ call, execution, chat, continuesWithoutCaller: false });
 }
--- a/packages/router/src/lib/pipeline/handlePlain.ts
+++ b/packages/router/src/lib/pipeline/handlePlain.ts
@@ -1,40 +1,40 @@
 import { ExecutionOutcome } from '@apricotrill/policy';
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { PlainWork, writePlainAnswer } from '../request/PlainExecution.js';
+import { PlainExecution, writePlainResponse } from '../request/PlainExecution.js';
 import type { Settlement } from '../request/RequestTask.js';
-import type { CallerCall } from './IdentifiedCall.js';
-import type { CallerContext } from './HandlerContext.js';
+import type { IdentifiedCall } from './IdentifiedCall.js';
+import type { HandlerContext } from './HandlerContext.js';
 import { claim, getFingerprint, readIdempotencyKey } from './claim.js';
 import type { ClaimEnd } from './ClaimPort.js';
-import { getErrorInDoubt } from './markOutcomeUnknown.js';
+import { markOutcomeUnknown } from './markOutcomeUnknown.js';
 import { CLASS_HEADER, identifyClass, identifyPlainService } from './identify.js';
 import { receive } from './receive.js';
 import type { ReceivedRequest } from './receive.js';
 
-/** Where a request is to go. */
-interface PlainTarget {
+/** The service and path a request is addressed to. */
+interface PlainRequestTarget {
   requestId: string;
   service: string;
   path: string;
 }
 
-/** Headers of the caller that a plain service gets. */
+/** Request headers forwarded to plain services. */
 const FORWARDED_HEADERS = ['content-type', 'accept', 'accept-language', 'idempotency-key'];
 
 function getForwardedHeaders(request: IncomingMessage): Record<string, string> {
-  const pairs = FORWARDED_HEADERS.map((name) => [name, request.headers[name]] as const);
+  const entries = FORWARDED_HEADERS.map((name) => [name, request.headers[name]] as const);
   return Object.fromEntries(
-    pairs.filter((pair): pair is [string, string] => typeof pair[1] === 'string'),
+    entries.filter((entry): entry is [string, string] => typeof entry[1] === 'string'),
   );
 }
 
 function identifyCall(
   received: ReceivedRequest,
-  target: PlainTarget,
+  target: PlainRequestTarget,
   request: IncomingMessage,
   response: ServerResponse,
-): CallerCall {
-  const { table, workspace, requestId, arrived } = received;
+): IdentifiedCall {
+  const { table, workspace, requestId, arrivedAt } = received;
   const service = identifyPlainService(table, target.service);
   const serviceClass = identifyClass(table, {
     service: service.name,
@@ -43,29 +43,29 @@
     path: target.path,
     wishedClass: request.headers[CLASS_HEADER] as string | undefined,
   });
-  return { requestId, arrived, workspace, service, serviceClass, response };
+  return { requestId, arrivedAt, workspace, service, serviceClass, response };
 }
 
-/** Reads a request and finds out what it is for. @throws ProblemError when it is refused */
+/** Reads a request and identifies its service and class. @throws ProblemError when it is rejected */
 async function receiveCall(
-  context: CallerContext,
+  context: HandlerContext,
   request: IncomingMessage,
   response: ServerResponse,
-  target: PlainTarget,
+  target: PlainRequestTarget,
 ) {
   try {
     const received = await receive(context, request, target.requestId);
     return { received, call: identifyCall(received, target, request, response) };
   } catch (error) {
-    throw getErrorInDoubt(error, request);
+    throw markOutcomeUnknown(error, request);
   }
 }
 
-/** What a settlement proves about a claimed request. */
-function getClaimEnd(settlement: Settlement, work: PlainWork): ClaimEnd {
-  const answer = work.getAnswer();
-  if (settlement.kind === 'answered' && answer !== undefined) {
-    return { kind: 'answered', answer };
+/** Returns how to end a claim, given what the settlement proves about its request. */
+function getClaimEnd(settlement: Settlement, execution: PlainExecution): ClaimEnd {
+  const plainResponse = execution.getPlainResponse();
+  if (settlement.kind === 'answered' && plainResponse !== undefined) {
+    return { kind: 'answered', answer: plainResponse };
   }
   return settlement.kind === 'given-up' && settlement.outcome === ExecutionOutcome.NotRun
     ? { kind: 'released' }
@@ -73,10 +73,10 @@
 }
 
 /**
- * Serves a call to a plain service. One that may not be repeated is claimed first, and goes on to
- * its end when its caller leaves: cutting it off would leave nobody knowing whether it ran.
+ * Serves a request to a plain service. A non-repeatable request is claimed first, and continues when
+ * its caller disconnects: aborting it would make it unknown whether it ran.
  *
- * @throws ProblemError when the request is refused before it is scheduled
+ * @throws ProblemError when the request is rejected before it is scheduled
  * @example
  * ```ts
  * await handlePlain(context, request, response, { requestId, service, path });
@@ -84,10 +84,10 @@
  * @internal
  */
 export async function handlePlain(
-  context: CallerContext,
+  context: HandlerContext,
   request: IncomingMessage,
   response: ServerResponse,
-  target: PlainTarget,
+  target: PlainRequestTarget,
 ): Promise<void> {
   const { requestId, path } = target;
   const { received, call } = await receiveCall(context, request, response, target);
@@ -99,7 +99,7 @@
     service: call.service.name,
     class: call.serviceClass.name,
   });
-  const work = new PlainWork({
+  const execution = new PlainExecution({
     requestId,
     method,
     path,
@@ -111,21 +111,21 @@
     clock: context.clock,
   });
   if (repeatable) {
-    context.runner.run({ call, work, outlivesCaller: false });
+    context.runner.run({ call, execution, continuesWithoutCaller: false });
     return;
   }
   const key = readIdempotencyKey(request.headers['idempotency-key']);
   const fingerprint = getFingerprint(method, path, received.body);
-  const pass = await claim(
+  const claimResult = await claim(
     context.claims,
     { workspace: call.workspace.name, key, fingerprint, requestId },
-    { clock: context.clock, patience: call.serviceClass.deadline, log: context.log },
+    { clock: context.clock, timeout: call.serviceClass.deadline, log: context.log },
   );
-  context.log('claim', { request: requestId, key, kind: pass.kind });
-  if (pass.kind === 'answered') {
-    writePlainAnswer(response, pass.answer, requestId);
+  context.log('claim', { request: requestId, key, kind: claimResult.kind });
+  if (claimResult.kind === 'answered') {
+    writePlainResponse(response, claimResult.answer, requestId);
     return;
   }
-  const onSettled = (settlement: Settlement) => pass.end(getClaimEnd(settlement, work));
-  context.runner.run({ call, work, outlivesCaller: true, onSettled });
+  const onSettled = (settlement: Settlement) => claimResult.end(getClaimEnd(settlement, execution));
+  context.runner.run({ call, execution, continuesWithoutCaller: true, onSettled });
 }
--- a/packages/router/src/lib/pipeline/identify.ts
+++ b/packages/router/src/lib/pipeline/identify.ts
@@ -5,10 +5,10 @@
 
 const BEARER = /^Bearer\s+(\S+)$/i;
 
-/** The header by which a caller may wish for a class; rules decide whether the wish counts. */
+/** The header with which a caller requests a class; the rules decide whether it is honoured. */
 export const CLASS_HEADER = 'x-apricotrill-class';
 
-function createRefusal(reason: ProblemReason, status: number, title: string, detail: string) {
+function createIdentifyError(reason: ProblemReason, status: number, title: string, detail: string) {
   return new ProblemError(
     { reason, status, title, detail, outcome: ExecutionOutcome.NotRun },
     { step: 'identify', peer: 'caller' },
@@ -16,7 +16,7 @@
 }
 
 /**
- * Whose request it is.
+ * Identifies the workspace that a request belongs to.
  *
  * @param table - the configuration in force
  * @param authorization - the caller's `Authorization` header
@@ -35,13 +35,18 @@
   const workspace = key === undefined ? undefined : table.workspaces.getWorkspace(key);
   if (workspace === undefined) {
     const detail = 'send a valid key of your workspace as `Authorization: Bearer <key>`';
-    throw createRefusal(ProblemReason.WrongKey, 401, 'The API key is missing or wrong', detail);
+    throw createIdentifyError(
+      ProblemReason.WrongKey,
+      401,
+      'The API key is missing or wrong',
+      detail,
+    );
   }
   return workspace;
 }
 
 /**
- * The service that serves a model.
+ * Finds the service that serves a model.
  *
  * @throws ProblemError 404
  * @example
@@ -51,16 +56,16 @@
  * @internal
  */
 export function identifyModelService(table: RoutingTable, model: string): Service {
-  const service = table.getServiceOfModel(model);
+  const service = table.getServiceByModel(model);
   if (service === undefined) {
     const detail = `no service serves the model \`${model}\`; GET /v1/models lists them`;
-    throw createRefusal(ProblemReason.UnknownModel, 404, 'Unknown model', detail);
+    throw createIdentifyError(ProblemReason.UnknownModel, 404, 'Unknown model', detail);
   }
   return service;
 }
 
 /**
- * The plain service of a name.
+ * Finds the plain service with the given name.
  *
  * @throws ProblemError 404
  * @example
@@ -73,13 +78,13 @@
   const service = table.getPlainService(name);
   if (service === undefined) {
     const detail = `there is no plain service \`${name}\``;
-    throw createRefusal(ProblemReason.UnknownService, 404, 'Unknown service', detail);
+    throw createIdentifyError(ProblemReason.UnknownService, 404, 'Unknown service', detail);
   }
   return service;
 }
 
 /**
- * The class of a request, by the operators' rules.
+ * Determines the class of a request from the operators' rules.
  *
  * @throws ProblemError 403 when no rule matches
  * @example
@@ -88,11 +93,16 @@
  * ```
  * @internal
  */
-export function identifyClass(table: RoutingTable, facts: RequestAttributes): ServiceClass {
-  const serviceClass = table.classes.getClass(facts);
+export function identifyClass(table: RoutingTable, attributes: RequestAttributes): ServiceClass {
+  const serviceClass = table.classes.getClass(attributes);
   if (serviceClass === undefined) {
-    const detail = `no rule gives ${facts.method ?? 'a chat request'} ${facts.path ?? ''} at ${facts.service} a class`;
-    throw createRefusal(ProblemReason.NoClass, 403, 'The rules do not allow this call', detail);
+    const detail = `no rule gives ${attributes.method ?? 'a chat request'} ${attributes.path ?? ''} at ${attributes.service} a class`;
+    throw createIdentifyError(
+      ProblemReason.NoClass,
+      403,
+      'The rules do not allow this call',
+      detail,
+    );
   }
   return serviceClass;
 }
--- a/packages/router/src/lib/pipeline/markOutcomeUnknown.ts
+++ b/packages/router/src/lib/pipeline/markOutcomeUnknown.ts
@@ -3,23 +3,24 @@
 import { ProblemError } from './Problem.js';
 
 /**
- * The error for a request that is refused before its `Idempotency-Key` was looked up, for example
- * since this daemon has no configuration yet or the caller's API key was replaced. This request was
- * not run, but an earlier one of the same key may be running at another daemon: told "not run", its
- * caller places the order again under a new key, and has two. So it is told that nobody here knows.
+ * Changes the outcome of an error from "not run" to "unknown" if the request has an
+ * `Idempotency-Key`. Used for requests rejected before their key is looked up, for example because
+ * this daemon has no configuration yet or the caller's API key was replaced. The request itself was
+ * not run, but an earlier one with the same key may be running at another daemon. A caller that is
+ * told "not run" sends the request again with a new key, so that it may run twice.
  *
- * @param error - why it is refused
- * @param request - the request, for its key
+ * @param error - the reason for the rejection
+ * @param request - the rejected request
  * @example
  * ```ts
  * throw getErrorInDoubt(error, request);
  * ```
  * @internal
  */
-export function getErrorInDoubt(error: unknown, request: IncomingMessage): unknown {
-  const isKeyed = request.headers['idempotency-key'] !== undefined;
+export function markOutcomeUnknown(error: unknown, request: IncomingMessage): unknown {
+  const hasIdempotencyKey = request.headers['idempotency-key'] !== undefined;
   if (
-    !isKeyed ||
+    !hasIdempotencyKey ||
     !(error instanceof ProblemError) ||
     error.problem.outcome !== ExecutionOutcome.NotRun
   ) {
--- a/packages/router/src/lib/pipeline/readBody.ts
+++ b/packages/router/src/lib/pipeline/readBody.ts
@@ -1,4 +1,4 @@
-import { readBody as readWithin } from '@apricotrill/callers';
+import { readBody as readBodyWithinLimits } from '@apricotrill/callers';
 import { ExecutionOutcome } from '@apricotrill/policy';
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
@@ -6,7 +6,7 @@
 import type { Problem } from './Problem.js';
 
 /**
- * What a caller may send.
+ * Limits on the body of a caller's request.
  *
  * @internal
  */
@@ -15,7 +15,7 @@
   bodyTimeout: Milliseconds;
 }
 
-function createBodyError(
+function createReadError(
   request: IncomingMessage,
   problem: Pick<Problem, 'reason' | 'status' | 'detail'>,
 ) {
@@ -27,11 +27,11 @@
 }
 
 /**
- * Reads the whole body, within its bounds.
+ * Reads the whole body, within limits on its size and duration.
  *
  * @param request - the caller's request
- * @param limits - bounds in bytes and milliseconds
- * @param clock - where time comes from
+ * @param limits - the maximum size in bytes and the timeout in milliseconds
+ * @param clock - the time source
  * @throws ProblemError 413, 408 or 400
  * @example
  * ```ts
@@ -44,24 +44,28 @@
   { maxBodyBytes, bodyTimeout }: BodyLimits,
   clock: Clock,
 ): Promise<Buffer> {
-  const result = await readWithin(request, { maxBytes: maxBodyBytes, timeout: bodyTimeout }, clock);
+  const result = await readBodyWithinLimits(
+    request,
+    { maxBytes: maxBodyBytes, timeout: bodyTimeout },
+    clock,
+  );
   switch (result.kind) {
     case 'whole':
       return result.body ?? Buffer.alloc(0);
     case 'too-large':
-      throw createBodyError(request, {
+      throw createReadError(request, {
         reason: ProblemReason.TooLarge,
         status: 413,
         detail: `the body is larger than ${maxBodyBytes} bytes`,
       });
     case 'too-slow':
-      throw createBodyError(request, {
+      throw createReadError(request, {
         reason: ProblemReason.SlowBody,
         status: 408,
         detail: `the body did not arrive within ${bodyTimeout} ms`,
       });
     case 'cut':
-      throw createBodyError(request, {
+      throw createReadError(request, {
         reason: ProblemReason.Malformed,
         status: 400,
         detail: 'the body was cut off',
--- a/packages/router/src/lib/pipeline/receive.ts
+++ b/packages/router/src/lib/pipeline/receive.ts
@@ -2,26 +2,26 @@
 import type { Workspace } from '@apricotrill/model';
 import type { Milliseconds } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
-import type { CallerContext } from './HandlerContext.js';
+import type { HandlerContext } from './HandlerContext.js';
 import { identifyWorkspace } from './identify.js';
 import { ProblemError, ProblemReason } from './Problem.js';
 import { readBody } from './readBody.js';
 import type { RoutingTable } from './RoutingTable.js';
 
 /**
- * A request that has been read.
+ * A request whose body has been read.
  *
  * @internal
  */
 export interface ReceivedRequest {
   requestId: string;
-  arrived: Milliseconds;
+  arrivedAt: Milliseconds;
   table: RoutingTable;
   workspace: Workspace;
   body: Buffer;
 }
 
-function getTableOrRefuse(context: CallerContext): RoutingTable {
+function requireRoutingTable(context: HandlerContext): RoutingTable {
   const table = context.getTable();
   if (table !== undefined) {
     return table;
@@ -40,8 +40,8 @@
 }
 
 /**
- * The first filter. The key is checked before the body is read, so that a stranger can't make the
- * daemon hold bodies.
+ * The first step of the request path. Checks the API key before reading the body, so that
+ * unauthenticated clients can't make the daemon buffer bodies.
  *
  * @throws ProblemError 401, 400, 408, 413 or 503
  * @example
@@ -51,13 +51,13 @@
  * @internal
  */
 export async function receive(
-  context: CallerContext,
+  context: HandlerContext,
   request: IncomingMessage,
   requestId: string,
 ): Promise<ReceivedRequest> {
-  const arrived = context.clock.now();
-  const table = getTableOrRefuse(context);
+  const arrivedAt = context.clock.now();
+  const table = requireRoutingTable(context);
   const workspace = identifyWorkspace(table, request.headers.authorization);
   const body = await readBody(request, context.limits, context.clock);
-  return { requestId, arrived, table, workspace, body };
+  return { requestId, arrivedAt, table, workspace, body };
 }
--- a/packages/router/src/lib/pipeline/settle.ts
+++ b/packages/router/src/lib/pipeline/settle.ts
@@ -1,66 +1,68 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { RouterMetrics } from '../observe/RouterMetrics.js';
 import type { Settlement } from '../request/RequestTask.js';
-import type { CallerCall } from './IdentifiedCall.js';
+import type { IdentifiedCall } from './IdentifiedCall.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
-const TOKENS_PER_PRICE = 1000;
+const TOKENS_PER_PRICE_UNIT = 1000;
 
 /**
- * What a request used, as settle counts it.
+ * What a request consumed.
  *
  * @internal
  */
-export interface RequestUse {
-  /** Tokens that reached the caller; 0 for plain calls. */
+export interface RequestUsage {
+  /** Tokens delivered to the caller; 0 for plain requests. */
   tokens: number;
-  /** When the first token or the plain answer came; absent when none did. */
-  firstProgress: Milliseconds | undefined;
+  /** When the first token or the plain response arrived; undefined if none did. */
+  firstProgressAt: Milliseconds | undefined;
 }
 
-function getSpend(call: CallerCall, tokens: number): number {
+function getSpend(call: IdentifiedCall, tokens: number): number {
   const { costPerRequest, costPerThousandTokens } = call.service;
-  return costPerRequest + (tokens * costPerThousandTokens) / TOKENS_PER_PRICE;
+  return costPerRequest + (tokens * costPerThousandTokens) / TOKENS_PER_PRICE_UNIT;
 }
 
-function isOnTarget(call: CallerCall, use: RequestUse): boolean {
+function isOnTarget(call: IdentifiedCall, usage: RequestUsage): boolean {
   const { firstToken } = call.serviceClass.target;
-  return use.firstProgress !== undefined && use.firstProgress - call.arrived <= firstToken;
+  return (
+    usage.firstProgressAt !== undefined && usage.firstProgressAt - call.arrivedAt <= firstToken
+  );
 }
 
 /**
- * The last filter: counts what the request was worth. Tokens of an answer that never became whole,
- * or whose caller left, are wasted work.
+ * The last step of the request path: records the result and the cost of a request in the metrics.
+ * Tokens of an incomplete response, or of one whose caller disconnected, count as wasted work.
  *
- * @param metrics - where it is counted
+ * @param metrics - the metrics to update
  * @param call - the request
  * @param settlement - how it ended for the caller
- * @param use - what it used
+ * @param usage - what it consumed
  * @example
  * ```ts
- * settle(metrics, call, settlement, { tokens, firstProgress });
+ * settle(metrics, call, settlement, { tokens, firstProgressAt });
  * ```
  * @internal
  */
 export function settle(
   metrics: RouterMetrics,
-  call: CallerCall,
+  call: IdentifiedCall,
   settlement: Settlement,
-  use: RequestUse,
+  usage: RequestUsage,
 ): void {
   const className = call.serviceClass.name;
   const workspace = call.workspace.name;
   const outcome = settlement.kind === 'given-up' ? settlement.outcome : settlement.kind;
-  metrics.countEnd(className, workspace, outcome);
-  if (use.firstProgress !== undefined) {
-    const span = use.firstProgress - call.arrived;
-    metrics.observeFirstToken(className, span / MILLISECONDS_PER_SECOND);
+  metrics.recordRequest(className, workspace, outcome);
+  if (usage.firstProgressAt !== undefined) {
+    const elapsed = usage.firstProgressAt - call.arrivedAt;
+    metrics.recordFirstToken(className, elapsed / MILLISECONDS_PER_SECOND);
   }
-  const spend = getSpend(call, use.tokens);
+  const spend = getSpend(call, usage.tokens);
   if (settlement.kind === 'answered') {
-    const answer = { tokens: use.tokens, spend, onTarget: isOnTarget(call, use) };
-    metrics.countAnswer(className, workspace, answer);
-  } else if (use.tokens > 0) {
-    metrics.countWaste(className, settlement.kind, { tokens: use.tokens, spend });
+    const response = { tokens: usage.tokens, spend, onTarget: isOnTarget(call, usage) };
+    metrics.recordCompletedResponse(className, workspace, response);
+  } else if (usage.tokens > 0) {
+    metrics.recordWaste(className, settlement.kind, { tokens: usage.tokens, spend });
   }
 }
--- a/packages/router/src/lib/pipeline/writeProblem.ts
+++ b/packages/router/src/lib/pipeline/writeProblem.ts
@@ -4,13 +4,13 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-function getSeconds(retryAfter: Milliseconds): number {
+function getRetryAfterSeconds(retryAfter: Milliseconds): number {
   return Math.max(1, Math.ceil(retryAfter / MILLISECONDS_PER_SECOND));
 }
 
 /**
- * The body of a problem as RFC 9457 writes it, with `outcome` and, in seconds, `retryAfter`: a
- * problem within a stream comes too late for a header.
+ * Creates the body of a problem document (RFC 9457), extended by `outcome` and, in seconds,
+ * `retryAfter`: a problem within a stream comes too late for a header.
  *
  * @example
  * ```ts
@@ -26,16 +26,17 @@
     detail: problem.detail,
     outcome: problem.outcome,
     instance: requestId,
-    retryAfter: problem.retryAfter === undefined ? undefined : getSeconds(problem.retryAfter),
+    retryAfter:
+      problem.retryAfter === undefined ? undefined : getRetryAfterSeconds(problem.retryAfter),
   };
 }
 
 /**
- * Answers with a problem document; does nothing when an answer has begun.
+ * Responds with a problem document, unless a response has already been started.
  *
  * @param response - the caller's response
- * @param problem - what to say
- * @param requestId - the request, so that operators find its log lines
+ * @param problem - the problem to report
+ * @param requestId - the id of the request, by which operators find its log lines
  * @example
  * ```ts
  * writeProblem(response, error.problem, requestId);
@@ -52,7 +53,7 @@
   response.setHeader('content-length', Buffer.byteLength(body));
   response.setHeader('x-request-id', requestId);
   if (problem.retryAfter !== undefined) {
-    response.setHeader('retry-after', String(getSeconds(problem.retryAfter)));
+    response.setHeader('retry-after', String(getRetryAfterSeconds(problem.retryAfter)));
   }
   response.end(body);
 }
--- a/packages/router/src/lib/request/ChatCompletionSink.ts
+++ b/packages/router/src/lib/request/ChatCompletionSink.ts
@@ -2,16 +2,16 @@
 import { writeProblem } from '../pipeline/writeProblem.js';
 import type { Problem } from '../pipeline/Problem.js';
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
-import { getAnswerId, getUsage } from './chatCompletion.js';
+import { getCompletionId, getUsage } from './chatCompletion.js';
 import type { ChatSink } from './ChatSink.js';
 
 /**
- * Collects the tokens and answers with one `chat.completion`.
+ * Collects the tokens and responds with a single `chat.completion`.
  *
  * @internal
  */
-export class ChatWholeSink implements ChatSink {
-  readonly passesOn = false;
+export class ChatCompletionSink implements ChatSink {
+  readonly acceptsRawTokens = false;
 
   private readonly response: ServerResponse;
 
@@ -28,13 +28,13 @@
     this.requestId = requestId;
   }
 
-  // The status stays open until the answer is whole.
+  // The status is not known until the response is complete.
   // eslint-disable-next-line class-methods-use-this
   start(): void {}
 
   writeToken(token: ChatToken): void {
     if (token.kind === 'tail') {
-      throw new TypeError('tokens must be understood to be collected');
+      throw new TypeError('only parsed tokens can be collected');
     }
     const { chunk } = token;
     this.model ??= chunk.model;
@@ -45,21 +45,21 @@
   // eslint-disable-next-line class-methods-use-this
   flush(): void {}
 
-  end(finish: ChatChunk | undefined, tokens: number): void {
+  end(finishChunk: ChatChunk | undefined, tokens: number): void {
     const { response, requestId } = this;
     const body = JSON.stringify({
-      id: getAnswerId(requestId),
+      id: getCompletionId(requestId),
       object: 'chat.completion',
-      created: this.created ?? finish?.created,
-      model: this.model ?? finish?.model,
+      created: this.created ?? finishChunk?.created,
+      model: this.model ?? finishChunk?.model,
       choices: [
         {
           index: 0,
           message: { role: 'assistant', content: this.texts.join('') },
-          finish_reason: finish?.choices?.[0]?.finish_reason ?? 'stop',
+          finish_reason: finishChunk?.choices?.[0]?.finish_reason ?? 'stop',
         },
       ],
-      usage: getUsage(finish, tokens),
+      usage: getUsage(finishChunk, tokens),
     });
     response.writeHead(200, {
       'content-type': 'application/json',
--- a/packages/router/src/lib/request/ChatExecution.ts
+++ b/packages/router/src/lib/request/ChatExecution.ts
@@ -2,134 +2,134 @@
 import type { ServerResponse } from 'node:http';
 import type { Problem } from '../pipeline/Problem.js';
 import type { AttemptResult } from '../upstream/Attempt.js';
-import type { ChatAnswerListener } from '../upstream/ChatResponseReader.js';
+import type { ChatResponseListener } from '../upstream/ChatResponseReader.js';
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import { runChatAttempt } from '../upstream/runChatAttempt.js';
 import type { ChatSink } from './ChatSink.js';
-import type { EngineBody } from './EngineRequestBody.js';
-import type { OrderedAttempt, RequestWork } from './RequestExecution.js';
+import type { EngineRequestBody } from './EngineRequestBody.js';
+import type { DispatchedAttempt, RequestExecution } from './RequestExecution.js';
 import { waitForCaller } from './waitForCaller/waitForCaller.js';
 
-/** How often, in the longest gap between tokens, the scheduler hears that a caller is slow. */
-const BEATS_PER_GAP = 3;
+/** Reports to the scheduler that a caller is slow, per longest allowed inter-token pause. */
+const REPORTS_PER_GAP = 3;
 
 /**
- * What a chat request is made of.
+ * Settings of a {@link ChatExecution}.
  *
  * @internal
  */
-export interface ChatWorkParts {
+export interface ChatExecutionSettings {
   requestId: string;
-  /** What engines get. */
-  body: EngineBody;
-  /** The tier of the class: the priority engines honour when the scheduler gives no other. */
+  /** The body sent to engines. */
+  body: EngineRequestBody;
+  /** The tier of the class: the priority sent to the engine unless the scheduler sets another. */
   tier: number;
   response: ServerResponse;
   sink: ChatSink;
   connections: ReplicaConnections;
   clock: Clock;
-  onStray: (what: string) => void;
-  /** The caller reads slower than the engine writes; told once. */
+  onDropped: (what: string) => void;
+  /** Called once when the caller reads slower than the engine writes. */
   onSlowCaller: () => void;
 }
 
 /**
- * Carries one chat request through its attempts. Upstream it is always streamed, whatever the
- * caller asked for: only a stream can be resumed at the delivered token when its engine dies.
+ * Executes one chat request. The response of the engine is always streamed, whatever the caller asked
+ * for: only a stream can be resumed after the last delivered token when its engine fails.
  *
  * @internal
  */
-export class ChatWork implements RequestWork {
-  private readonly parts: ChatWorkParts;
+export class ChatExecution implements RequestExecution {
+  private readonly settings: ChatExecutionSettings;
 
-  private delivered = 0;
+  private deliveredTokens = 0;
 
-  private callerIsSlow = false;
+  private hasReportedSlowCaller = false;
 
-  /** The attempt whose tokens count. */
-  private current = 0;
+  /** The number of the attempt whose tokens are delivered. */
+  private currentAttempt = 0;
 
-  private finish: ChatChunk | undefined;
+  private finishChunk: ChatChunk | undefined;
 
-  constructor(parts: ChatWorkParts) {
-    this.parts = parts;
+  constructor(settings: ChatExecutionSettings) {
+    this.settings = settings;
   }
 
-  run(ordered: OrderedAttempt): Promise<AttemptResult> {
-    const { clock, connections, requestId, body, tier } = this.parts;
-    const dispatcher = connections.getShared(ordered.replica);
-    this.current = ordered.number;
+  run(dispatched: DispatchedAttempt): Promise<AttemptResult> {
+    const { clock, connections, requestId, body, tier } = this.settings;
+    const dispatcher = connections.getShared(dispatched.replica);
+    this.currentAttempt = dispatched.number;
     const attempt = {
-      ...ordered,
+      ...dispatched,
       requestId,
-      body: body.getText(ordered.priority ?? tier),
-      resumeAt: this.delivered,
-      listener: this.createListener(ordered),
+      body: body.getText(dispatched.priority ?? tier),
+      resumeAt: this.deliveredTokens,
+      listener: this.createListener(dispatched),
     };
     return runChatAttempt(dispatcher, attempt, clock);
   }
 
   complete(): void {
-    this.parts.sink.end(this.finish, this.delivered);
+    this.settings.sink.end(this.finishChunk, this.deliveredTokens);
   }
 
   fail(problem: Problem): void {
-    this.parts.sink.fail(problem);
+    this.settings.sink.fail(problem);
   }
 
-  getDelivered(): number {
-    return this.delivered;
+  getDeliveredTokens(): number {
+    return this.deliveredTokens;
   }
 
   /**
-   * A cancelled or broken attempt may still have bytes on the way when its successor starts; its
-   * listener is shut by then, so that nothing it says reaches the caller.
+   * Creates the listener of an attempt. A cancelled or broken attempt may still have bytes in transit
+   * when its successor starts; its listener ignores them, so that they don't reach the caller.
    */
-  private createListener(ordered: OrderedAttempt): ChatAnswerListener {
-    const { sink, onStray } = this.parts;
-    let unreported = 0;
-    const isCurrent = () => this.current === ordered.number;
+  private createListener(dispatched: DispatchedAttempt): ChatResponseListener {
+    const { sink, onDropped } = this.settings;
+    let unreportedTokens = 0;
+    const isCurrent = () => this.currentAttempt === dispatched.number;
     return {
-      passesOn: sink.passesOn,
+      acceptsRawTokens: sink.acceptsRawTokens,
       onStart: () => sink.start(),
       onToken: (token: ChatToken) => {
         if (!isCurrent()) {
-          onStray('token of an attempt that is over');
+          onDropped('token of an ended attempt');
           return;
         }
         sink.writeToken(token);
-        this.delivered += 1;
-        unreported += 1;
+        this.deliveredTokens += 1;
+        unreportedTokens += 1;
       },
       onFinish: (chunk: ChatChunk) => {
         if (isCurrent()) {
-          this.finish = chunk;
+          this.finishChunk = chunk;
         }
       },
-      onRead: () => {
+      onTokensRead: () => {
         sink.flush();
-        ordered.onProgress(unreported);
-        unreported = 0;
+        dispatched.onProgress(unreportedTokens);
+        unreportedTokens = 0;
       },
-      onStray,
-      waitForCaller: () => this.waitForCaller(ordered),
+      onDropped,
+      waitForCaller: () => this.waitForCaller(dispatched),
     };
   }
 
   private waitForCaller({
     tokenGapTimeout,
     onProgress,
-  }: OrderedAttempt): Promise<void> | undefined {
-    const { response, clock, onSlowCaller } = this.parts;
+  }: DispatchedAttempt): Promise<void> | undefined {
+    const { response, clock, onSlowCaller } = this.settings;
     if (!response.writableNeedDrain) {
       return undefined;
     }
-    if (!this.callerIsSlow) {
-      this.callerIsSlow = true;
+    if (!this.hasReportedSlowCaller) {
+      this.hasReportedSlowCaller = true;
       onSlowCaller();
     }
-    const beat = tokenGapTimeout / BEATS_PER_GAP;
-    return waitForCaller({ response, clock, beat, onBeat: () => onProgress(0) });
+    const interval = tokenGapTimeout / REPORTS_PER_GAP;
+    return waitForCaller({ response, clock, interval, onWaiting: () => onProgress(0) });
   }
 }
--- a/packages/router/src/lib/request/ChatRequest.ts
+++ b/packages/router/src/lib/request/ChatRequest.ts
@@ -1,6 +1,6 @@
 /**
- * A chat request as callers send it, as far as the router reads it. Everything else in the body is
- * handed to the engine unread.
+ * The fields of a chat request that the router reads. Everything else in the body is forwarded to the
+ * engine unchanged.
  *
  * @internal
  */
@@ -21,7 +21,7 @@
   );
 }
 
-/** Client libraries write `null` for what was not given. */
+/** Client libraries send `null` for fields that are not set. */
 function isAbsent(value: unknown): boolean {
   return value === undefined || value === null;
 }
@@ -37,7 +37,7 @@
  * Checks the shape of a chat request.
  *
  * @param value - the parsed body
- * @returns what is wrong, with what would be right; undefined when it is fine
+ * @returns a description of the fault and of what is expected; undefined when the request is valid
  * @example
  * ```ts
  * const fault = getChatRequestFault(JSON.parse(text));
--- a/packages/router/src/lib/request/ChatSink.ts
+++ b/packages/router/src/lib/request/ChatSink.ts
@@ -2,18 +2,18 @@
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
 
 /**
- * Where the tokens of a chat answer go.
+ * Receives the tokens of a chat response and writes them to the caller.
  *
  * @internal
  */
 export interface ChatSink {
-  /** Whether tokens are only passed on: they come as text where that will do. */
-  readonly passesOn: boolean;
-  /** An engine has taken the request. */
+  /** Whether tokens may be passed as unparsed text, because they are only forwarded. */
+  readonly acceptsRawTokens: boolean;
+  /** An engine has accepted the request. */
   start(): void;
   writeToken(token: ChatToken): void;
-  /** The tokens so far may not wait for further ones. */
+  /** Sends buffered tokens without waiting for more. */
   flush(): void;
-  end(finish: ChatChunk | undefined, tokens: number): void;
+  end(finishChunk: ChatChunk | undefined, tokens: number): void;
   fail(problem: Problem): void;
 }
--- a/packages/router/src/lib/request/ChatStreamSink.ts
+++ b/packages/router/src/lib/request/ChatStreamSink.ts
@@ -2,7 +2,7 @@
 import { getProblemBody, writeProblem } from '../pipeline/writeProblem.js';
 import type { Problem } from '../pipeline/Problem.js';
 import type { ChatChunk, ChatToken } from '../upstream/ChatChunk.js';
-import { getAnswerId, getUsage } from './chatCompletion.js';
+import { getCompletionId, getUsage } from './chatCompletion.js';
 import type { ChatSink } from './ChatSink.js';
 
 /**
@@ -11,24 +11,24 @@
  * @internal
  */
 export class ChatStreamSink implements ChatSink {
-  readonly passesOn = true;
+  readonly acceptsRawTokens = true;
 
   private readonly response: ServerResponse;
 
   private readonly requestId: string;
 
-  private readonly answerId: string;
+  private readonly completionId: string;
 
-  /** How a chunk begins towards the caller. */
-  private readonly namedHead: string;
+  /** The start of each chunk sent to the caller. */
+  private readonly chunkPrefix: string;
 
-  private unsent = '';
+  private pendingText = '';
 
   constructor(response: ServerResponse, requestId: string) {
     this.response = response;
     this.requestId = requestId;
-    this.answerId = getAnswerId(requestId);
-    this.namedHead = `{"id":${JSON.stringify(this.answerId)},`;
+    this.completionId = getCompletionId(requestId);
+    this.chunkPrefix = `{"id":${JSON.stringify(this.completionId)},`;
   }
 
   start(): void {
@@ -44,34 +44,34 @@
     response.flushHeaders();
   }
 
-  /** Only the name differs in what the caller gets: the rest is passed on as it came. */
+  /** Replaces only the id of an unparsed chunk; the rest is forwarded unchanged. */
   writeToken(token: ChatToken): void {
     if (token.kind === 'tail') {
-      this.unsent += `data: ${this.namedHead}${token.tail}\n\n`;
+      this.pendingText += `data: ${this.chunkPrefix}${token.tail}\n\n`;
     } else {
       this.addChunk(token.chunk);
     }
   }
 
-  /** Tokens that came in one read leave in one write. */
+  /** Sends all tokens of one read in one write. */
   flush(): void {
-    if (this.unsent !== '') {
-      this.response.write(this.unsent);
-      this.unsent = '';
+    if (this.pendingText !== '') {
+      this.response.write(this.pendingText);
+      this.pendingText = '';
     }
   }
 
-  end(finish: ChatChunk | undefined, tokens: number): void {
-    if (finish !== undefined) {
-      const choices = finish.choices?.map((choice) => ({ ...choice, delta: {} }));
-      this.addChunk({ ...finish, choices, usage: getUsage(finish, tokens) });
+  end(finishChunk: ChatChunk | undefined, tokens: number): void {
+    if (finishChunk !== undefined) {
+      const choices = finishChunk.choices?.map((choice) => ({ ...choice, delta: {} }));
+      this.addChunk({ ...finishChunk, choices, usage: getUsage(finishChunk, tokens) });
     }
-    this.response.end(`${this.unsent}data: [DONE]\n\n`);
+    this.response.end(`${this.pendingText}data: [DONE]\n\n`);
   }
 
   /**
-   * Once tokens are out the status can't change any more: the problem goes into the stream, and the
-   * end mark never comes, so that the caller knows that the answer is not whole.
+   * Once the headers have been sent the status can't change any more. The problem is then sent as an
+   * event without a final `[DONE]`, so that the caller knows that the response is incomplete.
    */
   fail(problem: Problem): void {
     const { response, requestId } = this;
@@ -85,7 +85,7 @@
   }
 
   private addChunk(chunk: ChatChunk): void {
-    const named = { ...chunk, id: this.answerId };
-    this.unsent += `data: ${JSON.stringify(named)}\n\n`;
+    const named = { ...chunk, id: this.completionId };
+    this.pendingText += `data: ${JSON.stringify(named)}\n\n`;
   }
 }
--- a/packages/router/src/lib/request/PlainExecution.ts
+++ b/packages/router/src/lib/request/PlainExecution.ts
@@ -5,21 +5,21 @@
 import type { AttemptResult } from '../upstream/Attempt.js';
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import { runPlainAttempt } from '../upstream/runPlainAttempt.js';
-import type { PlainAnswer } from '../upstream/runPlainAttempt.js';
-import type { OrderedAttempt, RequestWork } from './RequestExecution.js';
+import type { PlainResponse } from '../upstream/runPlainAttempt.js';
+import type { DispatchedAttempt, RequestExecution } from './RequestExecution.js';
 
 /**
- * What a plain call is made of.
+ * Settings of a {@link PlainExecution}.
  *
  * @internal
  */
-export interface PlainWorkParts {
+export interface PlainExecutionSettings {
   requestId: string;
   method: string;
   path: string;
   headers: Record<string, string>;
   body: Buffer;
-  /** False: each attempt gets a connection of its own, and nothing is repeated once it may have run. */
+  /** If false, each attempt gets its own connection, and there is no retry once it may have run. */
   repeatable: boolean;
   response: ServerResponse;
   connections: ReplicaConnections;
@@ -27,54 +27,54 @@
 }
 
 /**
- * Writes a plain answer to the caller.
+ * Sends a plain response to the caller.
  *
  * @example
  * ```ts
- * writePlainAnswer(response, answer, requestId);
+ * writePlainResponse(response, plainResponse, requestId);
  * ```
  * @internal
  */
-export function writePlainAnswer(
+export function writePlainResponse(
   response: ServerResponse,
-  answer: PlainAnswer,
+  plainResponse: PlainResponse,
   requestId: string,
 ): void {
   if (response.headersSent || response.destroyed) {
     return;
   }
-  response.writeHead(answer.status, {
-    'content-type': answer.contentType,
-    'content-length': answer.body.length,
+  response.writeHead(plainResponse.status, {
+    'content-type': plainResponse.contentType,
+    'content-length': plainResponse.body.length,
     'x-request-id': requestId,
   });
-  response.end(answer.body);
+  response.end(plainResponse.body);
 }
 
 /**
- * Carries one plain call through its attempts.
+ * Executes one plain request.
  *
  * @internal
  */
-export class PlainWork implements RequestWork {
-  private readonly parts: PlainWorkParts;
+export class PlainExecution implements RequestExecution {
+  private readonly settings: PlainExecutionSettings;
 
-  private answer: PlainAnswer | undefined;
+  private plainResponse: PlainResponse | undefined;
 
-  constructor(parts: PlainWorkParts) {
-    this.parts = parts;
+  constructor(settings: PlainExecutionSettings) {
+    this.settings = settings;
   }
 
-  async run(ordered: OrderedAttempt): Promise<AttemptResult> {
-    const { repeatable, connections, clock } = this.parts;
-    const { replica } = ordered;
+  async run(dispatched: DispatchedAttempt): Promise<AttemptResult> {
+    const { repeatable, connections, clock } = this.settings;
+    const { replica } = dispatched;
     const dispatcher = repeatable
       ? connections.getShared(replica)
-      : connections.createFresh(replica);
+      : connections.createDedicated(replica);
     const attempt = {
-      ...this.parts,
-      ...ordered,
-      onAnswer: (answer: PlainAnswer) => this.take(answer, ordered),
+      ...this.settings,
+      ...dispatched,
+      onResponse: (plainResponse: PlainResponse) => this.acceptResponse(plainResponse, dispatched),
     };
     const result = await runPlainAttempt(dispatcher, attempt, clock);
     if (!repeatable) {
@@ -84,28 +84,28 @@
   }
 
   complete(): void {
-    if (this.answer !== undefined) {
-      writePlainAnswer(this.parts.response, this.answer, this.parts.requestId);
+    if (this.plainResponse !== undefined) {
+      writePlainResponse(this.settings.response, this.plainResponse, this.settings.requestId);
     }
   }
 
   fail(problem: Problem): void {
-    writeProblem(this.parts.response, problem, this.parts.requestId);
+    writeProblem(this.settings.response, problem, this.settings.requestId);
   }
 
-  getDelivered(): number {
-    return this.answer === undefined ? 0 : 1;
+  getDeliveredTokens(): number {
+    return this.plainResponse === undefined ? 0 : 1;
   }
 
-  /** The whole answer, once it has come; kept with a claim for a repeat of the key. */
-  getAnswer(): PlainAnswer | undefined {
-    return this.answer;
+  /** The complete response, once it has arrived; stored with a claim for retries with the same key. */
+  getPlainResponse(): PlainResponse | undefined {
+    return this.plainResponse;
   }
 
-  private take(answer: PlainAnswer, ordered: OrderedAttempt): void {
-    if (!ordered.signal.aborted && this.answer === undefined) {
-      this.answer = answer;
-      ordered.onProgress(1);
+  private acceptResponse(plainResponse: PlainResponse, dispatched: DispatchedAttempt): void {
+    if (!dispatched.signal.aborted && this.plainResponse === undefined) {
+      this.plainResponse = plainResponse;
+      dispatched.onProgress(1);
     }
   }
 }
--- a/packages/router/src/lib/request/ProgressReporter/ProgressReporter.test.ts
+++ b/packages/router/src/lib/request/ProgressReporter/ProgressReporter.test.ts
@@ -1,44 +1,44 @@
 import { ManualClock } from '@apricotrill/utils';
 import { routerOptions } from '../../options.js';
-import { ProgressReport } from '../ProgressReporter/ProgressReporter.js';
+import { ProgressReporter } from './ProgressReporter.js';
 
-describe('ProgressReport', () => {
+describe('ProgressReporter', () => {
   function setUp() {
     const clock = new ManualClock();
-    const told: number[] = [];
-    const report = new ProgressReport(clock, (tokens) => told.push(tokens));
-    return { clock, told, report };
+    const reported: number[] = [];
+    const reporter = new ProgressReporter(clock, (tokens) => reported.push(tokens));
+    return { clock, reported, reporter };
   }
 
-  it('tells of the first token at once, and of all others in time', () => {
-    const { clock, told, report } = setUp();
-    report.add(1);
-    report.add(1);
+  it('reports the first token immediately and later ones once per interval', () => {
+    const { clock, reported, reporter } = setUp();
+    reporter.add(1);
+    reporter.add(1);
     clock.advance(routerOptions.progressInterval - 1);
-    report.add(2);
-    expect(told).toEqual([1]);
+    reporter.add(2);
+    expect(reported).toEqual([1]);
     clock.advance(1);
-    report.add(1);
-    expect(told).toEqual([1, 4]);
+    reporter.add(1);
+    expect(reported).toEqual([1, 4]);
   });
 
-  // Symptom: a resumed answer is believed shorter than it is, or an attempt that gave tokens not
-  // to have begun. Sequence: the attempt breaks shortly after a report. Cause: its last tokens told
-  // to nobody.
-  it('tells of the last tokens before the end', () => {
-    const { told, report } = setUp();
-    report.add(1);
-    report.add(3);
-    report.end();
-    report.end();
-    expect(told).toEqual([1, 3]);
+  // Guards against losing the tokens delivered between the last report and the end of an attempt: the
+  // scheduler would believe a resumed response to be shorter than it is, or that the attempt never
+  // delivered anything.
+  it('reports the last tokens before the end', () => {
+    const { reported, reporter } = setUp();
+    reporter.add(1);
+    reporter.add(3);
+    reporter.end();
+    reporter.end();
+    expect(reported).toEqual([1, 3]);
   });
 
-  it('says that an attempt is alive that only waits for its caller', () => {
-    const { clock, told, report } = setUp();
-    report.add(1);
+  it('reports an attempt that only waits for its caller as alive', () => {
+    const { clock, reported, reporter } = setUp();
+    reporter.add(1);
     clock.advance(routerOptions.progressInterval);
-    report.add(0);
-    expect(told).toEqual([1, 0]);
+    reporter.add(0);
+    expect(reported).toEqual([1, 0]);
   });
 });
--- a/packages/router/src/lib/request/ProgressReporter/ProgressReporter.ts
+++ b/packages/router/src/lib/request/ProgressReporter/ProgressReporter.ts
@@ -2,47 +2,47 @@
 import { routerOptions } from '../../options.js';
 
 /**
- * Tells of the progress of one attempt: at once when it begins, then of all tokens since the last
- * report, now and then. The scheduler needs to know that an attempt is alive and how fast it is,
- * not of each token; a report a token costs as much as reading the token.
+ * Reports the progress of one attempt to the scheduler: immediately for the first token, then at most
+ * once per interval with all tokens since the last report. The scheduler only needs to know that an
+ * attempt is alive and how fast it is; a report per token would cost as much as reading the token.
  *
  * @internal
  */
-export class ProgressReport {
+export class ProgressReporter {
   private readonly clock: Clock;
 
-  private readonly tell: (tokens: number) => void;
+  private readonly report: (tokens: number) => void;
 
-  private untold = 0;
+  private unreportedTokens = 0;
 
-  private toldAt: Milliseconds = -Infinity;
+  private reportedAt: Milliseconds = -Infinity;
 
-  /** @param tell - told how many tokens came since the last report */
-  constructor(clock: Clock, tell: (tokens: number) => void) {
+  /** @param report - called with the number of tokens since the last report */
+  constructor(clock: Clock, report: (tokens: number) => void) {
     this.clock = clock;
-    this.tell = tell;
+    this.report = report;
   }
 
-  /** Tokens went to the caller; 0 while only the caller is waited for. */
+  /** Adds tokens that were delivered; 0 while the attempt only waits for its caller. */
   add(tokens: number): void {
-    this.untold += tokens;
+    this.unreportedTokens += tokens;
     const now = this.clock.now();
-    if (now - this.toldAt >= routerOptions.progressInterval) {
-      this.toldAt = now;
+    if (now - this.reportedAt >= routerOptions.progressInterval) {
+      this.reportedAt = now;
       this.flush();
     }
   }
 
-  /** The attempt is over: its last tokens count before its end does. */
+  /** Reports the remaining tokens; must be called before the end of the attempt is reported. */
   end(): void {
-    if (this.untold > 0) {
+    if (this.unreportedTokens > 0) {
       this.flush();
     }
   }
 
   private flush(): void {
-    const { untold } = this;
-    this.untold = 0;
-    this.tell(untold);
+    const { unreportedTokens: tokens } = this;
+    this.unreportedTokens = 0;
+    this.report(tokens);
   }
 }
--- a/packages/router/src/lib/request/RequestExecution.ts
+++ b/packages/router/src/lib/request/RequestExecution.ts
@@ -4,37 +4,37 @@
 import type { Problem } from '../pipeline/Problem.js';
 
 /**
- * An attempt as the scheduler ordered it.
+ * An attempt that the scheduler has dispatched.
  *
  * @internal
  */
-export interface OrderedAttempt {
+export interface DispatchedAttempt {
   number: number;
   replica: Replica;
-  /** Tokens the scheduler believes delivered; the work itself knows for sure. */
+  /** Tokens delivered according to the scheduler; the execution has the exact number. */
   resumeAt: number;
   firstTokenTimeout: Milliseconds;
   tokenGapTimeout: Milliseconds;
-  /** The priority to give the engine; the tier of the class when absent. */
+  /** The priority to send to the engine; the tier of the class when undefined. */
   priority: number | undefined;
   signal: AbortSignal;
-  /** Tokens (or the plain answer) went to the caller; 0 while only the caller is waited for. */
+  /** Tokens (or the plain response) were delivered; 0 while the attempt only waits for its caller. */
   onProgress: (tokens: number) => void;
   onLoad: LoadListener;
 }
 
 /**
- * What one kind of request does with its attempts and its caller.
+ * Executes a request of one kind (chat or plain): runs its attempts and responds to its caller.
  *
  * @internal
  */
-export interface RequestWork {
+export interface RequestExecution {
   /** Runs one attempt; never throws. */
-  run(attempt: OrderedAttempt): Promise<AttemptResult>;
-  /** Hands the caller the rest of a whole answer. */
+  run(attempt: DispatchedAttempt): Promise<AttemptResult>;
+  /** Sends the caller the rest of a complete response. */
   complete(): void;
-  /** Tells the caller why there is no whole answer. */
+  /** Reports to the caller why there is no complete response. */
   fail(problem: Problem): void;
-  /** Tokens the caller has so far; 1 for a plain answer that was handed over. */
-  getDelivered(): number;
+  /** The number of tokens delivered so far; 1 once a plain response has arrived. */
+  getDeliveredTokens(): number;
 }
--- a/packages/router/src/lib/request/RequestRunner.ts
+++ b/packages/router/src/lib/request/RequestRunner.ts
@@ -4,22 +4,22 @@
 import type { DecisionLog } from '../observe/DecisionLog.js';
 import type { RouterMetrics } from '../observe/RouterMetrics.js';
 import { routerOptions } from '../options.js';
-import type { CallerCall } from '../pipeline/IdentifiedCall.js';
+import type { IdentifiedCall } from '../pipeline/IdentifiedCall.js';
 import { settle } from '../pipeline/settle.js';
 import type { LoadListener } from '../upstream/Attempt.js';
 import type { ReplicaConnections } from '../upstream/ReplicaConnections.js';
 import type { ChatRequest } from './ChatRequest.js';
 import { RequestTask } from './RequestTask.js';
 import type { Settlement } from './RequestTask.js';
-import type { RequestWork } from './RequestExecution.js';
+import type { RequestExecution } from './RequestExecution.js';
 import type { SchedulingTask } from './SchedulingTask.js';
 
 /**
- * What requests share in one daemon.
+ * Settings of a {@link RequestRunner}.
  *
  * @internal
  */
-export interface RunnerParts {
+export interface RequestRunnerSettings {
   clock: Clock;
   connections: ReplicaConnections;
   scheduling: SchedulingTask;
@@ -30,27 +30,27 @@
 }
 
 /**
- * How a call is run.
+ * The request to run, and how to run it.
  *
  * @internal
  */
-export interface RunOrder {
-  call: CallerCall;
-  work: RequestWork;
+export interface RunOptions {
+  call: IdentifiedCall;
+  execution: RequestExecution;
   chat?: ChatRequest;
-  /** Whether the work goes on when the caller leaves: true for what may not be repeated. */
-  outlivesCaller: boolean;
+  /** Whether execution continues when the caller disconnects: true for non-repeatable requests. */
+  continuesWithoutCaller: boolean;
   onSettled?: (settlement: Settlement) => void;
 }
 
-/** The head of the prompt: what requests of one catalogue or contract share. */
+/** Hashes the start of the prompt, which requests about the same catalogue or contract share. */
 function getPrefixHash(chat: ChatRequest): number {
   const content = chat.messages[0]?.content;
   const text = typeof content === 'string' ? content : JSON.stringify(content ?? '');
-  return getHash(text.slice(0, routerOptions.prefixLength));
+  return getHash(text.slice(0, routerOptions.prefixCharacters));
 }
 
-function getScheduledRequest({ call, chat }: RunOrder): ScheduledRequest {
+function getScheduledRequest({ call, chat }: RunOptions): ScheduledRequest {
   return {
     id: call.requestId,
     service: call.service.name,
@@ -60,70 +60,74 @@
     serviceClass: call.serviceClass,
     prefixHash: chat === undefined ? undefined : getPrefixHash(chat),
     resumable: chat !== undefined,
-    arrivedAt: call.arrived,
+    arrivedAt: call.arrivedAt,
   };
 }
 
 /**
- * Runs a call from the scheduler's queue to its settlement.
+ * Runs requests from their submission to the scheduler to their settlement.
  *
  * @internal
  */
 export class RequestRunner {
-  private readonly parts: RunnerParts;
+  private readonly settings: RequestRunnerSettings;
 
-  constructor(parts: RunnerParts) {
-    this.parts = parts;
+  constructor(settings: RequestRunnerSettings) {
+    this.settings = settings;
   }
 
   /**
-   * A request has begun to arrive; a shutdown waits for it.
+   * Counts a request that has begun to arrive, so that a shutdown waits for it.
    *
-   * @returns to be called when it has been run or refused
+   * @returns a function to call when the request has been run or rejected
    */
-  enter(): () => void {
-    return this.parts.scheduling.enter();
+  trackArrival(): () => void {
+    return this.settings.scheduling.trackArrival();
   }
 
-  /** Submits a call; its work answers the caller. */
-  run(order: RunOrder): void {
-    const { scheduling, clock } = this.parts;
-    const { call } = order;
-    const request = getScheduledRequest(order);
-    let firstProgress: number | undefined;
+  /** Submits a request to the scheduler; its execution responds to the caller. */
+  run(options: RunOptions): void {
+    const { scheduling, clock } = this.settings;
+    const { call } = options;
+    const request = getScheduledRequest(options);
+    let firstProgressAt: number | undefined;
     const task = new RequestTask({
       request,
-      work: order.work,
+      execution: options.execution,
       clock,
-      tell: (message) => scheduling.tell(message),
-      onLoad: this.parts.onLoad,
-      onSilent: (replica, path) => {
-        this.parts.connections.condemn(replica, path);
-        scheduling.tell({ kind: 'path-silent', replica: replica.id });
+      notifyScheduler: (message) => scheduling.notifyScheduler(message),
+      onLoad: this.settings.onLoad,
+      onSilentConnection: (replica, dispatcher) => {
+        this.settings.connections.replacePool(replica, dispatcher);
+        scheduling.notifyScheduler({ kind: 'path-silent', replica: replica.id });
       },
-      onLeaving: this.parts.onReplicaLeaving,
+      onReplicaLeaving: this.settings.onReplicaLeaving,
       onFirstProgress: () => {
-        firstProgress = clock.now();
+        firstProgressAt = clock.now();
       },
-      onSettled: (settlement) => this.settle(order, settlement, firstProgress),
-      log: this.parts.log,
+      onSettled: (settlement) => this.settle(options, settlement, firstProgressAt),
+      log: this.settings.log,
     });
-    if (!order.outlivesCaller) {
-      call.response.once('close', () => task.callerLeft());
+    if (!options.continuesWithoutCaller) {
+      call.response.once('close', () => task.handleCallerLeft());
     }
     scheduling.submit(task, { kind: 'submit', request });
-    if (!order.outlivesCaller && call.response.closed) {
-      // It left before we listened: no event will tell.
-      task.callerLeft();
+    if (!options.continuesWithoutCaller && call.response.closed) {
+      // The caller disconnected before the listener was added, so no event will follow.
+      task.handleCallerLeft();
     }
   }
 
-  private settle(order: RunOrder, settlement: Settlement, firstProgress: number | undefined): void {
-    const { call, work, chat } = order;
-    const { log, metrics, scheduling } = this.parts;
-    scheduling.forget(call.requestId);
-    const tokens = chat === undefined ? 0 : work.getDelivered();
-    settle(metrics, call, settlement, { tokens, firstProgress });
+  private settle(
+    options: RunOptions,
+    settlement: Settlement,
+    firstProgressAt: number | undefined,
+  ): void {
+    const { call, execution, chat } = options;
+    const { log, metrics, scheduling } = this.settings;
+    scheduling.remove(call.requestId);
+    const tokens = chat === undefined ? 0 : execution.getDeliveredTokens();
+    settle(metrics, call, settlement, { tokens, firstProgressAt });
     log('settle', {
       request: call.requestId,
       class: call.serviceClass.name,
@@ -131,8 +135,8 @@
       kind: settlement.kind,
       outcome: settlement.kind === 'given-up' ? settlement.outcome : undefined,
       tokens,
-      firstTokenMs: firstProgress === undefined ? undefined : firstProgress - call.arrived,
+      firstTokenMs: firstProgressAt === undefined ? undefined : firstProgressAt - call.arrivedAt,
     });
-    order.onSettled?.(settlement);
+    options.onSettled?.(settlement);
   }
 }
--- a/packages/router/src/lib/request/RequestTask.ts
+++ b/packages/router/src/lib/request/RequestTask.ts
@@ -13,11 +13,11 @@
 import type { Problem } from '../pipeline/Problem.js';
 import type { AttemptResult, LoadListener } from '../upstream/Attempt.js';
 import { getGiveUpProblem } from './getGiveUpProblem.js';
-import { ProgressReport } from './ProgressReporter/ProgressReporter.js';
-import type { RequestWork } from './RequestExecution.js';
+import { ProgressReporter } from './ProgressReporter/ProgressReporter.js';
+import type { RequestExecution } from './RequestExecution.js';
 
-type Dispatch = Extract<SchedulerEffect, { kind: 'dispatch' }>;
-type GiveUp = Extract<SchedulerEffect, { kind: 'give-up' }>;
+type DispatchEffect = Extract<SchedulerEffect, { kind: 'dispatch' }>;
+type GiveUpEffect = Extract<SchedulerEffect, { kind: 'give-up' }>;
 
 /**
  * How a request ended for its caller.
@@ -30,53 +30,53 @@
   | { kind: 'caller-left' };
 
 /**
- * What a request task needs of its surroundings.
+ * Settings of a {@link RequestTask}.
  *
  * @internal
  */
-export interface RequestTaskParts {
+export interface RequestTaskSettings {
   request: ScheduledRequest;
-  work: RequestWork;
+  execution: RequestExecution;
   clock: Clock;
-  tell: (message: SchedulerMessage) => void;
+  notifyScheduler: (message: SchedulerMessage) => void;
   onLoad: LoadListener;
-  /** A connection to the replica went silent. */
-  onSilent: (replica: Replica, path: Dispatcher) => void;
-  onLeaving: (replica: string) => void;
+  /** A connection to the replica timed out without an error. */
+  onSilentConnection: (replica: Replica, dispatcher: Dispatcher) => void;
+  onReplicaLeaving: (replica: string) => void;
   onSettled: (settlement: Settlement) => void;
   onFirstProgress: () => void;
   log: DecisionLog;
 }
 
 /**
- * One request between its caller and its attempts. It owns the running attempt and does what the
- * scheduler orders; everything it learns goes back to the scheduler as a message.
+ * Runs one request. It owns the running attempt, carries out the scheduler's effects, and reports
+ * progress and results back to the scheduler as messages.
  *
  * @internal
  */
 export class RequestTask {
-  private readonly parts: RequestTaskParts;
+  private readonly settings: RequestTaskSettings;
 
-  private running: { number: number; controller: AbortController } | undefined;
+  private runningAttempt: { number: number; controller: AbortController } | undefined;
 
-  private last: AttemptResult | undefined;
+  private lastResult: AttemptResult | undefined;
 
-  private settled = false;
+  private isSettled = false;
 
-  private progressed = false;
+  private hasProgressed = false;
 
-  constructor(parts: RequestTaskParts) {
-    this.parts = parts;
+  constructor(settings: RequestTaskSettings) {
+    this.settings = settings;
   }
 
-  /** Does what the scheduler wants. */
+  /** Carries out an effect of the scheduler. */
   handle(effect: SchedulerEffect): void {
     switch (effect.kind) {
       case 'dispatch':
-        this.start(effect);
+        this.startAttempt(effect);
         return;
       case 'cancel':
-        this.cancel(effect.attempt);
+        this.cancelAttempt(effect.attempt);
         return;
       case 'give-up':
         this.giveUp(effect);
@@ -89,23 +89,23 @@
     }
   }
 
-  /** The caller has gone: stop the work upstream at once, it would be wasted. */
-  callerLeft(): void {
-    if (this.settled) {
+  /** The caller disconnected: aborts the running attempt, whose work would be wasted. */
+  handleCallerLeft(): void {
+    if (this.isSettled) {
       return;
     }
     this.settle({ kind: 'caller-left' });
-    this.parts.tell({ kind: 'caller-left', id: this.parts.request.id });
-    this.running?.controller.abort();
+    this.settings.notifyScheduler({ kind: 'caller-left', id: this.settings.request.id });
+    this.runningAttempt?.controller.abort();
   }
 
-  private start(effect: Dispatch): void {
+  private startAttempt(effect: DispatchEffect): void {
     const controller = new AbortController();
-    this.running = { number: effect.attempt, controller };
-    const report = new ProgressReport(this.parts.clock, (tokens) =>
-      this.tellProgress(effect.attempt, tokens),
+    this.runningAttempt = { number: effect.attempt, controller };
+    const reporter = new ProgressReporter(this.settings.clock, (tokens) =>
+      this.reportProgress(effect.attempt, tokens),
     );
-    const ordered = {
+    const dispatched = {
       number: effect.attempt,
       replica: effect.replica,
       resumeAt: effect.resumeAt,
@@ -113,53 +113,58 @@
       tokenGapTimeout: effect.tokenGapTimeout,
       priority: effect.priority,
       signal: controller.signal,
-      onProgress: (tokens: number) => report.add(tokens),
-      onLoad: this.parts.onLoad,
+      onProgress: (tokens: number) => reporter.add(tokens),
+      onLoad: this.settings.onLoad,
     };
-    this.parts.work
-      .run(ordered)
+    this.settings.execution
+      .run(dispatched)
       .catch((error: unknown) => ({ end: AttemptStatus.Broken, detail: String(error) }))
       .then((result) => {
-        report.end();
-        this.ended(effect, result);
+        reporter.end();
+        this.handleAttemptEnd(effect, result);
       });
   }
 
-  private tellProgress(attempt: number, tokens: number): void {
-    if (!this.progressed) {
-      this.progressed = true;
-      this.parts.onFirstProgress();
+  private reportProgress(attempt: number, tokens: number): void {
+    if (!this.hasProgressed) {
+      this.hasProgressed = true;
+      this.settings.onFirstProgress();
     }
-    this.parts.tell({ kind: 'progress', id: this.parts.request.id, attempt, tokens });
+    this.settings.notifyScheduler({
+      kind: 'progress',
+      id: this.settings.request.id,
+      attempt,
+      tokens,
+    });
   }
 
-  private cancel(attempt: number): void {
-    if (this.running?.number === attempt) {
-      this.running.controller.abort();
+  private cancelAttempt(attempt: number): void {
+    if (this.runningAttempt?.number === attempt) {
+      this.runningAttempt.controller.abort();
     }
   }
 
-  private ended(effect: Dispatch, result: AttemptResult): void {
-    const { request, log, tell } = this.parts;
-    if (this.running?.number === effect.attempt) {
-      this.running = undefined;
+  private handleAttemptEnd(effect: DispatchEffect, result: AttemptResult): void {
+    const { request, log, notifyScheduler } = this.settings;
+    if (this.runningAttempt?.number === effect.attempt) {
+      this.runningAttempt = undefined;
     }
-    this.last = result;
+    this.lastResult = result;
     log('relay', {
       request: request.id,
       attempt: effect.attempt,
       replica: effect.replica.id,
       end: result.end,
-      delivered: this.parts.work.getDelivered(),
+      delivered: this.settings.execution.getDeliveredTokens(),
       detail: result.detail,
     });
-    if (result.silent !== undefined) {
-      this.parts.onSilent(effect.replica, result.silent);
+    if (result.silentDispatcher !== undefined) {
+      this.settings.onSilentConnection(effect.replica, result.silentDispatcher);
     }
     if (result.leaving === true) {
-      this.parts.onLeaving(effect.replica.id);
+      this.settings.onReplicaLeaving(effect.replica.id);
     }
-    tell({
+    notifyScheduler({
       kind: 'attempt-ended',
       id: request.id,
       attempt: effect.attempt,
@@ -169,24 +174,24 @@
   }
 
   private complete(): void {
-    if (!this.settled) {
-      this.parts.work.complete();
+    if (!this.isSettled) {
+      this.settings.execution.complete();
       this.settle({ kind: 'answered' });
     }
   }
 
-  private giveUp(effect: GiveUp): void {
-    if (!this.settled) {
-      const problem = getGiveUpProblem(effect, this.last);
-      this.parts.work.fail(problem);
+  private giveUp(effect: GiveUpEffect): void {
+    if (!this.isSettled) {
+      const problem = getGiveUpProblem(effect, this.lastResult);
+      this.settings.execution.fail(problem);
       this.settle({ kind: 'given-up', outcome: effect.outcome, problem });
-      // An attempt that still runs would compute for nobody.
-      this.running?.controller.abort();
+      // The result of an attempt that is still running could not be delivered.
+      this.runningAttempt?.controller.abort();
     }
   }
 
   private settle(settlement: Settlement): void {
-    this.settled = true;
-    this.parts.onSettled(settlement);
+    this.isSettled = true;
+    this.settings.onSettled(settlement);
   }
 }
--- a/packages/router/src/lib/request/SchedulingTask.ts
+++ b/packages/router/src/lib/request/SchedulingTask.ts
@@ -3,7 +3,7 @@
 import type { RequestTask } from './RequestTask.js';
 
 /**
- * What the scheduler must offer: the policy, or a stand-in of it in a test.
+ * The scheduler as {@link SchedulingTask} uses it.
  *
  * @internal
  */
@@ -11,11 +11,11 @@
   handle(message: SchedulerMessage): void;
 }
 
-type Submit = Extract<SchedulerMessage, { kind: 'submit' }>;
+type SubmitMessage = Extract<SchedulerMessage, { kind: 'submit' }>;
 
 /**
- * Stands between the scheduler and the requests it decides on: it owns the table of running
- * requests and writes a log line for each decision.
+ * Connects the scheduler to the requests it schedules: keeps the table of running requests, forwards
+ * effects to them, and logs each decision.
  *
  * @internal
  */
@@ -26,79 +26,79 @@
 
   private scheduler: SchedulerPort | undefined;
 
-  /** Requests that have arrived and are not submitted or refused yet. */
-  private arriving = 0;
+  /** Requests that have begun to arrive and are not yet submitted or rejected. */
+  private arrivingRequests = 0;
 
-  private readonly onIdle: (() => void)[] = [];
+  private readonly idleListeners: (() => void)[] = [];
 
   constructor(log: DecisionLog) {
     this.log = log;
   }
 
-  /** Joins the scheduler, whose effects go to {@link SchedulingTask.perform}. */
+  /** Sets the scheduler, whose effects must be passed to {@link SchedulingTask.perform}. */
   attach(scheduler: SchedulerPort): void {
     this.scheduler = scheduler;
   }
 
   /**
-   * A request has begun to arrive. Without the count, a shutdown would pass over a caller that is
-   * still sending its request, and refuse it.
+   * Counts a request that has begun to arrive. Without the count, a shutdown would not wait for
+   * callers that are still sending their requests, and reject them.
    *
-   * @returns to be called when the request has been submitted or refused
+   * @returns a function to call when the request has been submitted or rejected
    */
-  enter(): () => void {
-    this.arriving += 1;
+  trackArrival(): () => void {
+    this.arrivingRequests += 1;
     return () => {
-      this.arriving -= 1;
-      this.noteIdle();
+      this.arrivingRequests -= 1;
+      this.notifyIfIdle();
     };
   }
 
-  /** Hands a request to the scheduler. */
-  submit(task: RequestTask, message: Submit): void {
+  /** Submits a request to the scheduler. */
+  submit(task: RequestTask, message: SubmitMessage): void {
     this.tasks.set(message.request.id, task);
-    this.tell(message);
+    this.notifyScheduler(message);
   }
 
-  /** Tells the scheduler what happened. */
-  tell(message: SchedulerMessage): void {
+  /** Sends a message to the scheduler. */
+  notifyScheduler(message: SchedulerMessage): void {
     this.scheduler?.handle(message);
   }
 
-  /** Does what the scheduler wants done. */
+  /** Logs an effect of the scheduler and forwards it to its request. */
   perform(effect: SchedulerEffect): void {
-    this.writeDecision(effect);
+    this.logDecision(effect);
     this.tasks.get(effect.id)?.handle(effect);
   }
 
-  /** A request is over for its caller. */
-  forget(id: string): void {
+  /** Removes a request that has ended for its caller. */
+  remove(id: string): void {
     this.tasks.delete(id);
-    this.noteIdle();
+    this.notifyIfIdle();
   }
 
-  /** How many requests are arriving, waiting or running. */
-  getSize(): number {
-    return this.tasks.size + this.arriving;
+  /** Returns the number of requests that are arriving, waiting or running. */
+  getRequestCount(): number {
+    return this.tasks.size + this.arrivingRequests;
   }
 
   /** Resolves once no request is arriving, waiting or running. */
   waitUntilIdle(): Promise<void> {
-    if (this.getSize() === 0) {
+    if (this.getRequestCount() === 0) {
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      this.onIdle.push(resolve);
+      this.idleListeners.push(resolve);
     });
   }
 
-  private noteIdle(): void {
-    if (this.getSize() === 0) {
-      this.onIdle.splice(0).forEach((resolve) => resolve());
+  private notifyIfIdle(): void {
+    if (this.getRequestCount() === 0) {
+      this.idleListeners.splice(0).forEach((resolve) => resolve());
     }
   }
 
-  private writeDecision(effect: SchedulerEffect): void {
+  private logDecision(effect: SchedulerEffect): void {
     switch (effect.kind) {
       case 'dispatch':
         this.log('choose', {
--- a/packages/router/src/lib/request/chatCompletion.ts
+++ b/packages/router/src/lib/request/chatCompletion.ts
@@ -1,7 +1,7 @@
 import type { ChatChunk } from '../upstream/ChatChunk.js';
 
 /**
- * The name of the answer towards the caller: the same through all attempts.
+ * Returns the id of the completion as the caller sees it, which is the same for all attempts.
  *
  * @example
  * ```ts
@@ -9,21 +9,22 @@
  * ```
  * @internal
  */
-export function getAnswerId(requestId: string): string {
+export function getCompletionId(requestId: string): string {
   return `chatcmpl-${requestId}`;
 }
 
 /**
- * The usage of the whole answer: a resumed attempt counts its own tokens only.
+ * Returns the token usage of the whole response. The engine's figures can't be used for the completion
+ * tokens: a resumed attempt counts only its own.
  *
  * @example
  * ```ts
- * const usage = getUsage(finish, delivered);
+ * const usage = getUsage(finishChunk, deliveredTokens);
  * ```
  * @internal
  */
-export function getUsage(finish: ChatChunk | undefined, tokens: number) {
-  const promptTokens = finish?.usage?.prompt_tokens ?? 0;
+export function getUsage(finishChunk: ChatChunk | undefined, tokens: number) {
+  const promptTokens = finishChunk?.usage?.prompt_tokens ?? 0;
   return {
     prompt_tokens: promptTokens,
     completion_tokens: tokens,
--- a/packages/router/src/lib/request/getGiveUpProblem.ts
+++ b/packages/router/src/lib/request/getGiveUpProblem.ts
@@ -4,7 +4,7 @@
 import type { Problem } from '../pipeline/Problem.js';
 import type { AttemptResult } from '../upstream/Attempt.js';
 
-type GiveUp = Extract<SchedulerEffect, { kind: 'give-up' }>;
+type GiveUpEffect = Extract<SchedulerEffect, { kind: 'give-up' }>;
 
 const STATUS_BY_REASON: Record<GiveUpReason, number> = {
   [GiveUpReason.Deadline]: 503,
@@ -27,29 +27,32 @@
   [GiveUpReason.Draining]: 'this daemon is shutting down',
 };
 
-/** Statuses by which an engine finds fault with the request itself. */
-const CALLERS_FAULT = new Set([400, 413, 415, 422]);
+/** Statuses with which an engine reports that the request itself is invalid. */
+const CALLER_ERROR_STATUSES = new Set([400, 413, 415, 422]);
 
 /**
- * What the caller is told of a request that was given up.
+ * Creates the problem reported to the caller of a request that was given up.
  *
  * @param effect - the scheduler's decision
- * @param last - how the last attempt ended; a fault the engine found with the request itself is
- *   passed on, since asking again would find the same
+ * @param lastResult - how the last attempt ended; an error with which the engine rejected the request
+ *   itself is passed on, since a retry would fail in the same way
  * @example
  * ```ts
- * work.fail(getGiveUpProblem(effect, last));
+ * execution.fail(getGiveUpProblem(effect, lastResult));
  * ```
  * @internal
  */
-export function getGiveUpProblem(effect: GiveUp, last: AttemptResult | undefined): Problem {
+export function getGiveUpProblem(
+  effect: GiveUpEffect,
+  lastResult: AttemptResult | undefined,
+): Problem {
   const { reason, outcome, retryAfter } = effect;
-  if (reason === GiveUpReason.ReplicaFailed && CALLERS_FAULT.has(last?.status ?? 0)) {
+  if (reason === GiveUpReason.ReplicaFailed && CALLER_ERROR_STATUSES.has(lastResult?.status ?? 0)) {
     return {
       reason: ProblemReason.Malformed,
-      status: last!.status!,
+      status: lastResult!.status!,
       title: 'The backend server refused the request',
-      detail: last!.detail,
+      detail: lastResult!.detail,
       outcome,
     };
   }
--- a/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
+++ b/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
@@ -32,7 +32,7 @@
   },
 } as ScheduledRequest;
 
-/** A caller's connection whose buffers are full. */
+/** A response whose send buffer is full. */
 class FullResponse extends EventEmitter {
   destroyed = false;
 
@@ -61,18 +61,18 @@
     const wait = waitForCaller({
       response: response as unknown as ServerResponse,
       clock,
-      beat: 1000,
-      onBeat: () => progress(0),
+      interval: 1000,
+      onWaiting: () => progress(0),
     });
     return { clock, effects, scheduler, response, wait };
   }
 
-  // Symptom: a caller on a slow line loses its answer after a few seconds. Sequence: it reads
-  // slower than the engine writes, the daemon stops reading, the scheduler hears of no token for
-  // longer than a gap may last. Cause: the caller's pause was taken for the engine's silence.
-  it('keeps the scheduler from taking the wait for silence', async () => {
+  // Guards against a caller on a slow connection losing its response after a few seconds: it reads
+  // slower than the engine writes, so the daemon stops reading, and the scheduler would take the
+  // missing progress reports for a silent engine once the longest inter-token pause is over.
+  it('keeps the scheduler from treating a slow caller as a silent engine', async () => {
     const { clock, effects, scheduler, response, wait } = start();
-    clock.advance(routerOptions.callerStall - 1);
+    clock.advance(routerOptions.callerStallTimeout - 1);
     response.emit('drain');
     await wait;
     scheduler.handle({
@@ -85,12 +85,11 @@
     expect(response.destroyed).toBe(false);
   });
 
-  // Symptom: an engine's slots fill up with answers nobody reads, and a daemon never comes to the
-  // end of its shutdown. Sequence: a caller stops reading and keeps its connection. Cause: a wait
-  // without an end.
-  it('takes a caller that reads nothing for long for gone', async () => {
+  // Guards against an unbounded wait for a caller that stops reading but keeps its connection open:
+  // such responses would fill up the engine's slots and keep a daemon from shutting down.
+  it('disconnects a caller that has read nothing within the timeout', async () => {
     const { clock, response, wait } = start();
-    clock.advance(routerOptions.callerStall);
+    clock.advance(routerOptions.callerStallTimeout);
     await wait;
     expect(response.destroyed).toBe(true);
     expect(response.listenerCount('drain')).toBe(0);
--- a/packages/router/src/lib/request/waitForCaller/waitForCaller.ts
+++ b/packages/router/src/lib/request/waitForCaller/waitForCaller.ts
@@ -3,43 +3,47 @@
 import { routerOptions } from '../../options.js';
 
 /**
- * How a slow caller is waited for.
+ * Options of {@link waitForCaller}.
  *
  * @internal
  */
-export interface CallerWait {
+export interface WaitForCallerOptions {
   response: ServerResponse;
   clock: Clock;
-  /** How often to say that the wait goes on. */
-  beat: Milliseconds;
-  /** The caller is slow, nothing else is wrong. */
-  onBeat: () => void;
+  /** How often to report that the wait continues. */
+  interval: Milliseconds;
+  /** Called at each interval while the caller is slow and nothing else is wrong. */
+  onWaiting: () => void;
 }
 
 /**
- * Waits until a caller can take more of its answer. One that takes nothing for a long time holds a
- * slot of the engine for nobody: it counts as gone, and its connection ends.
+ * Waits until a slow caller can accept more of its response. A caller that reads nothing within the
+ * stall timeout occupies a slot of the engine to no purpose, so its connection is closed.
  *
- * @param wait - whom to wait for
- * @returns resolves when the caller can take more, or has gone
+ * @returns resolves when the caller can accept more, or has disconnected
  * @example
  * ```ts
- * await waitForCaller({ response, clock, beat: 1000, onBeat: () => onProgress(0) });
+ * await waitForCaller({ response, clock, interval: 1000, onWaiting: () => onProgress(0) });
  * ```
  * @internal
  */
-export function waitForCaller({ response, clock, beat, onBeat }: CallerWait): Promise<void> {
+export function waitForCaller({
+  response,
+  clock,
+  interval,
+  onWaiting,
+}: WaitForCallerOptions): Promise<void> {
   return new Promise((resolve) => {
-    let left: Milliseconds = routerOptions.callerStall;
+    let remaining: Milliseconds = routerOptions.callerStallTimeout;
     let timer: Timer;
     const tick = () => {
-      left -= beat;
-      if (left <= 0) {
+      remaining -= interval;
+      if (remaining <= 0) {
         response.destroy();
         return;
       }
-      onBeat();
-      timer = clock.setTimer(beat, tick);
+      onWaiting();
+      timer = clock.setTimer(interval, tick);
     };
     const end = () => {
       timer.cancel();
@@ -47,7 +51,7 @@
       response.off('close', end);
       resolve();
     };
-    timer = clock.setTimer(beat, tick);
+    timer = clock.setTimer(interval, tick);
     response.once('drain', end);
     response.once('close', end);
   });
--- a/packages/router/src/lib/shared/ClaimAdapter.ts
+++ b/packages/router/src/lib/shared/ClaimAdapter.ts
@@ -4,29 +4,29 @@
 import { isUtf8 } from 'node:buffer';
 import { routerOptions } from '../options.js';
 import type { ClaimEnd, ClaimPort, ClaimRequest, ClaimVerdict } from '../pipeline/ClaimPort.js';
-import type { PlainAnswer } from '../upstream/runPlainAttempt.js';
+import type { PlainResponse } from '../upstream/runPlainAttempt.js';
 
-const CONTENT_TYPE = 'content-type';
-const ENCODING = 'x-kept-encoding';
+const CONTENT_TYPE_HEADER = 'content-type';
+const ENCODING_HEADER = 'x-kept-encoding';
 const BASE64 = 'base64';
 
-function getStoredAnswer({ status, contentType, body }: PlainAnswer): StoredResponse {
-  const headers: Record<string, string> = { [CONTENT_TYPE]: contentType };
+function getStoredResponse({ status, contentType, body }: PlainResponse): StoredResponse {
+  const headers: Record<string, string> = { [CONTENT_TYPE_HEADER]: contentType };
   if (isUtf8(body)) {
     return { kind: 'whole', status, headers, body: body.toString('utf8') };
   }
-  headers[ENCODING] = BASE64;
+  headers[ENCODING_HEADER] = BASE64;
   return { kind: 'whole', status, headers, body: body.toString(BASE64) };
 }
 
-function getVerdictOfAnswer(answer: StoredResponse): ClaimVerdict {
-  if (answer.kind === 'status-only') {
-    return { kind: 'answer-not-kept', status: answer.status };
+function getVerdictOfStoredResponse(response: StoredResponse): ClaimVerdict {
+  if (response.kind === 'status-only') {
+    return { kind: 'answer-not-kept', status: response.status };
   }
-  const encoding = answer.headers[ENCODING] === BASE64 ? BASE64 : 'utf8';
-  const contentType = answer.headers[CONTENT_TYPE] ?? 'application/octet-stream';
-  const body = Buffer.from(answer.body, encoding);
-  return { kind: 'answered', answer: { status: answer.status, contentType, body } };
+  const encoding = response.headers[ENCODING_HEADER] === BASE64 ? BASE64 : 'utf8';
+  const contentType = response.headers[CONTENT_TYPE_HEADER] ?? 'application/octet-stream';
+  const body = Buffer.from(response.body, encoding);
+  return { kind: 'answered', answer: { status: response.status, contentType, body } };
 }
 
 function settle(claims: ClaimManager, handle: ClaimHandle, end: ClaimEnd): Promise<void> {
@@ -34,7 +34,7 @@
     case 'answered':
       return claims.recordOutcome(handle, {
         kind: 'answered',
-        answer: getStoredAnswer(end.answer),
+        answer: getStoredResponse(end.answer),
       });
     case 'released':
       return claims.recordOutcome(handle, { kind: 'not-run' });
@@ -45,13 +45,13 @@
   }
 }
 
-/** The claims go on trying to report an outcome; nothing here waits for it. */
-function settleSoon(claims: ClaimManager, handle: ClaimHandle, end: ClaimEnd): void {
+/** Records an outcome without waiting for it; the claim manager retries until it succeeds. */
+function settleInBackground(claims: ClaimManager, handle: ClaimHandle, end: ClaimEnd): void {
   settle(claims, handle, end).catch(() => undefined);
 }
 
 /**
- * Speaks to the claims as the request path does.
+ * Adapts the claim manager to the interface of the request path.
  *
  * @internal
  */
@@ -64,7 +64,7 @@
     this.clock = clock;
   }
 
-  /** Claims can be asked for from now on. */
+  /** Sets the claim manager; until then every claim is unavailable. */
   attach(claims: ClaimManager): void {
     this.claims = claims;
   }
@@ -77,32 +77,33 @@
     return this.getVerdict(this.claims, await this.claims.claim(request));
   }
 
-  private getVerdict(claims: ClaimManager, answer: ClaimResult): ClaimVerdict {
-    switch (answer.kind) {
+  private getVerdict(claims: ClaimManager, result: ClaimResult): ClaimVerdict {
+    switch (result.kind) {
       case 'granted':
-        return this.getGrant(claims, answer.handle);
+        return this.getGrantedVerdict(claims, result.handle);
       case 'settled':
-        return getVerdictOfAnswer(answer.answer);
+        return getVerdictOfStoredResponse(result.answer);
       case 'in-progress':
       case 'mismatch':
       case 'unknown':
-        return { kind: answer.kind };
+        return { kind: result.kind };
       case 'unavailable':
-        return answer;
+        return result;
       default:
-        throw exhaustiveSwitchError(answer);
+        throw exhaustiveSwitchError(result);
     }
   }
 
   /**
-   * A grant that this process held through a long pause is void: the key may have been forgotten
-   * and granted again, and have run. Nothing was dispatched for this one, so it goes back as not run.
+   * A grant whose deadline passed during a long pause of this process is void: the key may have
+   * expired, been granted again, and its request may have run. Nothing was dispatched under this
+   * grant, so it is released as not run.
    */
-  private getGrant(claims: ClaimManager, handle: ClaimHandle): ClaimVerdict {
+  private getGrantedVerdict(claims: ClaimManager, handle: ClaimHandle): ClaimVerdict {
     if (this.clock.now() >= handle.deadline) {
-      settleSoon(claims, handle, { kind: 'released' });
+      settleInBackground(claims, handle, { kind: 'released' });
       return { kind: 'unavailable', retryAfter: 0, isProvedNotRun: false };
     }
-    return { kind: 'granted', end: (end) => settleSoon(claims, handle, end) };
+    return { kind: 'granted', end: (end) => settleInBackground(claims, handle, end) };
   }
 }
--- a/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.test.ts
+++ b/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.test.ts
@@ -2,16 +2,16 @@
 import { ManualClock } from '@apricotrill/utils';
 import { FirstConfiguration } from './FirstConfiguration.js';
 
-const GRACE = 3000;
+const ACCEPTED_GENERATION_TIMEOUT = 3000;
 
-const LIMIT = 10_000;
+const TIMEOUT = 10_000;
 
 function setUp() {
   const clock = new ManualClock();
   const released: number[] = [];
   const first = new FirstConfiguration({
     clock,
-    options: { grace: GRACE, limit: LIMIT },
+    options: { acceptedGenerationTimeout: ACCEPTED_GENERATION_TIMEOUT, timeout: TIMEOUT },
     release: ({ manifest }) => released.push(manifest.generation),
   });
   const offer = (generation: number) =>
@@ -21,15 +21,15 @@
 
 describe('FirstConfiguration', () => {
   /*
-   * Symptom: a restarted daemon serves by an older version than the one it served by before.
-   * Sequence: the first peer that answers was frozen for long; the store's word comes later.
-   * Cause: the first configuration that came was put in force.
+   * Guards against a restarted daemon that uses an older configuration than before its restart,
+   * because it puts the first configuration it receives in force: the first peer to respond may have
+   * been frozen for long, and the store's response arrives later.
    */
-  it('waits for what the store says is accepted', () => {
+  it('waits for the generation that the store reports as accepted', () => {
     const { clock, released, first, offer } = setUp();
     offer(2);
-    first.hearAccepted(3);
-    clock.advance(GRACE);
+    first.setAcceptedGeneration(3);
+    clock.advance(ACCEPTED_GENERATION_TIMEOUT);
     expect(released).toEqual([]);
     offer(3);
     offer(4);
@@ -38,24 +38,24 @@
   });
 
   /*
-   * Symptom: the same, with the store down. Sequence: as above, while a second peer with the newer
-   * version is heard a moment later. Cause: nobody waited for the other peers.
+   * Guards against the same fault while the store is down: another peer with the newer configuration
+   * responds a moment after the first one.
    */
-  it('waits for the neighbours while the store says nothing', () => {
+  it('waits for other peers while the store does not respond', () => {
     const { clock, released, offer } = setUp();
     offer(2);
-    clock.advance(GRACE - 1);
+    clock.advance(ACCEPTED_GENERATION_TIMEOUT - 1);
     offer(3);
     expect(released).toEqual([]);
     clock.advance(1);
     expect(released).toEqual([3]);
   });
 
-  it('takes what there is when the accepted one can be had from nobody', () => {
+  it('releases the latest configuration if no peer has the accepted one before the timeout', () => {
     const { clock, released, first, offer } = setUp();
-    first.hearAccepted(3);
+    first.setAcceptedGeneration(3);
     offer(2);
-    clock.advance(LIMIT);
+    clock.advance(TIMEOUT);
     expect(released).toEqual([2]);
   });
 });
--- a/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.ts
+++ b/packages/router/src/lib/shared/FirstConfiguration/FirstConfiguration.ts
@@ -2,101 +2,106 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
- * How long a daemon that starts waits for what it may have to know.
+ * How long a starting daemon waits before it puts its first configuration in force.
  *
  * @internal
  */
 export interface FirstConfigurationOptions {
-  /** For the store's word on which generation is accepted; peers tell theirs in the meantime. */
-  grace: Milliseconds;
-  /** For the accepted generation itself, once the store has named it. */
-  limit: Milliseconds;
+  /** Timeout for the store's response on which generation is accepted; peers send theirs meanwhile. */
+  acceptedGenerationTimeout: Milliseconds;
+  /** Timeout for receiving the accepted generation itself, once the store has named it. */
+  timeout: Milliseconds;
 }
 
-interface FirstConfigurationParts {
+interface FirstConfigurationSettings {
   clock: Clock;
   options: FirstConfigurationOptions;
-  /** Takes each configuration that comes into force. */
+  /** Called with each configuration that comes into force. */
   release: (inForce: ConfigurationSnapshot) => void;
 }
 
 /**
- * Holds back a starting daemon's first configuration until it is as new as what is accepted. The
- * process remembers nothing, and the peer that answers first may be one that was frozen and is
- * behind: callers of a restarted daemon would see an older version after a newer one. It waits for
- * the store's word, or, in an outage, for as long as it takes to hear from all neighbours.
+ * Holds back a starting daemon's first configuration until it is at least as new as the accepted
+ * generation. The process has no persistent state, and the first peer to respond may have been frozen
+ * and be out of date: callers of a restarted daemon would see an older version after a newer one. So
+ * the daemon waits for the store's response or, if the store is down, long enough to hear from all
+ * its peers.
  *
  * @internal
  */
 export class FirstConfiguration {
   private offered: ConfigurationSnapshot | undefined;
 
-  /** What is accepted, as far as the store told; undefined while it has not. */
-  private accepted: number | undefined;
+  /** The accepted generation according to the store; undefined until it has responded. */
+  private acceptedGeneration: number | undefined;
 
-  private isOpen = false;
+  private isReleasing = false;
 
   private readonly timers: Timer[];
 
-  private graceOver = false;
+  private isAcceptedGenerationOverdue = false;
 
-  private released = 0;
+  private releasedGeneration = 0;
 
-  constructor(private readonly parts: FirstConfigurationParts) {
-    const { clock, options } = parts;
+  constructor(private readonly settings: FirstConfigurationSettings) {
+    const { clock, options } = settings;
     this.timers = [
-      clock.setTimer(options.grace, () => this.endGrace()),
-      clock.setTimer(options.limit, () => this.open()),
+      clock.setTimer(options.acceptedGenerationTimeout, () =>
+        this.handleAcceptedGenerationTimeout(),
+      ),
+      clock.setTimer(options.timeout, () => this.handleTimeout()),
     ];
   }
 
-  /** The generation released last; 0 before the first. */
+  /** The generation most recently released; 0 before the first. */
   get generation(): number {
-    return this.released;
+    return this.releasedGeneration;
   }
 
-  /** The cluster has put a configuration in force. */
+  /** Takes a configuration that the cluster has put in force. */
   offer(inForce: ConfigurationSnapshot): void {
     this.offered = inForce;
-    this.check();
+    this.releaseIfAllowed();
   }
 
-  /** @param generation - the store's word; 0 when nothing is accepted yet */
-  hearAccepted(generation: number): void {
-    this.accepted = generation;
-    this.check();
+  /** @param generation - the accepted generation according to the store; 0 if there is none yet */
+  setAcceptedGeneration(generation: number): void {
+    this.acceptedGeneration = generation;
+    this.releaseIfAllowed();
   }
 
   dispose(): void {
     this.timers.forEach((timer) => timer.cancel());
   }
 
-  private endGrace(): void {
-    this.graceOver = true;
-    this.check();
+  private handleAcceptedGenerationTimeout(): void {
+    this.isAcceptedGenerationOverdue = true;
+    this.releaseIfAllowed();
   }
 
-  /** Nobody else has the accepted generation either, or it would have come by now. */
-  private open(): void {
-    this.isOpen = true;
-    this.check();
+  /** No peer has the accepted generation either, or it would have arrived by now. */
+  private handleTimeout(): void {
+    this.isReleasing = true;
+    this.releaseIfAllowed();
   }
 
-  private check(): void {
+  private releaseIfAllowed(): void {
     const { offered } = this;
-    if (offered === undefined || !this.mayRelease(offered.manifest.generation)) {
+    if (offered === undefined || !this.canRelease(offered.manifest.generation)) {
       return;
     }
-    this.isOpen = true;
+    this.isReleasing = true;
     this.offered = undefined;
-    this.released = offered.manifest.generation;
-    this.parts.release(offered);
+    this.releasedGeneration = offered.manifest.generation;
+    this.settings.release(offered);
   }
 
-  private mayRelease(generation: number): boolean {
-    if (this.isOpen) {
+  private canRelease(generation: number): boolean {
+    if (this.isReleasing) {
       return true;
     }
-    return this.accepted === undefined ? this.graceOver : generation >= this.accepted;
+    return this.acceptedGeneration === undefined
+      ? this.isAcceptedGenerationOverdue
+      : generation >= this.acceptedGeneration;
   }
 }
--- a/packages/router/src/lib/shared/MemberList.ts
+++ b/packages/router/src/lib/shared/MemberList.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * A daemon as operators see it.
+ * A daemon as shown to operators.
  *
  * @internal
  */
@@ -11,20 +11,20 @@
   region: string;
   availabilityZone: string;
   state: string;
-  /** Since when it has been in this state, in milliseconds since the epoch. */
+  /** When it entered this state, in milliseconds since the epoch. */
   since: Milliseconds;
-  /** In force there, as far as has been heard here. */
+  /** The generation in force at that daemon, as far as this daemon knows. */
   generation: number;
-  /** Where to ask the daemon itself, as `host:port`. */
+  /** The address of its admin port, as `host:port`. */
   adminAddress: string;
   /** False while its region cannot be reached from here. */
   isReachable: boolean;
-  /** True while it goes and comes back too often to be given duties. */
+  /** True while it leaves and returns too often to be given duties. */
   isDamped: boolean;
 }
 
 /**
- * The answer of `GET /admin/members`.
+ * The response of `GET /admin/members`.
  *
  * @internal
  */
@@ -35,7 +35,7 @@
 }
 
 /**
- * What operators are shown of a member.
+ * Returns the fields of a member that are shown to operators.
  *
  * @internal
  */
--- a/packages/router/src/lib/shared/SharedPlatform.ts
+++ b/packages/router/src/lib/shared/SharedPlatform.ts
@@ -19,36 +19,36 @@
 import { getMemberView } from './MemberList.js';
 import type { MemberList } from './MemberList.js';
 
-/** The mesh topic of claims. */
+/** The mesh topic of claim messages. */
 const CLAIM_TOPIC = 'claim';
 
 /**
- * What the shared state is made of.
+ * Dependencies of a {@link SharedPlatform}.
  *
  * @internal
  */
-export interface SharedPlatformParts {
+export interface SharedPlatformDependencies {
   settings: Settings;
   clock: Clock;
   random: Random;
   log: DecisionLog;
-  /** The keys for TLS between daemons; plain connections when absent. */
+  /** Key and certificate for TLS between daemons; plain connections when absent. */
   keys?: KeySource;
-  /** Where the others reach the mesh, when something in between translates ports. */
+  /** The port at which peers reach the mesh, if it differs because of port translation. */
   announcedMeshPort?: number;
 }
 
-/** What there is once the daemon's own ports are known. */
-interface Joined {
+/** What is created once the daemon's own ports are known. */
+interface ClusterSession {
   cluster: ClusterManager;
   claimManager: ClaimManager;
   placement: PlacementManager;
-  first: FirstConfiguration;
+  firstConfiguration: FirstConfiguration;
 }
 
 /**
- * What claims may expect of a member. Who gets no duties is not gone: one that shuts down still has
- * its shards and its requests, and one that is suspected may only be slow.
+ * Returns the standing of a member for claims. A member that gets no duties may still be running: one
+ * that is shutting down still has its shards and its requests, and a suspected one may only be slow.
  */
 function getStanding({ isEligible, isReachable, state }: Member): MemberStanding {
   if (isEligible) {
@@ -65,15 +65,15 @@
 }
 
 /**
- * What a daemon shares with the others: membership and configuration by the cluster, claims, and
- * the orders to engines. It owns the mesh and the connections to the platform.
+ * The state that a daemon shares with its peers: membership and configuration (by the cluster), claims
+ * and placement. Owns the mesh and the connections to the platform.
  *
  * @internal
  */
 export class SharedPlatform implements SharedState {
   readonly claims: ClaimAdapter;
 
-  private readonly parts: SharedPlatformParts;
+  private readonly dependencies: SharedPlatformDependencies;
 
   private readonly mesh: Mesh;
 
@@ -81,13 +81,13 @@
 
   private readonly instanceList: HttpInstanceList;
 
-  private joined: Joined | undefined;
+  private session: ClusterSession | undefined;
 
   private configuration: Configuration | undefined;
 
-  constructor(parts: SharedPlatformParts) {
-    this.parts = parts;
-    const { settings, clock } = parts;
+  constructor(dependencies: SharedPlatformDependencies) {
+    this.dependencies = dependencies;
+    const { settings, clock } = dependencies;
     const platform = { url: settings.platformUrl, timeout: routerOptions.platformTimeout };
     this.store = new HttpPlatformStore(platform);
     this.instanceList = new HttpInstanceList(platform);
@@ -96,14 +96,14 @@
       host: settings.host,
       port: settings.meshPort,
       clock,
-      keys: parts.keys,
+      keys: dependencies.keys,
     });
     this.claims = new ClaimAdapter(clock);
   }
 
   /**
-   * The others are told the ports that are really listened at, so it joins only once they are
-   * known.
+   * Joins the cluster once all ports are known: peers must be told the ports at which the daemon
+   * actually listens.
    */
   async start(listener: SharedStateListener, ports: DaemonPorts): Promise<number> {
     const meshPort = await this.mesh.listen();
@@ -113,9 +113,9 @@
     this.mesh.handle(CLAIM_TOPIC, (message, { from }) =>
       claimManager.handle(from, message as ClaimMessage),
     );
-    const first = this.listen(listener, cluster, claimManager);
+    const firstConfiguration = this.subscribe(listener, cluster, claimManager);
     const placement = this.createPlacement(cluster);
-    this.joined = { cluster, claimManager, placement, first };
+    this.session = { cluster, claimManager, placement, firstConfiguration };
     cluster.start();
     return meshPort;
   }
@@ -123,56 +123,56 @@
   addMetrics(registry: Registry): void {
     addControlMetrics(registry, {
       getTraffic: () => this.mesh.traffic.getTopics(),
-      getCluster: () => this.joined?.cluster.getCounters(),
+      getCluster: () => this.session?.cluster.getCounters(),
       getStore: () => this.store.getCounters(),
     });
   }
 
   tellReplicaLeaving(replica: string): void {
-    this.joined?.cluster.announceReplicaLeaving(replica);
+    this.session?.cluster.announceReplicaLeaving(replica);
   }
 
   getMembers(): MemberList {
-    const members = this.joined?.cluster.getMembers() ?? [];
+    const members = this.session?.cluster.getMembers() ?? [];
     return {
-      self: this.parts.settings.id,
+      self: this.dependencies.settings.id,
       generation: this.getGeneration(),
       members: members.map(getMemberView),
     };
   }
 
   getGeneration(): number {
-    return this.joined?.first.generation ?? 0;
+    return this.session?.firstConfiguration.generation ?? 0;
   }
 
   announceLeaving(): void {
-    this.joined?.cluster.announceLeaving();
+    this.session?.cluster.announceLeaving();
   }
 
   /**
-   * Leases first, since another daemon can hold them at once; then the claim shards, cleanly, so
-   * that their next owners need no witness.
+   * Releases the leases first, since another daemon can acquire them immediately, and then hands over
+   * the claim shards in an orderly way, so that their next owners need no witness.
    */
   async handOver(): Promise<void> {
-    if (this.joined === undefined) {
+    if (this.session === undefined) {
       return;
     }
-    const { placement, claimManager } = this.joined;
+    const { placement, claimManager } = this.session;
     await placement.release();
-    const rest = await claimManager.handOver(routerOptions.handOverTimeout);
-    this.parts.log('claim', { event: 'handed-over', ...rest });
+    const result = await claimManager.handOver(routerOptions.handOverTimeout);
+    this.dependencies.log('claim', { event: 'handed-over', ...result });
   }
 
   dispose(): Promise<void> {
-    this.joined?.first.dispose();
-    this.joined?.placement.dispose();
-    this.joined?.claimManager.dispose();
-    this.joined?.cluster.dispose();
+    this.session?.firstConfiguration.dispose();
+    this.session?.placement.dispose();
+    this.session?.claimManager.dispose();
+    this.session?.cluster.dispose();
     this.mesh.dispose();
     return Promise.all([this.store.dispose(), this.instanceList.dispose()]).then(() => undefined);
   }
 
-  private listen(
+  private subscribe(
     listener: SharedStateListener,
     cluster: ClusterManager,
     claimManager: ClaimManager,
@@ -180,32 +180,35 @@
     cluster.onMembersChange((members) => {
       claimManager.handleMembersChange();
       const eligible = members.filter(({ isEligible }) => isEligible).map(({ id }) => id);
-      listener.onDaemons(this.parts.settings.id, eligible);
+      listener.onDaemons(this.dependencies.settings.id, eligible);
     });
-    cluster.onReplicaLeaving((replica, span) => listener.onReplicaLeaving(replica, span));
-    const first = new FirstConfiguration({
-      clock: this.parts.clock,
-      options: { grace: routerOptions.startGrace, limit: routerOptions.startLimit },
+    cluster.onReplicaLeaving((replica, validity) => listener.onReplicaLeaving(replica, validity));
+    const firstConfiguration = new FirstConfiguration({
+      clock: this.dependencies.clock,
+      options: {
+        acceptedGenerationTimeout: routerOptions.acceptedGenerationTimeout,
+        timeout: routerOptions.firstConfigurationTimeout,
+      },
       release: ({ configuration, manifest }) => {
         this.configuration = configuration;
         listener.onConfiguration(configuration, manifest.generation);
-        this.joined?.placement.handleConfigurationChange();
+        this.session?.placement.handleConfigurationChange();
       },
     });
-    cluster.onConfigurationChange((inForce) => first.offer(inForce));
-    this.readAccepted(first).catch(() => undefined);
-    return first;
+    cluster.onConfigurationChange((inForce) => firstConfiguration.offer(inForce));
+    this.readAcceptedGeneration(firstConfiguration).catch(() => undefined);
+    return firstConfiguration;
   }
 
-  /** Without an answer the grace decides. */
-  private async readAccepted(first: FirstConfiguration): Promise<void> {
+  /** Reads the accepted generation from the store; if that fails, the timeout applies. */
+  private async readAcceptedGeneration(firstConfiguration: FirstConfiguration): Promise<void> {
     const object = await this.store.get(MANIFEST_KEY);
     const manifest = object === undefined ? undefined : parseManifest(object.value);
-    first.hearAccepted(manifest?.ok === true ? manifest.value.generation : 0);
+    firstConfiguration.setAcceptedGeneration(manifest?.ok === true ? manifest.value.generation : 0);
   }
 
   private createCluster(ports: DaemonPorts & { meshPort: number }): ClusterManager {
-    const { settings, clock, random, log, announcedMeshPort } = this.parts;
+    const { settings, clock, random, log, announcedMeshPort } = this.dependencies;
     const { id, region, availabilityZone, host, seeds } = settings;
     const meshPort = announcedMeshPort ?? ports.meshPort;
     return new ClusterManager({
@@ -216,13 +219,13 @@
       store: this.store,
       instanceList: this.instanceList,
       seeds,
-      onEvent: (decision) =>
-        log(decision.kind.startsWith('configuration') ? 'configuration' : 'membership', decision),
+      onEvent: (event) =>
+        log(event.kind.startsWith('configuration') ? 'configuration' : 'membership', event),
     });
   }
 
   private createClaims(cluster: ClusterManager): ClaimManager {
-    const { clock, log } = this.parts;
+    const { clock, log } = this.dependencies;
     return new ClaimManager({
       self: getClaimMember(cluster.getLocalMember()),
       clock,
@@ -237,12 +240,12 @@
         cluster
           .getMembers()
           .map((member) => ({ ...getClaimMember(member), standing: getStanding(member) })),
-      onEvent: (decision) => log('claim', decision),
+      onEvent: (event) => log('claim', event),
     });
   }
 
   private createPlacement(cluster: ClusterManager): PlacementManager {
-    const { settings, clock, random, log } = this.parts;
+    const { settings, clock, random, log } = this.dependencies;
     return new PlacementManager({
       self: settings.id,
       clock,
@@ -255,7 +258,7 @@
           .getMembers()
           .filter(({ isEligible }) => isEligible)
           .map(({ id }) => id),
-      onEvent: (decision) => log('placement', decision),
+      onEvent: (event) => log('placement', event),
     });
   }
 }
--- a/packages/router/src/lib/upstream/Attempt.ts
+++ b/packages/router/src/lib/upstream/Attempt.ts
@@ -4,7 +4,7 @@
 import type { Dispatcher } from 'undici';
 
 /**
- * One try of a request at one replica.
+ * One send of a request to a replica.
  *
  * @internal
  */
@@ -12,41 +12,41 @@
   requestId: string;
   number: number;
   replica: Replica;
-  /** Silence allowed until the first token (or the whole plain answer). */
+  /** The maximum time without data until the first token (or the complete plain response). */
   firstTokenTimeout: Milliseconds;
-  /** Silence allowed between tokens. */
+  /** The maximum time without data between tokens. */
   tokenGapTimeout: Milliseconds;
   signal: AbortSignal;
   onLoad: LoadListener;
 }
 
 /**
- * How an attempt ended, and what its answer said beside the answer itself.
+ * How an attempt ended, with the metadata of its response.
  *
  * @internal
  */
 export interface AttemptResult {
   end: AttemptStatus;
-  /** The replica's status, when it answered. */
+  /** The HTTP status, if the replica responded. */
   status?: number;
   retryAfter?: Milliseconds;
-  /** The replica says that it is leaving. */
+  /** Whether the replica reported that it is leaving. */
   leaving?: boolean;
-  /** These connections carried the request and then nothing came in time: they are suspect. */
-  silent?: Dispatcher;
+  /** The connections on which the request was sent and then timed out: they are suspect. */
+  silentDispatcher?: Dispatcher;
   detail: string;
 }
 
 /**
- * What a replica says about itself along with an answer.
+ * Receives the load reports that replicas send with their responses.
  *
  * @internal
  */
 export type LoadListener = (report: LoadReport) => void;
 
 /**
- * The name an attempt goes by upstream; every chunk of its answer carries it, so that what arrives
- * from another attempt or request is recognised and dropped.
+ * Returns the id of an attempt, sent to the replica as `x-request-id`. Every chunk of its response
+ * carries the id, so that data of another attempt or request is recognised and dropped.
  *
  * @example
  * ```ts
@@ -54,6 +54,6 @@
  * ```
  * @internal
  */
-export function getAttemptName(attempt: Pick<Attempt, 'requestId' | 'number'>): string {
+export function getAttemptId(attempt: Pick<Attempt, 'requestId' | 'number'>): string {
   return `${attempt.requestId}/${attempt.number}`;
 }
