--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
@@ -5,39 +5,39 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { Client, buildConnector } from 'undici';
 import type { Dispatcher, buildConnector as Connector } from 'undici';
-import type { AnswerFlow, AnswerReader } from '../ResponseReader.js';
+import type { ResponseFlow, ResponseReader } from '../ResponseReader.js';
 import type { Attempt, AttemptResult } from '../Attempt.js';
-import { PlainAnswerReader } from '../PlainResponseReader.js';
-import type { PlainAnswer } from '../PlainResponseReader.js';
+import { PlainResponseReader } from '../PlainResponseReader.js';
+import type { PlainResponse } from '../PlainResponseReader.js';
 import { AttemptExchange } from './AttemptExchange.js';
 
 const REQUEST = { method: 'POST', path: '/holds', body: 'sheet 7' } as const;
 const TIMEOUT = 1000;
 
-/** A backend server that speaks raw bytes and remembers what it got. */
+/** A backend server that sends raw bytes and records what it receives. */
 class RawServer {
   received = '';
 
-  /** Resolves when the first connection brings bytes, or has ended without any. */
-  readonly firstSign: Promise<void>;
+  /** Resolves when the first connection has received bytes, or has closed without any. */
+  readonly firstActivity: Promise<void>;
 
   private readonly server: Server;
 
   private readonly sockets = new Set<Socket>();
 
-  constructor(answer: (socket: Socket, received: string) => void) {
-    let giveSign = () => {};
-    this.firstSign = new Promise((resolve) => {
-      giveSign = resolve;
+  constructor(respond: (socket: Socket, received: string) => void) {
+    let signalActivity = () => {};
+    this.firstActivity = new Promise((resolve) => {
+      signalActivity = resolve;
     });
     this.server = createServer((socket) => {
       this.sockets.add(socket);
       socket.on('error', () => undefined);
-      socket.on('close', giveSign);
+      socket.on('close', signalActivity);
       socket.on('data', (bytes) => {
         this.received += bytes.toString();
-        giveSign();
-        answer(socket, this.received);
+        signalActivity();
+        respond(socket, this.received);
       });
     });
   }
@@ -54,17 +54,17 @@
   }
 }
 
-const isWhole = (received: string) => received.endsWith('sheet 7');
+const isRequestComplete = (received: string) => received.endsWith('sheet 7');
 
 describe('AttemptExchange', () => {
   const cleanups: (() => void)[] = [];
   let clock: ManualClock;
-  let answers: PlainAnswer[];
+  let responses: PlainResponse[];
   let controller: AbortController;
 
   beforeEach(() => {
     clock = new ManualClock();
-    answers = [];
+    responses = [];
     controller = new AbortController();
   });
 
@@ -74,7 +74,7 @@
 
   function run(
     dispatcher: Dispatcher,
-    onBody: (flow: AnswerFlow) => void = () => undefined,
+    onBody: (flow: ResponseFlow) => void = () => undefined,
   ): Promise<AttemptResult> {
     const attempt = {
       requestId: 'request',
@@ -85,8 +85,8 @@
       signal: controller.signal,
       onLoad: () => undefined,
     } as unknown as Attempt;
-    const createReader = (flow: AnswerFlow): AnswerReader => {
-      const plain = new PlainAnswerReader('request/1', (answer) => answers.push(answer));
+    const createReader = (flow: ResponseFlow): ResponseReader => {
+      const plain = new PlainResponseReader('request/1', (response) => responses.push(response));
       return {
         onHead: (head) => plain.onHead(head),
         onBody: (bytes) => {
@@ -94,14 +94,14 @@
           return plain.onBody(bytes);
         },
         onEnd: () => plain.onEnd(),
-        onBreak: () => plain.onBreak(),
+        onConnectionLost: () => plain.onConnectionLost(),
       };
     };
     return new AttemptExchange({ attempt, clock, createReader }).run(dispatcher, REQUEST);
   }
 
-  async function serve(answer: (socket: Socket, received: string) => void) {
-    const server = new RawServer(answer);
+  async function serve(respond: (socket: Socket, received: string) => void) {
+    const server = new RawServer(respond);
     const origin = await server.listen();
     cleanups.push(() => server.dispose());
     return { server, origin };
@@ -115,11 +115,10 @@
     return client;
   }
 
-  // Symptom: a hold that never left is answered `unknown`, and the shop must check by hand.
-  // Sequence: the connection takes longer to open than silence is allowed. Cause: a connection
-  // being opened taken for one that has gone silent. And the other way round: once given up as
-  // not sent, not one byte may leave when the connection opens after all.
-  it('proves an attempt not sent whose connection opens too late', async () => {
+  // Guards against reporting `unknown` for a request that was never sent, because a connection that
+  // takes longer to open than the silence timeout is mistaken for a silent one. Conversely, once the
+  // attempt has ended as not sent, no byte may be sent when the connection opens after all.
+  it('reports an attempt as not sent if its connection opens after the timeout', async () => {
     const { server, origin } = await serve(() => undefined);
     const direct = buildConnector({});
     const late: (() => void)[] = [];
@@ -128,75 +127,73 @@
     });
     const result = run(client);
     clock.advance(TIMEOUT);
-    const { end, silent } = await result;
+    const { end, silentDispatcher } = await result;
     expect(end).toBe(AttemptStatus.NotSent);
-    expect(silent).toBeUndefined();
+    expect(silentDispatcher).toBeUndefined();
     late.forEach((go) => go());
-    await server.firstSign;
+    await server.firstActivity;
     expect(server.received).toBe('');
   });
 
-  it('proves an attempt not sent whose connection is refused', async () => {
+  it('reports an attempt as not sent if its connection is refused', async () => {
     const { server, origin } = await serve(() => undefined);
     server.dispose();
     expect(await run(connect(origin))).toMatchObject({ end: AttemptStatus.NotSent });
   });
 
   it.each([
-    ['before its answer', ''],
-    ['within the head', 'HTTP/1.1 200 OK\r\ncontent-le'],
+    ['before the response', ''],
+    ['within the headers', 'HTTP/1.1 200 OK\r\ncontent-le'],
     ['within the body', 'HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf'],
-  ])('calls a connection broken that ends %s', async (_where, part) => {
+  ])('reports an attempt as broken if its connection ends %s', async (_where, part) => {
     const { origin } = await serve((socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         socket.end(part);
       }
     });
     expect(await run(connect(origin))).toMatchObject({ end: AttemptStatus.Broken });
-    expect(answers).toEqual([]);
+    expect(responses).toEqual([]);
   });
 
-  it('notices a connection that takes the request and goes silent', async () => {
+  it('detects a connection that goes silent after the request was sent', async () => {
     const { origin } = await serve((_socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         clock.advance(TIMEOUT);
       }
     });
     const client = connect(origin);
-    const { end, silent } = await run(client);
+    const { end, silentDispatcher } = await run(client);
     expect(end).toBe(AttemptStatus.Broken);
-    expect(silent === client).toBe(true);
+    expect(silentDispatcher === client).toBe(true);
   });
 
-  // Symptom: a caller on a slow line loses its answer, and the engine's connections are condemned.
-  // Sequence: the answer is held back for the caller, longer than silence is allowed. Cause: our
-  // own waiting counted as the replica's silence.
-  it('does not take waiting for the caller for silence', async () => {
-    let takeMore = () => {};
+  // Guards against counting the daemon's own wait for a slow caller as silence of the replica: the
+  // caller would lose its response, and the engine's connections would be replaced.
+  it('does not count waiting for the caller as silence', async () => {
+    let acceptMore = () => {};
     const ready = new Promise<void>((resolve) => {
-      takeMore = resolve;
+      acceptMore = resolve;
     });
     const { origin } = await serve((socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         socket.write('HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nhalf');
         ready.then(() => socket.write('half'));
       }
     });
     const { end, detail } = await run(connect(origin), (flow) => {
-      flow.waitFor(ready);
+      flow.pauseUntil(ready);
       clock.advance(5 * TIMEOUT);
-      takeMore();
+      acceptMore();
     });
-    expect({ end, detail }).toEqual({ end: AttemptStatus.Completed, detail: 'whole' });
-    expect(answers[0]?.body.toString()).toBe('halfhalf');
+    expect({ end, detail }).toEqual({ end: AttemptStatus.Completed, detail: 'complete' });
+    expect(responses[0]?.body.toString()).toBe('halfhalf');
   });
 
-  // Symptom: a refused hold is answered `unknown`. Sequence: the replica refuses by the documented
-  // head, the body of the refusal never ends, and silence ends the attempt. Cause: the proof was
-  // in the head, and the attempt waited for the body.
-  it('believes a refusal from its head', async () => {
+  // Guards against reporting `unknown` for a refused request: the headers of the refusal already prove
+  // that nothing was run, so the attempt must not wait for a body that never ends and then time out.
+  it('accepts a refusal as soon as its headers have arrived', async () => {
     const { origin } = await serve((socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         const head = ['HTTP/1.1 503 No', 'x-outcome: not-run', 'x-leaving: true', 'retry-after: 2'];
         socket.write(`${head.join('\r\n')}\r\ncontent-length: 9\r\n\r\n{`);
       }
@@ -205,9 +202,9 @@
     expect(await run(connect(origin))).toMatchObject(expected);
   });
 
-  it('calls an error an error though its connection breaks', async () => {
+  it('reports an error response as an error even if its connection breaks', async () => {
     const { origin } = await serve((socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         socket.end('HTTP/1.1 500 No\r\ncontent-length: 50\r\n\r\nout of ink');
       }
     });
@@ -215,10 +212,9 @@
     expect(await run(connect(origin))).toMatchObject(expected);
   });
 
-  // Symptom: a payment is charged twice. Sequence: the connection fails under the request, and the
-  // HTTP client starts it again on a new one by itself. Cause: clients repeat what was queued on a
-  // connection that failed.
-  it('never lets the client start the request again', async () => {
+  // Guards against a request that runs twice, such as a payment: HTTP clients resend by themselves
+  // what was queued on a connection that failed.
+  it('prevents the HTTP client from sending the request again', async () => {
     const aborts: unknown[] = [];
     const control = { abort: (reason: unknown) => aborts.push(reason) };
     const repeating = {
@@ -232,9 +228,9 @@
     expect(aborts).toHaveLength(1);
   });
 
-  it('breaks the connection at once when it is cancelled', async () => {
+  it('aborts the connection immediately when the attempt is cancelled', async () => {
     const { origin } = await serve((socket, received) => {
-      if (isWhole(received)) {
+      if (isRequestComplete(received)) {
         controller.abort();
       }
     });
@@ -244,12 +240,12 @@
     await disconnected;
   });
 
-  it('sends nothing of an attempt that was cancelled before its connection opened', async () => {
+  it('sends nothing if the attempt is cancelled before its connection opens', async () => {
     const { server, origin } = await serve(() => undefined);
     const result = run(connect(origin));
     controller.abort();
     expect(await result).toMatchObject({ end: AttemptStatus.Cancelled });
-    await server.firstSign;
+    await server.firstActivity;
     expect(server.received).toBe('');
   });
 });
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
@@ -3,39 +3,39 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 import { routerOptions } from '../../options.js';
-import type { AnswerFlow, AnswerReader } from '../ResponseReader.js';
+import type { ResponseFlow, ResponseReader } from '../ResponseReader.js';
 import type { Attempt, AttemptResult } from '../Attempt.js';
 import { parseLoad } from '../parseLoad.js';
-import { SilenceGuard } from '../SilenceTimer.js';
+import { SilenceTimer } from '../SilenceTimer.js';
 
 /**
- * What an exchange is made of.
+ * Settings of an {@link AttemptExchange}.
  *
  * @internal
  */
-export interface AttemptExchangeParts {
+export interface AttemptExchangeSettings {
   attempt: Attempt;
   clock: Clock;
-  createReader: (flow: AnswerFlow) => AnswerReader;
+  createReader: (flow: ResponseFlow) => ResponseReader;
 }
 
-/** Informational answers come before the answer itself. */
-const FIRST_FINAL_STATUS = 200;
+/** Informational (1xx) responses precede the final response. */
+const MIN_FINAL_STATUS = 200;
 
 /**
- * One attempt on its connection: sends the request, hands the answer to its reader, and knows for
- * sure whether a byte of the request can have left. The HTTP client calls
- * {@link AttemptExchange.onRequestStart} right before it writes; an attempt that ends before that
- * has not run, whatever the error, and one that ends after may have.
+ * One attempt on its connection: sends the request, passes the response to its reader, and tracks
+ * whether any byte of the request can have been sent. The HTTP client calls
+ * {@link AttemptExchange.onRequestStart} right before it writes. An attempt that ends before that has
+ * not run, whatever the error; one that ends after that may have run.
  *
  * @internal
  */
-export class AttemptExchange implements Dispatcher.DispatchHandler, AnswerFlow {
-  private readonly parts: AttemptExchangeParts;
+export class AttemptExchange implements Dispatcher.DispatchHandler, ResponseFlow {
+  private readonly settings: AttemptExchangeSettings;
 
-  private readonly reader: AnswerReader;
+  private readonly reader: ResponseReader;
 
-  private readonly guard: SilenceGuard;
+  private readonly silenceTimer: SilenceTimer;
 
   private readonly onCancel = () => this.cancel();
 
@@ -45,30 +45,32 @@
 
   private resolve: ((result: AttemptResult) => void) | undefined;
 
-  private settled = false;
+  private isSettled = false;
 
-  /** The connection has nothing more to say. */
-  private over = false;
+  /** Whether the HTTP client has reported the end of the response or an error. */
+  private isConnectionDone = false;
 
-  private tail: Timer | undefined;
+  private drainTimer: Timer | undefined;
 
-  constructor(parts: AttemptExchangeParts) {
-    this.parts = parts;
-    const { attempt, clock, createReader } = parts;
+  constructor(settings: AttemptExchangeSettings) {
+    this.settings = settings;
+    const { attempt, clock, createReader } = settings;
     this.reader = createReader(this);
-    this.guard = new SilenceGuard(clock, attempt.firstTokenTimeout, () => this.endSilent());
+    this.silenceTimer = new SilenceTimer(clock, attempt.firstTokenTimeout, () =>
+      this.handleSilence(),
+    );
   }
 
   /**
    * @param dispatcher - the connections to the replica
    * @param options - the request
-   * @returns how the attempt ended; it never rejects
+   * @returns how the attempt ended; never rejects
    */
   run(
     dispatcher: Dispatcher,
     options: Omit<Dispatcher.DispatchOptions, 'origin'>,
   ): Promise<AttemptResult> {
-    const { signal } = this.parts.attempt;
+    const { signal } = this.settings.attempt;
     this.dispatcher = dispatcher;
     return new Promise((resolve) => {
       this.resolve = resolve;
@@ -82,12 +84,12 @@
   }
 
   /**
-   * Called before the first byte is written. The client would call it again to repeat a request
-   * whose connection failed under it: a repeat is the scheduler's to decide, never the client's.
+   * Called before the first byte is written. The client would call it again to retry a request whose
+   * connection failed; that is prevented, since only the scheduler decides on retries.
    */
   onRequestStart(controller: Dispatcher.DispatchController): void {
-    if (this.settled || this.controller !== undefined) {
-      controller.abort(new Error('not to be sent'));
+    if (this.isSettled || this.controller !== undefined) {
+      controller.abort(new Error('the request must not be sent'));
       return;
     }
     this.controller = controller;
@@ -98,103 +100,104 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (this.settled || status < FIRST_FINAL_STATUS) {
+    if (this.isSettled || status < MIN_FINAL_STATUS) {
       return;
     }
-    const { replica, onLoad } = this.parts.attempt;
+    const { replica, onLoad } = this.settings.attempt;
     const load = parseLoad(replica.id, headers['x-load']);
     if (load !== undefined) {
       onLoad(load);
     }
-    this.settleIf(this.reader.onHead({ status, headers }));
+    this.settleIfEnded(this.reader.onHead({ status, headers }));
   }
 
-  /** Each resumption brings an empty piece first; waiting for the caller on it would never end. */
+  /** Ignores empty chunks: each resume delivers one first, and pausing on it would never end. */
   onResponseData(_controller: Dispatcher.DispatchController, bytes: Buffer): void {
-    if (!this.settled && bytes.length > 0) {
-      this.settleIf(this.reader.onBody(bytes));
+    if (!this.isSettled && bytes.length > 0) {
+      this.settleIfEnded(this.reader.onBody(bytes));
     }
   }
 
   onResponseEnd(): void {
-    this.endConnection();
-    if (!this.settled) {
+    this.markConnectionDone();
+    if (!this.isSettled) {
       this.settle(this.reader.onEnd());
     }
   }
 
   onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
-    this.endConnection();
-    if (!this.settled) {
-      this.settle(this.getBreak(String(error)));
+    this.markConnectionDone();
+    if (!this.isSettled) {
+      this.settle(this.getConnectionLostResult(String(error)));
     }
   }
 
-  noteProgress(): void {
-    this.guard.touch(this.parts.attempt.tokenGapTimeout);
+  recordProgress(): void {
+    this.silenceTimer.recordActivity(this.settings.attempt.tokenGapTimeout);
   }
 
-  waitFor(ready: Promise<void>): void {
+  pauseUntil(ready: Promise<void>): void {
     this.controller?.pause();
-    this.guard.pause();
+    this.silenceTimer.pause();
     ready.then(() => {
-      if (!this.settled) {
-        this.guard.resume();
+      if (!this.isSettled) {
+        this.silenceTimer.resume();
         this.controller?.resume();
       }
     });
   }
 
-  private endConnection(): void {
-    this.over = true;
-    this.tail?.cancel();
+  private markConnectionDone(): void {
+    this.isConnectionDone = true;
+    this.drainTimer?.cancel();
   }
 
-  private settleIf(result: AttemptResult | undefined): void {
+  private settleIfEnded(result: AttemptResult | undefined): void {
     if (result !== undefined) {
       this.settle(result);
     }
   }
 
   private cancel(): void {
-    if (!this.settled) {
+    if (!this.isSettled) {
       this.settle({ end: AttemptStatus.Cancelled, detail: 'cancelled' });
     }
   }
 
-  private endSilent(): void {
-    const result = this.getBreak('silent for too long');
-    const { dispatcher: silent } = this;
-    this.settle(result.end === AttemptStatus.NotSent ? result : { ...result, silent });
+  private handleSilence(): void {
+    const result = this.getConnectionLostResult('no data received within the timeout');
+    const { dispatcher: silentDispatcher } = this;
+    this.settle(result.end === AttemptStatus.NotSent ? result : { ...result, silentDispatcher });
   }
 
-  private getBreak(detail: string): AttemptResult {
+  private getConnectionLostResult(detail: string): AttemptResult {
     if (this.controller === undefined) {
       return { end: AttemptStatus.NotSent, detail };
     }
-    return this.reader.onBreak(detail) ?? { end: AttemptStatus.Broken, detail };
+    return this.reader.onConnectionLost(detail) ?? { end: AttemptStatus.Broken, detail };
   }
 
   private settle(result: AttemptResult): void {
-    this.settled = true;
-    this.guard.dispose();
-    this.parts.attempt.signal.removeEventListener('abort', this.onCancel);
-    this.leave(result.end);
+    this.isSettled = true;
+    this.silenceTimer.dispose();
+    this.settings.attempt.signal.removeEventListener('abort', this.onCancel);
+    this.releaseConnection(result.end);
     this.resolve?.(result);
   }
 
   /**
-   * After an answer that needs no more reading the connection is good for the next request once its
-   * last bytes have passed; a short time later it is given up. Any other end breaks it at once, so
-   * that the replica stops computing for nobody.
+   * Releases the connection after the attempt has ended. After a completed response or a refusal, the
+   * connection can be reused once the last bytes have arrived; it is aborted if they don't arrive
+   * within a short timeout. After any other result it is aborted immediately, so that the replica
+   * stops work whose result is not needed.
    */
-  private leave(end: AttemptStatus): void {
-    if (this.over) {
+  private releaseConnection(end: AttemptStatus): void {
+    if (this.isConnectionDone) {
       return;
     }
-    const abort = () => this.controller?.abort(new Error('given up'));
+    const abort = () => this.controller?.abort(new Error('the attempt has ended'));
     if (end === AttemptStatus.Completed || end === AttemptStatus.Refused) {
-      this.tail = this.parts.clock.setTimer(routerOptions.answerTail, abort);
+      this.drainTimer = this.settings.clock.setTimer(routerOptions.responseDrainTimeout, abort);
     } else {
       abort();
     }
--- a/packages/router/src/lib/upstream/ChatChunk.ts
+++ b/packages/router/src/lib/upstream/ChatChunk.ts
@@ -1,5 +1,5 @@
 /**
- * One `chat.completion.chunk` of a streamed answer, as far as the router reads it.
+ * The fields of a `chat.completion.chunk` that the router reads.
  *
  * @internal
  */
@@ -12,27 +12,27 @@
 }
 
 /**
- * A token as it is handed on.
+ * A token of a streamed response.
  *
  * @internal
  */
 export type ChatToken =
   | { kind: 'chunk'; chunk: ChatChunk }
-  /** Everything of the chunk's text that follows its name, to be passed on as it came. */
+  /** The unparsed text of the chunk after its id, to be forwarded unchanged. */
   | { kind: 'tail'; tail: string };
 
 /**
- * What a chat attempt hands to the request that owns it.
+ * Receives the content of a chat response; implemented by the request that owns the attempt.
  *
  * @internal
  */
 export interface ChatListener {
-  /** Whether tokens are only passed on, so that their text need not be understood. */
-  readonly passesOn: boolean;
-  /** The next token of the answer, in order, none twice. */
+  /** Whether tokens may be passed as unparsed text, because they are only forwarded. */
+  readonly acceptsRawTokens: boolean;
+  /** The next token of the response, in order and without duplicates. */
   onToken(token: ChatToken): void;
-  /** The closing chunk: why the answer ended, and what it used. */
+  /** The final chunk, with the finish reason and the token usage. */
   onFinish(chunk: ChatChunk): void;
-  /** Something came that belongs to another attempt, or repeats a token; it was dropped. */
-  onStray(what: string): void;
+  /** Data of another attempt, or a repeated token, was dropped. */
+  onDropped(what: string): void;
 }
--- a/packages/router/src/lib/upstream/ChatResponseReader.ts
+++ b/packages/router/src/lib/upstream/ChatResponseReader.ts
@@ -1,94 +1,97 @@
 import { AttemptStatus } from '@apricotrill/policy';
-import type { AnswerFlow, AnswerHead, AnswerReader } from './ResponseReader.js';
+import type { ResponseFlow, ResponseHead, ResponseReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
 import type { ChatListener } from './ChatChunk.js';
 import { ChatStreamReader } from './ChatStreamReader/ChatStreamReader.js';
-import { FailureReader } from './ErrorResponseReader.js';
+import { ErrorResponseReader } from './ErrorResponseReader.js';
 
-const OK = 200;
+const HTTP_OK = 200;
 
 /**
- * What a chat attempt tells the request that owns it.
+ * Receives the events of a chat attempt; implemented by the request that owns it.
  *
  * @internal
  */
-export interface ChatAnswerListener extends ChatListener {
-  /** The engine has taken the request. */
+export interface ChatResponseListener extends ChatListener {
+  /** The engine has accepted the request. */
   onStart(): void;
-  /** The tokens of one read have been handed over. */
-  onRead(): void;
-  /** Resolves when the caller can take more; undefined when it can now. */
+  /** All tokens of one read have been passed to `onToken`. */
+  onTokensRead(): void;
+  /** Resolves when the caller can accept more; undefined if it can now. */
   waitForCaller(): Promise<void> | undefined;
 }
 
 /**
- * Reads the streamed answer of an engine.
+ * Reads the streamed response of an engine.
  *
  * @internal
  */
-export class ChatAnswerReader implements AnswerReader {
+export class ChatResponseReader implements ResponseReader {
   private readonly stream: ChatStreamReader;
 
-  private readonly listener: ChatAnswerListener;
+  private readonly listener: ChatResponseListener;
 
-  private readonly flow: AnswerFlow;
+  private readonly flow: ResponseFlow;
 
-  private failure: FailureReader | undefined;
+  private errorReader: ErrorResponseReader | undefined;
 
   /**
-   * @param attemptName - what every chunk of this attempt is called
-   * @param resumeAt - tokens the caller already has
+   * @param attemptId - the id that every chunk of this attempt carries
+   * @param resumeAt - the number of tokens already delivered to the caller
    * @param listener - the request that owns the attempt
-   * @param flow - the connection
+   * @param flow - flow control of the connection
    */
   constructor(
-    attemptName: string,
+    attemptId: string,
     resumeAt: number,
-    listener: ChatAnswerListener,
-    flow: AnswerFlow,
+    listener: ChatResponseListener,
+    flow: ResponseFlow,
   ) {
-    this.stream = new ChatStreamReader(attemptName, resumeAt, listener);
+    this.stream = new ChatStreamReader(attemptId, resumeAt, listener);
     this.listener = listener;
     this.flow = flow;
   }
 
-  onHead(head: AnswerHead): AttemptResult | undefined {
-    if (head.status !== OK) {
-      this.failure = new FailureReader();
-      return this.failure.onHead(head);
+  onHead(head: ResponseHead): AttemptResult | undefined {
+    if (head.status !== HTTP_OK) {
+      this.errorReader = new ErrorResponseReader();
+      return this.errorReader.onHead(head);
     }
     this.listener.onStart();
     return undefined;
   }
 
   onBody(bytes: Buffer): AttemptResult | undefined {
-    if (this.failure !== undefined) {
-      return this.failure.onBody(bytes);
+    if (this.errorReader !== undefined) {
+      return this.errorReader.onBody(bytes);
     }
     const before = this.stream.getNextIndex();
     this.stream.feed(bytes);
     if (this.stream.getNextIndex() > before) {
-      this.flow.noteProgress();
-      this.listener.onRead();
+      this.flow.recordProgress();
+      this.listener.onTokensRead();
     }
-    return this.getEnd() ?? this.waitForCaller();
+    return this.getStreamResult() ?? this.waitForCaller();
   }
 
   onEnd(): AttemptResult {
     return (
-      this.failure?.onEnd() ??
-      this.getEnd() ?? { end: AttemptStatus.Broken, detail: 'the stream ended early' }
+      this.errorReader?.onEnd() ??
+      this.getStreamResult() ?? {
+        end: AttemptStatus.Broken,
+        detail: 'the stream ended before the response was complete',
+      }
     );
   }
 
-  onBreak(): AttemptResult | undefined {
-    return this.failure?.onBreak();
+  onConnectionLost(): AttemptResult | undefined {
+    return this.errorReader?.onConnectionLost();
   }
 
-  /** The answer is over with its end mark, whenever the connection ends. */
-  private getEnd(): AttemptResult | undefined {
-    if (this.stream.isWhole()) {
-      return { end: AttemptStatus.Completed, status: OK, detail: 'whole' };
+  /** The response ends with its `[DONE]` event, regardless of when the connection closes. */
+  private getStreamResult(): AttemptResult | undefined {
+    if (this.stream.isComplete()) {
+      return { end: AttemptStatus.Completed, status: HTTP_OK, detail: 'complete' };
     }
     const fault = this.stream.getFault();
     return fault === undefined ? undefined : { end: AttemptStatus.Broken, detail: fault };
@@ -97,7 +100,7 @@
   private waitForCaller(): undefined {
     const ready = this.listener.waitForCaller();
     if (ready !== undefined) {
-      this.flow.waitFor(ready);
+      this.flow.pauseUntil(ready);
     }
   }
 }
--- a/packages/router/src/lib/upstream/ChatStreamReader/ChatStreamReader.test.ts
+++ b/packages/router/src/lib/upstream/ChatStreamReader/ChatStreamReader.test.ts
@@ -5,14 +5,14 @@
 const NAME = '0f0e/2';
 const FOREIGN = '0f0e/1';
 
-/** One event of a stream, as an engine or a crossed connection may send it. */
+/** One event of a stream, as sent by an engine or mixed in from another response. */
 type Event =
   | { kind: 'token'; name: string; index: number }
   | { kind: 'role' }
   | { kind: 'finish'; name: string }
   | { kind: 'done' };
 
-/** The text of a token: some have more bytes than characters, and some are empty. */
+/** Returns the text of a token: some have more bytes than characters, and some are empty. */
 function getText(index: number): string {
   return index % 7 === 3 ? '' : ` ääni-${index}`;
 }
@@ -22,7 +22,7 @@
     case 'token': {
       const text = event.name === NAME ? getText(event.index) : ' foreign';
       const choices = [{ index: 0, delta: { content: text }, finish_reason: null }];
-      // Engines write JSON as they like; only the usual way may be passed on unread.
+      // Engines format JSON differently; only the usual format may be forwarded unparsed.
       const space = event.index % 5 === 4 ? 1 : undefined;
       const lines = JSON.stringify({ id: event.name, choices }, undefined, space).split('\n');
       return `id: ${event.index}\n${lines.map((line) => `data: ${line}\n`).join('')}\n`;
@@ -40,18 +40,18 @@
   }
 }
 
-/** What the reader said about a stream. */
-class Hearing {
+/** Records what the reader reports about a stream. */
+class RecordingListener {
   readonly texts: string[] = [];
 
-  strays = 0;
+  droppedCount = 0;
 
-  finishes = 0;
+  finishCount = 0;
 
-  readonly passesOn: boolean;
+  readonly acceptsRawTokens: boolean;
 
-  constructor(passesOn: boolean) {
-    this.passesOn = passesOn;
+  constructor(acceptsRawTokens: boolean) {
+    this.acceptsRawTokens = acceptsRawTokens;
   }
 
   onToken(token: ChatToken): void {
@@ -60,38 +60,38 @@
   }
 
   onFinish(): void {
-    this.finishes += 1;
+    this.finishCount += 1;
   }
 
-  onStray(): void {
-    this.strays += 1;
+  onDropped(): void {
+    this.droppedCount += 1;
   }
 }
 
-interface Reading {
+interface ReadOptions {
   resumeAt?: number;
   cutAt?: number;
-  pieces?: number[];
-  passesOn?: boolean;
+  chunkSizes?: number[];
+  acceptsRawTokens?: boolean;
 }
 
 function read(
   events: readonly Event[],
-  { resumeAt = 0, cutAt = Infinity, pieces = [1000], passesOn = false }: Reading,
+  { resumeAt = 0, cutAt = Infinity, chunkSizes = [1000], acceptsRawTokens = false }: ReadOptions,
 ) {
-  const hearing = new Hearing(passesOn);
-  const reader = new ChatStreamReader(NAME, resumeAt, hearing);
+  const listener = new RecordingListener(acceptsRawTokens);
+  const reader = new ChatStreamReader(NAME, resumeAt, listener);
   const bytes = Buffer.from(events.map(encode).join('')).subarray(0, cutAt);
   let from = 0;
   for (let turn = 0; from < bytes.length; turn += 1) {
-    const size = pieces[turn % pieces.length]!;
+    const size = chunkSizes[turn % chunkSizes.length]!;
     reader.feed(bytes.subarray(from, from + size));
     from += size;
   }
-  return { hearing, reader };
+  return { listener, reader };
 }
 
-/** An answer of `count` tokens as a healthy engine streams it from `resumeAt` on. */
+/** Creates a response of `count` tokens as a healthy engine streams it from `resumeAt` on. */
 function getStream(resumeAt: number, count: number): Event[] {
   const tokens: Event[] = Array.from({ length: count - resumeAt }, (_, offset) => ({
     kind: 'token',
@@ -101,14 +101,14 @@
   return [...tokens, { kind: 'finish', name: NAME }, { kind: 'done' }];
 }
 
-/** What a caller must get, worked out from the list of events alone. */
+/** Computes what a caller must receive from the list of events alone. */
 function getExpected(events: readonly Event[], resumeAt: number) {
   let next = resumeAt;
   let gap = false;
   let finished = false;
-  let whole = false;
+  let complete = false;
   events.forEach((event) => {
-    if (gap || whole) {
+    if (gap || complete) {
       return;
     }
     if (event.kind === 'token' && event.name === NAME) {
@@ -117,11 +117,11 @@
     } else if (event.kind === 'finish' && event.name === NAME) {
       finished = true;
     } else if (event.kind === 'done') {
-      whole = finished;
+      complete = finished;
     }
   });
   const texts = Array.from({ length: next - resumeAt }, (_, offset) => getText(resumeAt + offset));
-  return { texts, gap, whole };
+  return { texts, gap, complete };
 }
 
 const foreign: fc.Arbitrary<Event> = fc.oneof(
@@ -141,8 +141,8 @@
   index: fc.nat(9),
 });
 
-/** A stream with pieces put in and taken out at any place. */
-const spoilt = fc
+/** A stream with events inserted and removed at arbitrary positions. */
+const corruptedStream = fc
   .record({
     resumeAt: fc.nat(4),
     length: fc.nat(8),
@@ -157,51 +157,71 @@
     return { resumeAt, stream };
   });
 
-const sizes = fc.array(fc.integer({ min: 1, max: 90 }), { minLength: 1, maxLength: 5 });
+const chunkSizesArbitrary = fc.array(fc.integer({ min: 1, max: 90 }), {
+  minLength: 1,
+  maxLength: 5,
+});
 
 describe('ChatStreamReader', () => {
-  // Symptom: a caller sees a token of somebody else, one twice, one missing, or half an answer
-  // passed off as whole. Sequence: an answer arrives late, crossed with another, or with pieces
-  // lost or repeated, in reads that end anywhere. Cause: bytes taken for tokens unchecked.
-  it('hands over exactly the tokens of its own attempt, in order', () => {
+  // Guards against delivering foreign, repeated or missing tokens, or a truncated response as complete:
+  // a response can arrive late, mixed with another, or with events lost or repeated, in reads that end
+  // anywhere.
+  it('delivers exactly the tokens of its own attempt, in order', () => {
     fc.assert(
-      fc.property(spoilt, sizes, fc.boolean(), ({ resumeAt, stream }, pieces, passesOn) => {
-        const { hearing, reader } = read(stream, { resumeAt, pieces, passesOn });
-        const expected = getExpected(stream, resumeAt);
-        expect(hearing.texts).toEqual(expected.texts);
-        expect(reader.isWhole()).toBe(expected.whole && !expected.gap);
-        expect(reader.getFault() !== undefined).toBe(expected.gap);
-      }),
+      fc.property(
+        corruptedStream,
+        chunkSizesArbitrary,
+        fc.boolean(),
+        ({ resumeAt, stream }, chunkSizes, acceptsRawTokens) => {
+          const { listener, reader } = read(stream, {
+            resumeAt,
+            chunkSizes,
+            acceptsRawTokens,
+          });
+          const expected = getExpected(stream, resumeAt);
+          expect(listener.texts).toEqual(expected.texts);
+          expect(reader.isComplete()).toBe(expected.complete && !expected.gap);
+          expect(reader.getFault() !== undefined).toBe(expected.gap);
+        },
+      ),
       { seed: 20250, numRuns: 3000 },
     );
   });
 
-  // Symptom: a cut answer reaches the caller with an end mark. Sequence: the engine dies or the
-  // connection closes after any byte. Cause: the end of the connection taken for the end of the
-  // answer.
-  it('calls no answer whole whose bytes end early', () => {
+  // Guards against taking the end of the connection for the end of the response: the engine can fail or
+  // the connection can close after any byte, and a truncated response must not look complete.
+  it('does not report a truncated response as complete', () => {
     fc.assert(
-      fc.property(fc.nat(6), fc.nat(2000), sizes, fc.boolean(), (count, cut, pieces, passesOn) => {
-        const stream = getStream(0, count);
-        const { length } = Buffer.from(stream.map(encode).join(''));
-        const at = cut % length;
-        const { hearing, reader } = read(stream, { cutAt: at, pieces, passesOn });
-        expect(reader.isWhole()).toBe(false);
-        const expected = Array.from({ length: count }, (_, index) => getText(index));
-        expect(expected.slice(0, hearing.texts.length)).toEqual(hearing.texts);
-      }),
+      fc.property(
+        fc.nat(6),
+        fc.nat(2000),
+        chunkSizesArbitrary,
+        fc.boolean(),
+        (count, cut, chunkSizes, acceptsRawTokens) => {
+          const stream = getStream(0, count);
+          const { length } = Buffer.from(stream.map(encode).join(''));
+          const at = cut % length;
+          const { listener, reader } = read(stream, {
+            cutAt: at,
+            chunkSizes,
+            acceptsRawTokens,
+          });
+          expect(reader.isComplete()).toBe(false);
+          const expected = Array.from({ length: count }, (_, index) => getText(index));
+          expect(expected.slice(0, listener.texts.length)).toEqual(listener.texts);
+        },
+      ),
       { seed: 20251, numRuns: 2000 },
     );
   });
 
-  // Symptom: an answer with an empty token in it never comes to its end. Sequence: the engine
-  // sends a token without text (half a character), the reader does not count it, takes the next
-  // one for a gap, and asks another replica, which sends the same. Cause: tokens told by their
-  // text instead of their index.
+  // Guards against identifying tokens by their text instead of their index: an uncounted token without
+  // text (half a character) would make the next one look like a gap, and the request would be retried
+  // at another replica, which sends the same tokens, so that the response never ends.
   it('counts a token without text', () => {
     const stream = getStream(0, 5);
-    const { hearing, reader } = read(stream, {});
-    expect(hearing.texts).toHaveLength(5);
-    expect(reader.isWhole()).toBe(true);
+    const { listener, reader } = read(stream, {});
+    expect(listener.texts).toHaveLength(5);
+    expect(reader.isComplete()).toBe(true);
   });
 });
--- a/packages/router/src/lib/upstream/ChatStreamReader/ChatStreamReader.ts
+++ b/packages/router/src/lib/upstream/ChatStreamReader/ChatStreamReader.ts
@@ -5,15 +5,16 @@
 
 const END_OF_STREAM = '[DONE]';
 
-/** What the text of a token has that is not the last; no text within it can look like that. */
-const GOES_ON = '"finish_reason":null';
+/** Contained in every chunk but the last; can't occur in a token's text, where quotes are escaped. */
+const UNFINISHED_MARKER = '"finish_reason":null';
 
 /**
- * Turns the bytes of one attempt's stream into the tokens of one answer.
+ * Parses the byte stream of one attempt into the tokens of one response.
  *
- * An answer can arrive late, crossed with another, or repeat what a resumed attempt already
- * delivered. Each chunk names its attempt and each event its token index; whatever does not fit
- * both is dropped, so the caller's text has no token of another request, none twice, none skipped.
+ * A response can arrive late, mixed with another one, or repeat tokens that were delivered before the
+ * attempt resumed. Each chunk carries the id of its attempt and each event its token index. Whatever
+ * doesn't match is dropped, so that no token of another request is delivered, and no token is
+ * delivered twice or skipped.
  *
  * @internal
  */
@@ -22,64 +23,64 @@
 
   private readonly decoder = new StringDecoder('utf8');
 
-  private readonly attemptName: string;
+  private readonly attemptId: string;
 
-  /** How the text of each chunk of this attempt begins, as engines usually write it. */
-  private readonly head: string;
+  /** The start of each chunk of this attempt, in the usual serialization of engines. */
+  private readonly chunkPrefix: string;
 
   private readonly listener: ChatListener;
 
   private nextIndex: number;
 
-  private finished = false;
+  private hasFinishChunk = false;
 
-  private whole = false;
+  private isStreamComplete = false;
 
   private fault: string | undefined;
 
   /**
-   * @param attemptName - what every chunk of this attempt is called
+   * @param attemptId - the id that every chunk of this attempt carries
    * @param nextIndex - the index of the first token not yet delivered
    * @param listener - the request that owns the attempt
    */
-  constructor(attemptName: string, nextIndex: number, listener: ChatListener) {
-    this.attemptName = attemptName;
-    this.head = `{"id":${JSON.stringify(attemptName)},`;
+  constructor(attemptId: string, nextIndex: number, listener: ChatListener) {
+    this.attemptId = attemptId;
+    this.chunkPrefix = `{"id":${JSON.stringify(attemptId)},`;
     this.nextIndex = nextIndex;
     this.listener = listener;
   }
 
-  /** Takes the next bytes of the stream. */
+  /** Parses the next bytes of the stream. */
   feed(bytes: Buffer): void {
     this.parser.feed(this.decoder.write(bytes));
   }
 
-  /** Whether the answer is whole: its closing chunk and the end mark have come, no token missing. */
-  isWhole(): boolean {
-    return this.whole;
+  /** Whether the final chunk and `[DONE]` have arrived, with no token missing. */
+  isComplete(): boolean {
+    return this.isStreamComplete;
   }
 
-  /** What is wrong with the stream, if it must be given up before its end. */
+  /** Returns the fault because of which the stream must be abandoned, if any. */
   getFault(): string | undefined {
     return this.fault;
   }
 
-  /** The index of the token that comes next. */
+  /** Returns the index of the next expected token. */
   getNextIndex(): number {
     return this.nextIndex;
   }
 
   private handleEvent({ data, id }: EventSourceMessage): void {
-    if (this.whole || this.fault !== undefined) {
+    if (this.isStreamComplete || this.fault !== undefined) {
       return;
     }
     if (data === END_OF_STREAM) {
-      // The end mark has no name: before the closing chunk it is another answer's.
-      this.whole = this.finished;
+      // `[DONE]` carries no id: before the final chunk it belongs to another response.
+      this.isStreamComplete = this.hasFinishChunk;
       return;
     }
-    if (id !== undefined && this.listener.passesOn && this.isPlainToken(data)) {
-      this.handleToken({ kind: 'tail', tail: data.slice(this.head.length) }, id);
+    if (id !== undefined && this.listener.acceptsRawTokens && this.canForwardRaw(data)) {
+      this.handleToken({ kind: 'tail', tail: data.slice(this.chunkPrefix.length) }, id);
       return;
     }
     const chunk = this.parse(data);
@@ -89,14 +90,15 @@
   }
 
   /**
-   * Whether the text names this attempt and is not the answer's last. Understanding it would cost
-   * as much as everything else that is done for a token; whatever looks different is understood.
+   * Whether the text is a chunk of this attempt, but not the last, that can be forwarded unparsed.
+   * Parsing it would cost as much as all other processing of a token. Anything that looks different is
+   * parsed.
    */
-  private isPlainToken(data: string): boolean {
+  private canForwardRaw(data: string): boolean {
     return (
-      data.startsWith(this.head) &&
+      data.startsWith(this.chunkPrefix) &&
       data.endsWith('}') &&
-      data.includes(GOES_ON) &&
+      data.includes(UNFINISHED_MARKER) &&
       !data.includes('\n')
     );
   }
@@ -104,19 +106,19 @@
   private parse(data: string): ChatChunk | undefined {
     try {
       const chunk = JSON.parse(data) as ChatChunk;
-      if (chunk.id === this.attemptName) {
+      if (chunk.id === this.attemptId) {
         return chunk;
       }
-      this.listener.onStray(`chunk of ${chunk.id}`);
+      this.listener.onDropped(`chunk of ${chunk.id}`);
     } catch {
-      this.fault = 'a chunk is not JSON';
+      this.fault = 'a chunk is not valid JSON';
     }
     return undefined;
   }
 
   /**
-   * An event with an id is a token, whatever its text: an engine gives a token without text when
-   * a character is not complete yet. One without an id and without text only opens the answer.
+   * An event with an id is a token, even without text: an engine sends a token without text when a
+   * character is not complete yet. An event with neither id nor text only starts the response.
    */
   private handleChunk(chunk: ChatChunk, eventId: string | undefined): void {
     const choice = chunk.choices?.[0];
@@ -124,7 +126,7 @@
       this.handleToken({ kind: 'chunk', chunk }, eventId);
     }
     if (typeof choice?.finish_reason === 'string' && this.fault === undefined) {
-      this.finished = true;
+      this.hasFinishChunk = true;
       this.listener.onFinish(chunk);
     }
   }
@@ -132,15 +134,15 @@
   private handleToken(token: ChatToken, eventId: string | undefined): void {
     const index = eventId === undefined ? this.nextIndex : Number(eventId);
     if (index < this.nextIndex) {
-      this.listener.onStray(`token ${index} again`);
+      this.listener.onDropped(`repeated token ${index}`);
       return;
     }
     if (index !== this.nextIndex) {
       this.fault = `token ${this.nextIndex} is missing before token ${eventId}`;
       return;
     }
-    if (this.finished) {
-      this.fault = `token ${index} after the closing chunk`;
+    if (this.hasFinishChunk) {
+      this.fault = `token ${index} after the final chunk`;
       return;
     }
     this.nextIndex += 1;
--- a/packages/router/src/lib/upstream/LoadPoller.test.ts
+++ b/packages/router/src/lib/upstream/LoadPoller.test.ts
@@ -5,15 +5,15 @@
 import { LoadPoller } from './LoadPoller.js';
 
 /*
- * Symptom: in a large fleet a daemon spends more on asking for load than on all other control.
- * Sequence: hundreds of replicas send it no answer within a second; each is asked each second.
- * Cause: the number of questions grew with the fleet.
+ * Guards against polling that grows with the fleet: with hundreds of replicas that send this daemon
+ * no response within a second, polling each of them every second would cost more than all other
+ * control.
  */
 describe('LoadPoller', () => {
-  it('asks a bounded number in each interval, and each replica in turn', async () => {
-    const asked: string[] = [];
+  it('polls a limited number of replicas per interval, and each replica in turn', async () => {
+    const polledHosts: string[] = [];
     const server = createServer((request, response) => {
-      asked.push(request.headers.host ?? '');
+      polledHosts.push(request.headers.host ?? '');
       response.end(JSON.stringify({ running: 0, waiting: 0, measuredAt: 1, leaving: false }));
     });
     await new Promise<void>((resolve) => {
@@ -47,7 +47,7 @@
     );
     clock.advance(routerOptions.loadInterval * 1.2);
     await waitForReports(routerOptions.loadQuestions);
-    expect(asked).toHaveLength(routerOptions.loadQuestions);
+    expect(polledHosts).toHaveLength(routerOptions.loadQuestions);
     clock.advance(routerOptions.loadInterval * 1.2);
     await waitForReports(count);
     expect(reported.size).toBe(count);
--- a/packages/router/src/lib/upstream/LoadPoller.ts
+++ b/packages/router/src/lib/upstream/LoadPoller.ts
@@ -4,8 +4,8 @@
 import { request } from 'undici';
 import { routerOptions } from '../options.js';
 
-/** The answer of `GET /load`. */
-interface LoadAnswer {
+/** The response of `GET /load`. */
+interface LoadResponse {
   running: number;
   waiting: number;
   measuredAt: number;
@@ -13,32 +13,33 @@
 }
 
 /**
- * What the poller tells.
+ * Receives what the poller learns.
  *
  * @internal
  */
 export interface LoadPollerListener {
   onReport: (report: LoadReport) => void;
   onLeaving: (replica: string) => void;
-  /** The replica takes work; told with each answer that says so. */
+  /** The replica accepts requests; called for each response that says so. */
   onReturned: (replica: string) => void;
 }
 
-/** How far questions are spread, as a share of the interval. */
+/** The total spread of the random variation of the interval, as a fraction of it. */
 const JITTER = 0.2;
 
 /**
- * Asks replicas for their load when no answer has brought it lately: without it a replica that gets
- * no requests would keep its last report, and one that is leaving would be noticed by a request.
+ * Polls the load of replicas that have not sent a load report with a response recently. Without
+ * polling, a replica that gets no requests would keep its last report, and a replica that is leaving
+ * would be noticed only by a request.
  *
  * @internal
  */
 export class LoadPoller {
   private replicas: readonly Replica[] = [];
 
-  private readonly heardAt = new Map<string, number>();
+  private readonly reportedAt = new Map<string, number>();
 
-  private readonly leaving = new Set<string>();
+  private readonly leavingReplicas = new Set<string>();
 
   private timer: Timer | undefined;
 
@@ -54,19 +55,21 @@
     this.listener = listener;
   }
 
-  /** Replaces the replicas to ask; call again when they change. */
+  /** Replaces the set of replicas to poll. */
   setReplicas(replicas: readonly Replica[]): void {
     this.replicas = replicas;
     const ids = new Set(replicas.map(({ id }) => id));
-    [...this.heardAt.keys()].filter((id) => !ids.has(id)).forEach((id) => this.heardAt.delete(id));
+    [...this.reportedAt.keys()]
+      .filter((id) => !ids.has(id))
+      .forEach((id) => this.reportedAt.delete(id));
     if (this.timer === undefined) {
       this.schedule();
     }
   }
 
-  /** An answer brought this replica's load: no need to ask. */
-  hear(replica: string): void {
-    this.heardAt.set(replica, this.clock.now());
+  /** Records that a response carried the load of this replica, so that it need not be polled yet. */
+  recordReport(replica: string): void {
+    this.reportedAt.set(replica, this.clock.now());
   }
 
   dispose(): void {
@@ -80,52 +83,52 @@
     const spread = 1 + JITTER * (this.random.next() - 0.5);
     this.timer = this.clock.setTimer(loadInterval * spread, () => {
       this.schedule();
-      this.askAll();
+      this.pollDue();
     });
   }
 
-  private askAll(): void {
+  private pollDue(): void {
     const due = this.clock.now() - routerOptions.loadInterval;
-    this.getOldest(due).forEach((replica) => {
-      this.ask(replica).catch(() => undefined);
+    this.getDueReplicas(due).forEach((replica) => {
+      this.poll(replica).catch(() => undefined);
     });
   }
 
   /**
-   * The replicas not heard of lately, the longest silent first. Their number is bounded: in a large
-   * fleet most replicas send this daemon an answer less than once a second, and asking all of them
-   * would take more processor time than control may have.
+   * Returns the replicas due for polling, those with the oldest report first. Their number is limited:
+   * in a large fleet most replicas send this daemon a response less than once a second, and polling
+   * all of them would exceed the processor time allowed for control.
    */
-  private getOldest(due: Milliseconds): Replica[] {
-    const getAge = ({ id }: Replica) => this.heardAt.get(id) ?? 0;
+  private getDueReplicas(due: Milliseconds): Replica[] {
+    const getReportedAt = ({ id }: Replica) => this.reportedAt.get(id) ?? 0;
     return this.replicas
-      .filter((replica) => this.leaving.has(replica.id) || getAge(replica) <= due)
-      .sort((left, right) => getAge(left) - getAge(right))
+      .filter((replica) => this.leavingReplicas.has(replica.id) || getReportedAt(replica) <= due)
+      .sort((left, right) => getReportedAt(left) - getReportedAt(right))
       .slice(0, routerOptions.loadQuestions);
   }
 
-  private async ask(replica: Replica): Promise<void> {
-    // Also when no answer comes: one that is down must not keep the others from their turn.
-    this.hear(replica.id);
+  private async poll(replica: Replica): Promise<void> {
+    // Recorded before the response, so that a replica that is down does not block the others.
+    this.recordReport(replica.id);
     const response = await request(`http://${replica.host}:${replica.port}/load`, {
-      signal: AbortSignal.timeout(routerOptions.loadTimeout),
+      signal: AbortSignal.timeout(routerOptions.loadPollTimeout),
     });
-    const answer = (await response.body.json()) as LoadAnswer;
-    const { running, waiting, measuredAt } = answer;
+    const load = (await response.body.json()) as LoadResponse;
+    const { running, waiting, measuredAt } = load;
     this.listener.onReport({ replica: replica.id, running, waiting, measuredAt });
-    this.noteLeaving(replica.id, answer.leaving === true);
+    this.recordLeaving(replica.id, load.leaving === true);
   }
 
   /**
-   * A replica that takes work says so each time: it may have refused a request and come back
-   * between two questions, and nobody else would ever take the word on its leaving back.
+   * Calls the listener each time a replica accepts requests: it may have rejected a request and
+   * returned between two polls, and nothing else would revoke the record that it is leaving.
    */
-  private noteLeaving(replica: string, leaving: boolean): void {
-    if (!leaving) {
-      this.leaving.delete(replica);
+  private recordLeaving(replica: string, isLeaving: boolean): void {
+    if (!isLeaving) {
+      this.leavingReplicas.delete(replica);
       this.listener.onReturned(replica);
-    } else if (!this.leaving.has(replica)) {
-      this.leaving.add(replica);
+    } else if (!this.leavingReplicas.has(replica)) {
+      this.leavingReplicas.add(replica);
       this.listener.onLeaving(replica);
     }
   }
--- a/packages/router/src/lib/upstream/PlainResponseReader.ts
+++ b/packages/router/src/lib/upstream/PlainResponseReader.ts
@@ -1,87 +1,86 @@
 import { AttemptStatus } from '@apricotrill/policy';
 import { routerOptions } from '../options.js';
-import type { AnswerHead, AnswerReader } from './ResponseReader.js';
+import type { ResponseHead, ResponseReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
-import { FailureReader } from './ErrorResponseReader.js';
+import { ErrorResponseReader } from './ErrorResponseReader.js';
 
 /**
- * A whole answer of a plain service.
+ * A complete response of a plain service.
  *
  * @internal
  */
-export interface PlainAnswer {
+export interface PlainResponse {
   status: number;
   contentType: string;
   body: Buffer;
 }
 
-/** Statuses from here on say that the service itself failed. */
-const SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /**
- * Reads the answer of a plain service. The whole answer is held back until its end, so that a
- * connection that breaks half-way costs a retry, not half an answer.
+ * Reads the response of a plain service. The response is buffered until it is complete, so that a
+ * connection that breaks midway causes a retry instead of a truncated response.
  *
  * @internal
  */
-export class PlainAnswerReader implements AnswerReader {
-  private readonly attemptName: string;
+export class PlainResponseReader implements ResponseReader {
+  private readonly attemptId: string;
 
-  private readonly onAnswer: (answer: PlainAnswer) => void;
+  private readonly onResponse: (answer: PlainResponse) => void;
 
   private readonly chunks: Uint8Array[] = [];
 
   private size = 0;
 
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
 
-  private failure: FailureReader | undefined;
+  private errorReader: ErrorResponseReader | undefined;
 
   /**
-   * @param attemptName - what the answer is called when the service names it
-   * @param onAnswer - told the whole answer
+   * @param attemptId - the id expected in `x-request-id`, if the service sends that header
+   * @param onResponse - called with the complete response
    */
-  constructor(attemptName: string, onAnswer: (answer: PlainAnswer) => void) {
-    this.attemptName = attemptName;
-    this.onAnswer = onAnswer;
+  constructor(attemptId: string, onResponse: (answer: PlainResponse) => void) {
+    this.attemptId = attemptId;
+    this.onResponse = onResponse;
   }
 
-  onHead(head: AnswerHead): AttemptResult | undefined {
+  onHead(head: ResponseHead): AttemptResult | undefined {
     const { headers, status } = head;
-    const name = headers['x-request-id'];
-    if (name !== undefined && name !== this.attemptName) {
-      return { end: AttemptStatus.Broken, detail: 'the answer belongs to another request' };
+    const id = headers['x-request-id'];
+    if (id !== undefined && id !== this.attemptId) {
+      return { end: AttemptStatus.Broken, detail: 'the response belongs to another request' };
     }
     this.head = head;
-    if (headers['x-outcome'] === 'not-run' || status >= SERVER_ERROR) {
-      this.failure = new FailureReader();
-      return this.failure.onHead(head);
+    if (headers['x-outcome'] === 'not-run' || status >= MIN_SERVER_ERROR_STATUS) {
+      this.errorReader = new ErrorResponseReader();
+      return this.errorReader.onHead(head);
     }
     return undefined;
   }
 
   onBody(bytes: Buffer): AttemptResult | undefined {
-    if (this.failure !== undefined) {
-      return this.failure.onBody(bytes);
+    if (this.errorReader !== undefined) {
+      return this.errorReader.onBody(bytes);
     }
     this.size += bytes.length;
     this.chunks.push(bytes);
-    return this.size > routerOptions.maxPlainAnswer
+    return this.size > routerOptions.maxPlainResponseBytes
       ? { end: AttemptStatus.Errored, status: this.head?.status, detail: 'the answer is too large' }
       : undefined;
   }
 
   onEnd(): AttemptResult {
-    if (this.failure !== undefined) {
-      return this.failure.onEnd();
+    if (this.errorReader !== undefined) {
+      return this.errorReader.onEnd();
     }
     const { status, headers } = this.head!;
     const contentType = headers['content-type'] ?? 'application/octet-stream';
-    this.onAnswer({ status, contentType, body: Buffer.concat(this.chunks) });
-    return { end: AttemptStatus.Completed, status, detail: 'whole' };
+    this.onResponse({ status, contentType, body: Buffer.concat(this.chunks) });
+    return { end: AttemptStatus.Completed, status, detail: 'complete' };
   }
 
-  onBreak(): AttemptResult | undefined {
-    return this.failure?.onBreak();
+  onConnectionLost(): AttemptResult | undefined {
+    return this.errorReader?.onConnectionLost();
   }
 }
--- a/packages/router/src/lib/upstream/ReplicaConnections.test.ts
+++ b/packages/router/src/lib/upstream/ReplicaConnections.test.ts
@@ -4,19 +4,18 @@
 const REPLICA = { id: 'engine-1', host: '127.0.0.1', port: 1 } as Replica;
 
 describe('ReplicaConnections', () => {
-  // Symptom: after a path was lost, every answer opens a connection of its own for a while.
-  // Sequence: several connections of one pool go silent at once; each is found silent a little
-  // later than the last, when the pool has long been replaced. Cause: each of them condemned
-  // whatever pool was there.
-  it('replaces a pool once, however many of its connections went silent', () => {
+  // Guards against replacing a healthy pool. When a network path is lost, several connections of one
+  // pool go silent, and their timeouts are noticed one after another, when the pool has already been
+  // replaced. If each of them replaced the current pool, every request would open a new connection.
+  it('replaces a pool only once when several of its connections go silent', () => {
     const connections = new ReplicaConnections();
     const lost = connections.getShared(REPLICA);
-    connections.condemn(REPLICA, lost);
+    connections.replacePool(REPLICA, lost);
     const fresh = connections.getShared(REPLICA);
     expect(fresh === lost).toBe(false);
-    connections.condemn(REPLICA, lost);
+    connections.replacePool(REPLICA, lost);
     expect(connections.getShared(REPLICA) === fresh).toBe(true);
-    connections.condemn(REPLICA, connections.createFresh(REPLICA));
+    connections.replacePool(REPLICA, connections.createDedicated(REPLICA));
     expect(connections.getShared(REPLICA) === fresh).toBe(false);
     return connections.dispose();
   });
--- a/packages/router/src/lib/upstream/ReplicaConnections.ts
+++ b/packages/router/src/lib/upstream/ReplicaConnections.ts
@@ -7,33 +7,33 @@
   return `http://${replica.host}:${replica.port}`;
 }
 
-/** Nothing of undici's own may repeat a request or time it out: those decisions are ours. */
+/** Keeps undici from retrying requests or timing them out: the router decides both. */
 const CLIENT_OPTIONS = {
   headersTimeout: 0,
   bodyTimeout: 0,
   pipelining: 1,
   connect: { timeout: routerOptions.connectTimeout },
-  keepAliveTimeout: routerOptions.upstreamIdle,
+  keepAliveTimeout: routerOptions.upstreamIdleTimeout,
 };
 
 /**
  * Owns the connections to every replica.
  *
- * An open connection can go silent for good while new ones work. One such connection is noticed by
- * a timeout of the attempt on it; its idle neighbours went through the same path and are suspect
- * too, so {@link ReplicaConnections.condemn} replaces the whole pool. The server isn't condemned:
- * the next request opens a new connection.
+ * An open connection can go silent permanently while new ones work. This is detected when an attempt
+ * on the connection times out. The idle connections of the same pool use the same network path and
+ * are suspect too, so {@link ReplicaConnections.replacePool} replaces the whole pool. The replica
+ * itself remains in use: the next request opens a new connection.
  *
  * @internal
  */
 export class ReplicaConnections {
   private readonly pools = new Map<string, Pool>();
 
-  private readonly retired = new Set<Dispatcher>();
+  private readonly closingPools = new Set<Dispatcher>();
 
-  private readonly condemned = new WeakSet<Dispatcher>();
+  private readonly replacedPools = new WeakSet<Dispatcher>();
 
-  /** The shared connections to a replica, for what may be repeated. */
+  /** Returns the shared connection pool of a replica, for repeatable requests. */
   getShared(replica: Replica): Dispatcher {
     const origin = getOrigin(replica);
     const existing = this.pools.get(origin);
@@ -46,55 +46,55 @@
   }
 
   /**
-   * A connection of its own for one request that may not be repeated. It is opened for the request,
-   * so that it can't have gone silent while idle, and a failure to open it proves that nothing ran.
+   * Creates a dedicated connection for one non-repeatable request. It can't have gone silent while
+   * idle, and a failure to open it proves that the request was not run.
    */
   // eslint-disable-next-line class-methods-use-this
-  createFresh(replica: Replica): Dispatcher {
+  createDedicated(replica: Replica): Dispatcher {
     return new Client(getOrigin(replica), CLIENT_OPTIONS);
   }
 
   /**
-   * Replaces the pool of a replica on which a connection went silent; answers still running on the
-   * old connections go on. Several connections go silent at once when a path is lost: what was on
-   * the old pool says nothing against the one that has already replaced it.
+   * Replaces the pool of a replica after one of its connections went silent; responses in flight on
+   * the old connections continue. When a network path is lost, several connections go silent at once:
+   * reports about an old pool don't affect the pool that has already replaced it.
    *
-   * @param replica - whose path is suspect
-   * @param suspect - what the attempt ran on
+   * @param replica - the replica whose connections are suspect
+   * @param suspect - the pool or connection that the attempt used
    */
-  condemn(replica: Replica, suspect: Dispatcher): void {
+  replacePool(replica: Replica, suspect: Dispatcher): void {
     const origin = getOrigin(replica);
     const pool = this.pools.get(origin);
-    if (pool === undefined || this.condemned.has(suspect)) {
+    if (pool === undefined || this.replacedPools.has(suspect)) {
       return;
     }
-    this.condemned.add(pool);
+    this.replacedPools.add(pool);
     this.pools.delete(origin);
-    this.retire(pool);
+    this.closeWhenIdle(pool);
   }
 
-  /** Closes the pools of replicas that are no longer in the register, once they are idle. */
+  /** Closes the pools of replicas not in the given list, once they are idle. */
   retain(replicas: readonly Replica[]): void {
     const origins = new Set(replicas.map(getOrigin));
     [...this.pools].forEach(([origin, pool]) => {
       if (!origins.has(origin)) {
         this.pools.delete(origin);
-        this.retire(pool);
+        this.closeWhenIdle(pool);
       }
     });
   }
 
   async dispose(): Promise<void> {
-    const pools = [...this.pools.values(), ...this.retired];
+    const pools = [...this.pools.values(), ...this.closingPools];
     this.pools.clear();
-    this.retired.clear();
+    this.closingPools.clear();
     await Promise.allSettled(pools.map((pool) => pool.destroy()));
   }
 
-  /** Lets what runs on a pool come to its end. */
-  private retire(pool: Pool): void {
-    this.retired.add(pool);
-    const forget = () => this.retired.delete(pool);
-    pool.close().then(forget, forget);
+  /** Closes a pool after its requests in flight have ended. */
+  private closeWhenIdle(pool: Pool): void {
+    this.closingPools.add(pool);
+    const remove = () => this.closingPools.delete(pool);
+    pool.close().then(remove, remove);
   }
 }
--- a/packages/router/src/lib/upstream/ResponseReader.ts
+++ b/packages/router/src/lib/upstream/ResponseReader.ts
@@ -2,38 +2,38 @@
 import type { AttemptResult } from './Attempt.js';
 
 /**
- * The head of a replica's answer.
+ * The status and headers of a replica's response.
  *
  * @internal
  */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number;
   headers: IncomingHttpHeaders;
 }
 
 /**
- * Reads the answer of one attempt as it comes. Each step may return how the attempt ended; nothing
- * that comes after that is read.
+ * Reads the response of one attempt as it arrives. Each method may return how the attempt ended;
+ * nothing that arrives after that is read.
  *
  * @internal
  */
-export interface AnswerReader {
-  onHead(head: AnswerHead): AttemptResult | undefined;
+export interface ResponseReader {
+  onHead(head: ResponseHead): AttemptResult | undefined;
   onBody(bytes: Buffer): AttemptResult | undefined;
-  /** The last byte has come. */
+  /** The last byte has arrived. */
   onEnd(): AttemptResult;
-  /** The rest will never come: what the part that came proves, if anything. */
-  onBreak(detail: string): AttemptResult | undefined;
+  /** The connection was lost. Returns a result if the part received so far proves one. */
+  onConnectionLost(detail: string): AttemptResult | undefined;
 }
 
 /**
- * What a reader may do to the connection it reads from.
+ * Flow control of the connection that a reader reads from.
  *
  * @internal
  */
-export interface AnswerFlow {
-  /** The answer went on: the silence limit starts anew. */
-  noteProgress(): void;
-  /** Reads no further until the promise resolves; waiting for the caller isn't silence. */
-  waitFor(ready: Promise<void>): void;
+export interface ResponseFlow {
+  /** The response has progressed: restarts the silence timeout. */
+  recordProgress(): void;
+  /** Stops reading until the promise resolves; the silence timeout is suspended meanwhile. */
+  pauseUntil(ready: Promise<void>): void;
 }
--- a/packages/router/src/lib/upstream/SilenceTimer.ts
+++ b/packages/router/src/lib/upstream/SilenceTimer.ts
@@ -1,16 +1,16 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 
 /**
- * Notices a connection that has gone silent: something between the two ends has lost track of it,
- * no error ever comes, and the caller would wait for good. Each sign of life moves the limit; one
- * timer serves the whole attempt, so that tokens cost a clock reading and no timer.
+ * Detects a connection that has gone silent: a device on the network path has lost its state, no error
+ * is ever reported, and the caller would wait forever. Activity postpones the timeout. One timer
+ * serves the whole attempt, so that a token costs a clock reading but no new timer.
  *
  * @internal
  */
-export class SilenceGuard {
-  private last: Milliseconds;
+export class SilenceTimer {
+  private lastActivityAt: Milliseconds;
 
-  private allowed: Milliseconds;
+  private timeout: Milliseconds;
 
   private timer: Timer | undefined;
 
@@ -19,54 +19,54 @@
   private readonly onSilence: () => void;
 
   /**
-   * @param clock - where time comes from
-   * @param firstTimeout - silence allowed until the first sign of life
-   * @param onSilence - called once when the silence has lasted too long
+   * @param clock - the time source
+   * @param firstTimeout - the timeout until the first activity
+   * @param onSilence - called once when the timeout has passed without activity
    */
   constructor(clock: Clock, firstTimeout: Milliseconds, onSilence: () => void) {
     this.clock = clock;
-    this.allowed = firstTimeout;
+    this.timeout = firstTimeout;
     this.onSilence = onSilence;
-    this.last = clock.now();
-    this.arm(firstTimeout);
+    this.lastActivityAt = clock.now();
+    this.schedule(firstTimeout);
   }
 
-  /** Something came: from now on `timeout` of silence is allowed. */
-  touch(timeout: Milliseconds): void {
-    this.last = this.clock.now();
-    if (timeout < this.allowed && this.timer !== undefined) {
+  /** Records activity and sets the timeout that applies from now on. */
+  recordActivity(timeout: Milliseconds): void {
+    this.lastActivityAt = this.clock.now();
+    if (timeout < this.timeout && this.timer !== undefined) {
       this.timer.cancel();
-      this.arm(timeout);
+      this.schedule(timeout);
     }
-    this.allowed = timeout;
+    this.timeout = timeout;
   }
 
-  /** Nothing is expected for now, because we are not reading; {@link resume} ends that. */
+  /** Suspends the timeout while nothing is read, until {@link resume} is called. */
   pause(): void {
     this.timer?.cancel();
     this.timer = undefined;
   }
 
   resume(): void {
-    this.last = this.clock.now();
-    this.arm(this.allowed);
+    this.lastActivityAt = this.clock.now();
+    this.schedule(this.timeout);
   }
 
   dispose(): void {
     this.pause();
   }
 
-  private arm(delay: Milliseconds): void {
+  private schedule(delay: Milliseconds): void {
     this.timer = this.clock.setTimer(delay, () => this.check());
   }
 
   private check(): void {
-    const left = this.last + this.allowed - this.clock.now();
-    if (left <= 0) {
+    const remaining = this.lastActivityAt + this.timeout - this.clock.now();
+    if (remaining <= 0) {
       this.timer = undefined;
       this.onSilence();
       return;
     }
-    this.arm(left);
+    this.schedule(remaining);
   }
 }
--- a/packages/router/src/lib/upstream/parseLoad.ts
+++ b/packages/router/src/lib/upstream/parseLoad.ts
@@ -1,11 +1,11 @@
 import type { LoadReport } from '@apricotrill/policy';
 
 /**
- * Reads the `x-load` header of an answer.
+ * Parses the `x-load` header of a response.
  *
- * @param replica - whose answer it is
+ * @param replica - the id of the replica that sent the response
  * @param header - `running=3,waiting=0,slots=8,measured-at=1700000000000`
- * @returns undefined when the header is absent or not readable; the answer itself is still good
+ * @returns undefined when the header is absent or invalid, which does not invalidate the response
  * @example
  * ```ts
  * const report = parseLoad('kielimalli-1', headers['x-load']);
--- a/packages/router/src/lib/upstream/runChatAttempt.ts
+++ b/packages/router/src/lib/upstream/runChatAttempt.ts
@@ -1,29 +1,29 @@
 import type { Clock } from '@apricotrill/utils';
 import type { Dispatcher } from 'undici';
-import { getAttemptName } from './Attempt.js';
+import { getAttemptId } from './Attempt.js';
 import type { Attempt, AttemptResult } from './Attempt.js';
 import { AttemptExchange } from './AttemptExchange/AttemptExchange.js';
-import { ChatAnswerReader } from './ChatResponseReader.js';
-import type { ChatAnswerListener } from './ChatResponseReader.js';
+import { ChatResponseReader } from './ChatResponseReader.js';
+import type { ChatResponseListener } from './ChatResponseReader.js';
 
 /**
- * What a chat attempt needs.
+ * Settings of {@link runChatAttempt}.
  *
  * @internal
  */
 export interface ChatAttempt extends Attempt {
-  /** The request body for the engine, streamed, with its priority. */
+  /** The request body for the engine, with streaming enabled and the priority of the attempt. */
   body: string;
-  /** Tokens the caller already has. */
+  /** The number of tokens already delivered to the caller. */
   resumeAt: number;
-  listener: ChatAnswerListener;
+  listener: ChatResponseListener;
 }
 
 function getHeaders(attempt: ChatAttempt): Record<string, string> {
   const headers: Record<string, string> = {
     'content-type': 'application/json',
     accept: 'text/event-stream',
-    'x-request-id': getAttemptName(attempt),
+    'x-request-id': getAttemptId(attempt),
   };
   if (attempt.resumeAt > 0) {
     headers['last-event-id'] = String(attempt.resumeAt - 1);
@@ -32,12 +32,12 @@
 }
 
 /**
- * Runs one attempt of a chat request and tells its listener the tokens.
+ * Runs one attempt of a chat request and passes its tokens to the listener.
  *
  * @param dispatcher - the connection to the replica
- * @param attempt - what to send and whom to tell
- * @param clock - where time comes from
- * @returns how it ended; it never throws
+ * @param attempt - the request to send and the listener
+ * @param clock - the time source
+ * @returns how the attempt ended; never rejects
  * @example
  * ```ts
  * const result = await runChatAttempt(connections.getShared(replica), attempt, clock);
@@ -53,7 +53,7 @@
   const exchange = new AttemptExchange({
     attempt,
     clock,
-    createReader: (flow) => new ChatAnswerReader(getAttemptName(attempt), resumeAt, listener, flow),
+    createReader: (flow) => new ChatResponseReader(getAttemptId(attempt), resumeAt, listener, flow),
   });
   return exchange.run(dispatcher, {
     method: 'POST',
--- a/packages/router/src/lib/upstream/runPlainAttempt.ts
+++ b/packages/router/src/lib/upstream/runPlainAttempt.ts
@@ -1,15 +1,15 @@
 import type { Clock } from '@apricotrill/utils';
 import type { Dispatcher } from 'undici';
-import { getAttemptName } from './Attempt.js';
+import { getAttemptId } from './Attempt.js';
 import type { Attempt, AttemptResult } from './Attempt.js';
 import { AttemptExchange } from './AttemptExchange/AttemptExchange.js';
-import { PlainAnswerReader } from './PlainResponseReader.js';
-import type { PlainAnswer } from './PlainResponseReader.js';
+import { PlainResponseReader } from './PlainResponseReader.js';
+import type { PlainResponse } from './PlainResponseReader.js';
 
-export type { PlainAnswer } from './PlainResponseReader.js';
+export type { PlainResponse } from './PlainResponseReader.js';
 
 /**
- * What a plain attempt needs.
+ * Settings of {@link runPlainAttempt}.
  *
  * @internal
  */
@@ -18,19 +18,19 @@
   path: string;
   headers: Record<string, string>;
   body: Buffer;
-  onAnswer: (answer: PlainAnswer) => void;
+  onResponse: (answer: PlainResponse) => void;
 }
 
 /**
- * Runs one attempt of a plain call and hands over its answer once it is whole.
+ * Runs one attempt of a plain request and passes on its response once it is complete.
  *
  * @param dispatcher - the connection to the replica
- * @param attempt - what to send and whom to tell
- * @param clock - where time comes from
- * @returns how it ended; it never throws
+ * @param attempt - the request to send and the callbacks
+ * @param clock - the time source
+ * @returns how the attempt ended; never rejects
  * @example
  * ```ts
- * const result = await runPlainAttempt(connections.createFresh(replica), attempt, clock);
+ * const result = await runPlainAttempt(connections.createDedicated(replica), attempt, clock);
  * ```
  * @internal
  */
@@ -40,16 +40,16 @@
   clock: Clock,
 ): Promise<AttemptResult> {
   const { method, path, headers, body } = attempt;
-  const name = getAttemptName(attempt);
+  const attemptId = getAttemptId(attempt);
   const exchange = new AttemptExchange({
     attempt,
     clock,
-    createReader: () => new PlainAnswerReader(name, attempt.onAnswer),
+    createReader: () => new PlainResponseReader(attemptId, attempt.onResponse),
   });
   return exchange.run(dispatcher, {
     method,
     path,
-    headers: { ...headers, 'x-request-id': name },
+    headers: { ...headers, 'x-request-id': attemptId },
     body: body.length > 0 ? body : null,
   });
 }
