--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.test.ts
@@ -185,7 +185,7 @@
       clock.advance(5 * TIMEOUT);
       acceptMore();
     });
-    expect({ end, detail }).toEqual({ end: AttemptStatus.Completed, detail: 'complete' });
+    expect({ end, detail }).toEqual({ end: AttemptStatus.Completed, detail: 'whole' });
     expect(responses[0]?.body.toString()).toBe('halfhalf');
   });
 
--- a/packages/router/src/lib/upstream/ChatResponseReader.ts
+++ b/packages/router/src/lib/upstream/ChatResponseReader.ts
@@ -91,7 +91,7 @@
   /** The response ends with its `[DONE]` event, regardless of when the connection closes. */
   private getStreamResult(): AttemptResult | undefined {
     if (this.stream.isComplete()) {
-      return { end: AttemptStatus.Completed, status: HTTP_OK, detail: 'complete' };
+      return { end: AttemptStatus.Completed, status: HTTP_OK, detail: 'whole' };
     }
     const fault = this.stream.getFault();
     return fault === undefined ? undefined : { end: AttemptStatus.Broken, detail: fault };
--- a/packages/router/src/lib/upstream/PlainResponseReader.ts
+++ b/packages/router/src/lib/upstream/PlainResponseReader.ts
@@ -77,7 +77,7 @@
     const { status, headers } = this.head!;
     const contentType = headers['content-type'] ?? 'application/octet-stream';
     this.onResponse({ status, contentType, body: Buffer.concat(this.chunks) });
-    return { end: AttemptStatus.Completed, status, detail: 'complete' };
+    return { end: AttemptStatus.Completed, status, detail: 'whole' };
   }
 
   onConnectionLost(): AttemptResult | undefined {
