--- a/packages/router/src/lib/pipeline/claim.ts
+++ b/packages/router/src/lib/pipeline/claim.ts
@@ -17,7 +17,7 @@
  *
  * @internal
  */
-export type ClaimResult =
+export type ClaimStepResult =
   { kind: 'run'; end: (end: ClaimEnd) => void } | { kind: 'answered'; answer: PlainResponse };
 
 type UnavailableVerdict = Extract<ClaimVerdict, { kind: 'unavailable' }>;
@@ -82,7 +82,9 @@
   };
 }
 
-function getProblem(verdict: Exclude<ClaimVerdict, { kind: 'granted' | 'answered' }>): Problem {
+function getClaimProblem(
+  verdict: Exclude<ClaimVerdict, { kind: 'granted' | 'answered' }>,
+): Problem {
   switch (verdict.kind) {
     case 'in-progress':
       return {
@@ -186,7 +188,7 @@
   claims: ClaimPort,
   request: ClaimRequest,
   options: ClaimOptions,
-): Promise<ClaimResult> {
+): Promise<ClaimStepResult> {
   const verdict = await requestVerdict(claims, request, options);
   switch (verdict.kind) {
     case 'granted':
@@ -194,6 +196,6 @@
     case 'answered':
       return verdict;
     default:
-      throw new ProblemError(getProblem(verdict), { step: 'claim', peer: request.key });
+      throw new ProblemError(getClaimProblem(verdict), { step: 'claim', peer: request.key });
   }
 }
--- a/packages/router/src/lib/pipeline/markOutcomeUnknown.ts
+++ b/packages/router/src/lib/pipeline/markOutcomeUnknown.ts
@@ -13,7 +13,7 @@
  * @param request - the rejected request
  * @example
  * ```ts
- * throw getErrorInDoubt(error, request);
+ * throw markOutcomeUnknown(error, request);
  * ```
  * @internal
  */
--- a/packages/router/src/lib/request/ChatExecution.ts
+++ b/packages/router/src/lib/request/ChatExecution.ts
@@ -11,7 +11,7 @@
 import type { DispatchedAttempt, RequestExecution } from './RequestExecution.js';
 import { waitForCaller } from './waitForCaller/waitForCaller.js';
 
-/** Reports to the scheduler that a caller is slow, per longest allowed inter-token pause. */
+/** How many times per maximum inter-token pause a slow caller is reported to the scheduler. */
 const REPORTS_PER_GAP = 3;
 
 /**
--- a/packages/router/src/lib/request/SchedulingTask.ts
+++ b/packages/router/src/lib/request/SchedulingTask.ts
@@ -42,7 +42,7 @@
 
   /**
    * Counts a request that has begun to arrive. Without the count, a shutdown would not wait for
-   * callers that are still sending their requests, and reject them.
+   * callers that are still sending their requests, and would reject them.
    *
    * @returns a function to call when the request has been submitted or rejected
    */
--- a/packages/router/src/lib/request/chatCompletion.ts
+++ b/packages/router/src/lib/request/chatCompletion.ts
@@ -5,7 +5,7 @@
  *
  * @example
  * ```ts
- * const id = getAnswerId(requestId);
+ * const id = getCompletionId(requestId);
  * ```
  * @internal
  */
--- a/packages/router/src/lib/upstream/Attempt.ts
+++ b/packages/router/src/lib/upstream/Attempt.ts
@@ -50,7 +50,7 @@
  *
  * @example
  * ```ts
- * headers['x-request-id'] = getAttemptName(attempt);
+ * headers['x-request-id'] = getAttemptId(attempt);
  * ```
  * @internal
  */
--- a/packages/router/src/lib/upstream/PlainResponseReader.ts
+++ b/packages/router/src/lib/upstream/PlainResponseReader.ts
@@ -26,7 +26,7 @@
 export class PlainResponseReader implements ResponseReader {
   private readonly attemptId: string;
 
-  private readonly onResponse: (answer: PlainResponse) => void;
+  private readonly onResponse: (response: PlainResponse) => void;
 
   private readonly chunks: Uint8Array[] = [];
 
@@ -40,7 +40,7 @@
    * @param attemptId - the id expected in `x-request-id`, if the service sends that header
    * @param onResponse - called with the complete response
    */
-  constructor(attemptId: string, onResponse: (answer: PlainResponse) => void) {
+  constructor(attemptId: string, onResponse: (response: PlainResponse) => void) {
     this.attemptId = attemptId;
     this.onResponse = onResponse;
   }
--- a/packages/router/src/lib/upstream/runPlainAttempt.ts
+++ b/packages/router/src/lib/upstream/runPlainAttempt.ts
@@ -18,7 +18,7 @@
   path: string;
   headers: Record<string, string>;
   body: Buffer;
-  onResponse: (answer: PlainResponse) => void;
+  onResponse: (response: PlainResponse) => void;
 }
 
 /**
