--- a/packages/claims/src/lib/ClaimManager/ClaimManager.ts
+++ b/packages/claims/src/lib/ClaimManager/ClaimManager.ts
@@ -180,7 +180,7 @@
     this.runners.forEach((runner) => runner.handle({ kind: 'members', members }));
     // Shards move only after a delay that further changes do not restart. Otherwise a member that
     // keeps leaving and rejoining would move them back and forth.
-    this.rebalanceTimer ??= this.settings.clock.setTimer(this.options.moveDelay, () => {
+    this.rebalanceTimer ??= this.settings.clock.setTimer(this.options.rebalanceDelay, () => {
       this.rebalanceTimer = undefined;
       this.rebalance();
     });
--- a/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
+++ b/packages/claims/src/lib/ClaimManager/claimFaults.test.ts
@@ -120,7 +120,7 @@
     cluster.store.setFault('lose');
     cluster.store.onLoss = (id) => cluster.store.unreachableFrom.add(id);
     owner.setMembers(cluster.getLive().filter(({ id }) => id !== witness.member.id));
-    await cluster.run(TEST_OPTIONS.moveDelay!);
+    await cluster.run(TEST_OPTIONS.rebalanceDelay!);
     const result = await cluster.ask(owner, 'hold');
     owner.crash();
     cluster.updateAllMembers();
--- a/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
+++ b/packages/claims/src/lib/ClaimManager/memberStanding.test.ts
@@ -20,7 +20,7 @@
   it('stays with an owner that is shutting down until it hands over', async () => {
     const { cluster, owner, next, other } = await startCluster();
     setStanding(cluster, owner, MemberStanding.Passive);
-    await cluster.run(TEST_OPTIONS.moveDelay!);
+    await cluster.run(TEST_OPTIONS.rebalanceDelay!);
     expectGranted(await cluster.ask(next, 'before'));
     await cluster.complete(owner.claims.handOver(2000));
     expectGranted(await cluster.ask(other, 'after'));
@@ -54,7 +54,7 @@
   it('is taken over by the next daemon asked when the offer was lost', async () => {
     const { cluster, owner, next, other } = await startCluster();
     setStanding(cluster, owner, MemberStanding.Passive);
-    await cluster.run(TEST_OPTIONS.moveDelay!);
+    await cluster.run(TEST_OPTIONS.rebalanceDelay!);
     cluster.daemons
       .filter((daemon) => daemon !== owner)
       .forEach((peer) => cluster.breakLink(owner, peer));
@@ -67,7 +67,7 @@
 
   // The daemon that runs a request is shutting down or responds slowly for a moment. Treated as
   // gone, it made callers hear that the state of the request was unknown.
-  it.each([MemberStanding.Passive, MemberStanding.Doubted])(
+  it.each([MemberStanding.Passive, MemberStanding.Suspect])(
     'is in progress while the daemon that runs it is %s',
     async (standing) => {
       const { cluster, next, other } = await startCluster();
@@ -84,7 +84,7 @@
     const { cluster, owner, witness, next } = await startCluster();
     cluster.restart(witness);
     cluster.updateAllMembers();
-    await cluster.run(TEST_OPTIONS.moveDelay! / 5);
+    await cluster.run(TEST_OPTIONS.rebalanceDelay! / 5);
     owner.crash();
     cluster.updateAllMembers();
     expect((await cluster.ask(next, 'new')).kind).toBe('granted');
--- a/packages/claims/src/lib/ClaimOptions.ts
+++ b/packages/claims/src/lib/ClaimOptions.ts
@@ -43,7 +43,7 @@
   /** How often an idle owner reads the head of its shard to verify that it still owns it. */
   verifyInterval: Milliseconds;
   /** How long to wait after a change of the members before shards and witnesses move. */
-  moveDelay: Milliseconds;
+  rebalanceDelay: Milliseconds;
   /** Minimum time that an owner keeps a shard before it hands it over to a preferred member. */
   minTenure: Milliseconds;
   /**
@@ -103,7 +103,7 @@
   witnessDelay: 250,
   witnessTrustTimeout: 60 * MINUTE,
   verifyInterval: MINUTE,
-  moveDelay: 5 * SECOND,
+  rebalanceDelay: 5 * SECOND,
   minTenure: 30 * SECOND,
   takeoverCooldown: 5 * SECOND,
   retryDelay: 50,
--- a/packages/claims/src/lib/claimTypes.ts
+++ b/packages/claims/src/lib/claimTypes.ts
@@ -10,7 +10,7 @@
    */
   Passive = 'passive',
   /** It does not respond. It may still be alive, but no other daemon waits for it. */
-  Doubted = 'doubted',
+  Suspect = 'doubted',
 }
 
 /**
--- a/packages/claims/src/lib/placement.ts
+++ b/packages/claims/src/lib/placement.ts
@@ -36,7 +36,7 @@
 
 /** Whether a member does not respond at the moment. */
 export function isSuspect({ standing }: ClaimMember): boolean {
-  return standing === MemberStanding.Doubted;
+  return standing === MemberStanding.Suspect;
 }
 
 /**
--- a/packages/claims/src/test/TestCluster.ts
+++ b/packages/claims/src/test/TestCluster.ts
@@ -23,7 +23,7 @@
   witnessDelay: 50,
   witnessTrustTimeout: 20_000,
   verifyInterval: 3000,
-  moveDelay: 500,
+  rebalanceDelay: 500,
   minTenure: 1000,
   takeoverCooldown: 2500,
   retryDelay: 20,
--- a/packages/experiment/src/lib/capacity/probes/ClaimsProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/ClaimsProbe.ts
@@ -77,7 +77,7 @@
   const span = await measureProcessorTime(() => {
     for (let change = 0; change < changes; change += 1) {
       manager.handleMembersChange();
-      clock.advance(defaultClaimOptions.moveDelay);
+      clock.advance(defaultClaimOptions.rebalanceDelay);
     }
   });
   manager.dispose();
--- a/packages/router/src/lib/shared/SharedPlatform.ts
+++ b/packages/router/src/lib/shared/SharedPlatform.ts
@@ -56,7 +56,7 @@
   }
   return isReachable && state !== MemberState.Suspect
     ? MemberStanding.Passive
-    : MemberStanding.Doubted;
+    : MemberStanding.Suspect;
 }
 
 function getClaimMember(member: Member): ClaimMember {
