--- a/packages/cli/src/bin/apricotrill.ts
+++ b/packages/cli/src/bin/apricotrill.ts
@@ -4,7 +4,7 @@
 import { SystemClock } from '@apricotrill/utils';
 import { Cli } from 'clipanion';
 import { createCli } from '../lib/createCli.js';
-import { askMembers } from '../lib/daemons/askMembers.js';
+import { askMembers } from '../lib/daemons/fetchMembers.js';
 
 await createCli().runExit(process.argv.slice(2), {
   ...Cli.defaultContext,
--- a/packages/cli/src/lib/OperatorCommand.ts
+++ b/packages/cli/src/lib/OperatorCommand.ts
@@ -6,7 +6,7 @@
 import { ExitCode } from './ExitCode.js';
 import type { OperatorContext } from './OperatorContext.js';
 import { UnreadableFileError } from './readFiles.js';
-import { RefusedFilesError } from './RefusedFilesError.js';
+import { RefusedFilesError } from './InvalidFilesError.js';
 import type { Report } from './Report.js';
 
 /** The exit status of an error that is not a fault of this program; undefined for all others. */
--- a/packages/cli/src/lib/commands/ApplyCommand.ts
+++ b/packages/cli/src/lib/commands/ApplyCommand.ts
@@ -6,8 +6,8 @@
 import { StoreUnavailableError } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
 import { Command, Option } from 'clipanion';
-import { askAnyDaemon } from '../daemons/askAnyDaemon.js';
-import { askBehind } from '../daemons/askBehind.js';
+import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
+import { askBehind } from '../daemons/refreshLaggingMembers.js';
 import { pause, waitUntilInForce } from '../daemons/waitUntilInForce.js';
 import {
   createDaemonOption,
@@ -21,7 +21,7 @@
 import { StoreCommand, isCount } from '../StoreCommand.js';
 import { getApplyReport } from './getApplyReport.js';
 import { getChangeId } from './getChangeId.js';
-import { getSpreadReport } from './getSpreadReport.js';
+import { getSpreadReport } from './getRolloutReport.js';
 
 const DEFAULT_TIMEOUT: Milliseconds = 30000;
 const RETRY_INTERVAL: Milliseconds = 500;
--- a/packages/cli/src/lib/commands/MembersCommand.ts
+++ b/packages/cli/src/lib/commands/MembersCommand.ts
@@ -1,5 +1,5 @@
 import { Command } from 'clipanion';
-import { askAnyDaemon } from '../daemons/askAnyDaemon.js';
+import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
 import { getStateText } from '../daemons/MemberList.js';
 import type { MemberView } from '../daemons/MemberList.js';
 import { ExitCode } from '../ExitCode.js';
--- a/packages/cli/src/lib/commands/StatusCommand.ts
+++ b/packages/cli/src/lib/commands/StatusCommand.ts
@@ -1,15 +1,15 @@
 import type { Manifest } from '@apricotrill/configuration';
 import { StoreUnavailableError } from '@apricotrill/store';
 import { Command } from 'clipanion';
-import { askAnyDaemon } from '../daemons/askAnyDaemon.js';
-import { askBehind } from '../daemons/askBehind.js';
+import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
+import { askBehind } from '../daemons/refreshLaggingMembers.js';
 import { getLiveMembers } from '../daemons/MemberList.js';
 import { ExitCode } from '../ExitCode.js';
 import { createDaemonOption, getDaemons } from '../sharedOptions.js';
 import type { Report } from '../Report.js';
 import { StoreCommand } from '../StoreCommand.js';
 import { formatChange } from '../text/formatChange.js';
-import { getSpreadReport } from './getSpreadReport.js';
+import { getSpreadReport } from './getRolloutReport.js';
 
 /** The accepted manifest, or why it could not be read. */
 interface AcceptedState {
--- a/packages/cli/src/lib/commands/TraceCommand.ts
+++ b/packages/cli/src/lib/commands/TraceCommand.ts
@@ -4,7 +4,7 @@
 import type { Report } from '../Report.js';
 import { formatTable } from '../text/formatTable.js';
 import { readLogLines } from '../trace/readLogLines.js';
-import { getStory } from '../trace/RequestStory.js';
+import { getStory } from '../trace/RequestTrace.js';
 
 /** `apricotrill trace` */
 export class TraceCommand extends OperatorCommand {
--- a/packages/cli/src/lib/commands/getSpreadReport.ts
+++ b/packages/cli/src/lib/commands/getRolloutReport.ts
@@ -1,4 +1,4 @@
-import type { AskedMembers } from '../daemons/askAnyDaemon.js';
+import type { AskedMembers } from '../daemons/fetchMembersFromAny.js';
 import { getBehind, getLiveMembers, getStateText } from '../daemons/MemberList.js';
 import { ExitCode } from '../ExitCode.js';
 import type { Report } from '../Report.js';
--- a/packages/cli/src/lib/daemons/askMembers.test.ts
+++ b/packages/cli/src/lib/daemons/fetchMembers.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { askMembers } from './askMembers.js';
+import { askMembers } from './fetchMembers.js';
 
 const TIMEOUT = 5000;
 
--- a/packages/cli/src/lib/daemons/askBehind.ts
+++ b/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { OperatorContext } from '../OperatorContext.js';
-import type { AskedMembers } from './askAnyDaemon.js';
+import type { AskedMembers } from './fetchMembersFromAny.js';
 import { DaemonUnavailableError } from './DaemonUnavailableError.js';
 import { getBehind } from './MemberList.js';
 import type { MemberView } from './MemberList.js';
--- a/packages/cli/src/lib/daemons/waitUntilInForce.ts
+++ b/packages/cli/src/lib/daemons/waitUntilInForce.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import type { AskedMembers } from './askAnyDaemon.js';
+import type { AskedMembers } from './fetchMembersFromAny.js';
 import { DaemonUnavailableError } from './DaemonUnavailableError.js';
 import { getBehind } from './MemberList.js';
 
--- a/packages/cli/src/lib/incident/IncidentSummary.test.ts
+++ b/packages/cli/src/lib/incident/IncidentSummary.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { createRunCli } from '../../test/runCli.js';
 import { ExitCode } from '../ExitCode.js';
-import type { LogLine } from '../trace/RequestStory.js';
+import type { LogLine } from '../trace/RequestTrace.js';
 import { getIncidentSummary } from './IncidentSummary.js';
 
 function line(time: number, event: string, fields: object, daemon = 'edge-1'): LogLine {
--- a/packages/cli/src/lib/incident/IncidentSummary.ts
+++ b/packages/cli/src/lib/incident/IncidentSummary.ts
@@ -1,6 +1,6 @@
-import type { LogLine } from '../trace/RequestStory.js';
-import { measures } from './measures.js';
-import type { Measure } from './measures.js';
+import type { LogLine } from '../trace/RequestTrace.js';
+import { measures } from './incidentIndicators.js';
+import type { Measure } from './incidentIndicators.js';
 
 /** Something that became worse. */
 export interface Symptom {
--- a/packages/cli/src/lib/incident/measures.ts
+++ b/packages/cli/src/lib/incident/incidentIndicators.ts
@@ -1,4 +1,4 @@
-import type { LogLine } from '../trace/RequestStory.js';
+import type { LogLine } from '../trace/RequestTrace.js';
 
 /** What an engineer on call looks at first, by second. */
 export interface Measure {
--- a/packages/cli/src/lib/readFiles.ts
+++ b/packages/cli/src/lib/readFiles.ts
@@ -2,7 +2,7 @@
 import { parseConfiguration, parseSettings } from '@apricotrill/model';
 import type { Configuration, Settings } from '@apricotrill/model';
 import { StepError } from '@apricotrill/utils';
-import { RefusedFilesError } from './RefusedFilesError.js';
+import { RefusedFilesError } from './InvalidFilesError.js';
 
 /** A file that is not there or cannot be read. */
 export class UnreadableFileError extends StepError {}
--- a/packages/cli/src/lib/trace/readLogLines.ts
+++ b/packages/cli/src/lib/trace/readLogLines.ts
@@ -1,8 +1,8 @@
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { UnreadableFileError } from '../readFiles.js';
-import { parseLogLine } from './RequestStory.js';
-import type { LogLine } from './RequestStory.js';
+import { parseLogLine } from './RequestTrace.js';
+import type { LogLine } from './RequestTrace.js';
 
 async function readFrom(input: NodeJS.ReadableStream, source: string): Promise<LogLine[]> {
   const lines: LogLine[] = [];
