--- a/packages/cli/src/bin/apricotrill.ts
+++ b/packages/cli/src/bin/apricotrill.ts
@@ -4,7 +4,7 @@
 import { SystemClock } from '@apricotrill/utils';
 import { Cli } from 'clipanion';
 import { createCli } from '../lib/createCli.js';
-import { askMembers } from '../lib/daemons/fetchMembers.js';
+import { fetchMembers } from '../lib/daemons/fetchMembers.js';
 
 await createCli().runExit(process.argv.slice(2), {
   ...Cli.defaultContext,
@@ -13,6 +13,6 @@
     const store = new HttpPlatformStore({ url, timeout });
     return { store, dispose: () => store.dispose() };
   },
-  askMembers,
+  fetchMembers,
   userName: userInfo().username,
 });
--- a/packages/cli/src/lib/OperatorCommand.ts
+++ b/packages/cli/src/lib/OperatorCommand.ts
@@ -6,12 +6,12 @@
 import { ExitCode } from './ExitCode.js';
 import type { OperatorContext } from './OperatorContext.js';
 import { UnreadableFileError } from './readFiles.js';
-import { RefusedFilesError } from './InvalidFilesError.js';
+import { InvalidFilesError } from './InvalidFilesError.js';
 import type { Report } from './Report.js';
 
-/** The exit status of an error that is not a fault of this program; undefined for all others. */
+/** Returns the exit status of an expected error; undefined for a fault of this program. */
 function getErrorExitCode(error: unknown): ExitCode | undefined {
-  if (error instanceof RefusedFilesError || error instanceof UnreadableFileError) {
+  if (error instanceof InvalidFilesError || error instanceof UnreadableFileError) {
     return ExitCode.Refused;
   }
   if (error instanceof StoreUnavailableError || error instanceof DaemonUnavailableError) {
@@ -23,9 +23,9 @@
   return undefined;
 }
 
-/** What each command of `apricotrill` has in common: how it reports and how it fails. */
+/** Base class of the commands of `apricotrill`: prints reports and handles errors. */
 export abstract class OperatorCommand extends Command<OperatorContext> {
-  json = Option.Boolean('--json', false, { description: 'Print one JSON value, for machines.' });
+  json = Option.Boolean('--json', false, { description: 'Print the result as one JSON value.' });
 
   protected abstract run(): Promise<Report>;
 
@@ -44,8 +44,8 @@
     }
   }
 
-  /** Tells people what goes on; machines read the report alone. */
-  protected note(line: string): void {
+  /** Writes a progress message to stderr; stdout holds nothing but the report. */
+  protected printProgress(line: string): void {
     this.context.stderr.write(`${line}\n`);
   }
 
@@ -56,12 +56,12 @@
 
   private printError(error: StepError): void {
     const { message, step, peer } = error;
-    const diagnostics = error instanceof RefusedFilesError ? error.diagnostics : undefined;
+    const diagnostics = error instanceof InvalidFilesError ? error.diagnostics : undefined;
     if (this.json) {
       const value = { error: { step, peer, message, diagnostics } };
       this.context.stdout.write(`${JSON.stringify(value)}\n`);
     }
-    const lines = error instanceof RefusedFilesError ? error.getLines() : [];
-    [...lines, `error: ${message}`].forEach((line) => this.note(line));
+    const lines = error instanceof InvalidFilesError ? error.getLines() : [];
+    [...lines, `error: ${message}`].forEach((line) => this.printProgress(line));
   }
 }
--- a/packages/cli/src/lib/Report.ts
+++ b/packages/cli/src/lib/Report.ts
@@ -1,10 +1,10 @@
 import type { ExitCode } from './ExitCode.js';
 
-/** What a command has to say, for people and for machines. */
+/** The result of a command, for people and for machines. */
 export interface Report {
   exitCode: ExitCode;
-  /** For people, one line each. */
+  /** Printed by default. */
   lines: string[];
-  /** For machines: printed as one JSON value. */
+  /** Printed as one JSON value with `--json`. */
   value: unknown;
 }
--- a/packages/cli/src/lib/StoreCommand.ts
+++ b/packages/cli/src/lib/StoreCommand.ts
@@ -2,31 +2,31 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import { Option } from 'clipanion';
 import { cascade, isAtLeast, isInteger, isNumber } from 'typanion';
-import { getRequired } from './getRequired.js';
+import { getRequiredOption } from './getRequiredOption.js';
 import { OperatorCommand } from './OperatorCommand.js';
 
-const DEFAULT_CALL_TIMEOUT: Milliseconds = 2000;
+const DEFAULT_CALL_TIMEOUT_MS: Milliseconds = 2000;
 
-/** A whole number that is not below the bound. */
-export const isCount = (bound: number) => cascade(isNumber(), [isInteger(), isAtLeast(bound)]);
+/** Validates an integer that is at least `min`. */
+export const isIntegerFrom = (min: number) => cascade(isNumber(), [isInteger(), isAtLeast(min)]);
 
-/** A command that asks the platform's store. */
+/** A command that uses the platform's store. */
 export abstract class StoreCommand extends OperatorCommand {
   platform = Option.String('--platform', {
     env: 'APRICOTRILL_PLATFORM',
     description: "The platform's URL, such as http://127.0.0.1:8500 (or $APRICOTRILL_PLATFORM).",
   });
 
-  callTimeout = Option.String('--call-timeout', String(DEFAULT_CALL_TIMEOUT), {
-    validator: isCount(1),
-    description: `How long one call may take, in ms; ${DEFAULT_CALL_TIMEOUT} by default.`,
+  callTimeout = Option.String('--call-timeout', String(DEFAULT_CALL_TIMEOUT_MS), {
+    validator: isIntegerFrom(1),
+    description: `Timeout of one call, in ms; ${DEFAULT_CALL_TIMEOUT_MS} by default.`,
   });
 
   protected getPlatform(): string {
-    return getRequired(this.platform, '--platform', 'name the URL of the platform');
+    return getRequiredOption(this.platform, '--platform', 'give the URL of the platform');
   }
 
-  /** Opens the store for as long as the use of it takes. */
+  /** Opens the store, calls `use` with it, and closes it again. */
   protected async useStore<Answer>(
     use: (store: ConfigurationStore) => Promise<Answer>,
   ): Promise<Answer> {
--- a/packages/cli/src/lib/commands/ApplyCommand.ts
+++ b/packages/cli/src/lib/commands/ApplyCommand.ts
@@ -6,29 +6,29 @@
 import { StoreUnavailableError } from '@apricotrill/store';
 import type { Milliseconds } from '@apricotrill/utils';
 import { Command, Option } from 'clipanion';
-import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
-import { askBehind } from '../daemons/refreshLaggingMembers.js';
-import { pause, waitUntilInForce } from '../daemons/waitUntilInForce.js';
+import { fetchMembersFromAny } from '../daemons/fetchMembersFromAny.js';
+import { refreshLaggingMembers } from '../daemons/refreshLaggingMembers.js';
+import { delay, waitUntilInForce } from '../daemons/waitUntilInForce.js';
 import {
   createDaemonOption,
   createRegisterOption,
   createRulesOption,
   getDaemons,
 } from '../sharedOptions.js';
-import { getRequired } from '../getRequired.js';
+import { getRequiredOption } from '../getRequiredOption.js';
 import { readConfiguration } from '../readFiles.js';
 import type { Report } from '../Report.js';
-import { StoreCommand, isCount } from '../StoreCommand.js';
+import { StoreCommand, isIntegerFrom } from '../StoreCommand.js';
 import { getApplyReport } from './getApplyReport.js';
 import { getChangeId } from './getChangeId.js';
-import { getSpreadReport } from './getRolloutReport.js';
+import { getRolloutReport } from './getRolloutReport.js';
 
-const DEFAULT_TIMEOUT: Milliseconds = 30000;
-const RETRY_INTERVAL: Milliseconds = 500;
-/** After so many generations, parts that nothing names any more are deleted. */
+const DEFAULT_TIMEOUT_MS: Milliseconds = 30000;
+const RETRY_INTERVAL_MS: Milliseconds = 500;
+/** Parts that are no longer referenced are deleted once in this many generations. */
 const GENERATIONS_PER_COLLECTION = 50;
 
-/** The generation that holds the files' content now, if any does. */
+/** Returns the accepted generation that has the content of the files, if there is one. */
 function getAcceptedGeneration(outcome: ApplyResult): number | undefined {
   if (outcome.kind === 'accepted') {
     return outcome.change.generation;
@@ -42,26 +42,26 @@
 
   static override usage = Command.Usage({
     category: 'Edit',
-    description: 'get the files accepted as the next generation',
+    description: 'apply the files as the next generation',
     details: `
-      Checks the files and has them accepted as a whole by one conditional update. \`--base\` is the
-      generation they were made against, as \`diff\` prints it; 0 when nothing is accepted yet. If
-      another change was accepted on the same base, nothing is applied and both sides are shown.
+      Validates the files and applies them as a whole with one conditional update. \`--base\` is the
+      generation they are based on, as printed by \`diff\`; 0 if nothing is accepted yet. If another
+      change was accepted on the same base, nothing is applied and both sides are shown.
 
-      When the store gives no answer, the command asks again until \`--timeout\` is over. A change
-      whose confirmation was lost is found by its identity, also by running the same command again:
-      it is never applied twice. Without \`--id\` the identity follows from the files, the base and
-      the author.
+      If the store does not answer, the command retries until \`--timeout\` expires. A change whose
+      confirmation was lost is recognized by its id and never applied twice, also when the same
+      command is run again. Without \`--id\`, the id is derived from the files, the base and the
+      author.
 
-      With \`--wait\` it ends when every live daemon has the change in force; the daemon named by
-      \`--daemon\` says who is alive.
+      With \`--wait\`, the command ends when the change is in force at every live daemon; the list of
+      live daemons comes from a daemon given by \`--daemon\`.
 
       Exit status: 0 accepted (with \`--wait\`: and in force), 2 files refused, 3 conflict, 4 no
       answer (the last line says whether the change may be accepted), 5 not in force everywhere in
-      time, 7 the change cannot be accepted as it is.
+      time, 7 the change cannot be accepted.
     `,
     examples: [
-      ['Accept the files made against generation 12', '$0 apply --base 12'],
+      ['Apply files that are based on generation 12', '$0 apply --base 12'],
       [
         'Wait until it is in force at all daemons',
         '$0 apply --base 12 --wait --daemon 10.0.0.1:8082 --daemon 10.0.0.2:8082',
@@ -74,43 +74,47 @@
   rules = createRulesOption();
 
   base = Option.String('--base', {
-    validator: isCount(0),
-    description: 'The generation that the files were made against; 0 for the first.',
+    validator: isIntegerFrom(0),
+    description: 'The generation that the files are based on; 0 for the first.',
   });
 
   id = Option.String('--id', {
-    description: 'The identity of the change; from its content, base and author by default.',
+    description: 'The id of the change; derived from its content, base and author by default.',
   });
 
   author = Option.String('--author', {
-    description: 'Who makes the change; the user who runs the command by default.',
+    description: 'The author of the change; the user who runs the command by default.',
   });
 
-  timeout = Option.String('--timeout', String(DEFAULT_TIMEOUT), {
-    validator: isCount(0),
-    description: `How long to keep asking, and to wait, in ms; ${DEFAULT_TIMEOUT} by default.`,
+  timeout = Option.String('--timeout', String(DEFAULT_TIMEOUT_MS), {
+    validator: isIntegerFrom(0),
+    description: `How long to retry, and how long to wait, in ms; ${DEFAULT_TIMEOUT_MS} by default.`,
   });
 
   wait = Option.Boolean('--wait', false, {
-    description: 'Wait until the change is in force at every live daemon; needs --daemon.',
+    description: 'Wait until the change is in force at every live daemon; requires --daemon.',
   });
 
   daemon = createDaemonOption();
 
   protected async run(): Promise<Report> {
     const baseGeneration = Number(
-      getRequired(this.base, '--base', 'diff prints the generation to give here; 0 for the first'),
+      getRequiredOption(
+        this.base,
+        '--base',
+        'give the generation that diff prints; 0 for the first',
+      ),
     );
     const daemons = this.wait ? getDaemons(this.daemon) : [];
     const change = await this.readChange(baseGeneration);
-    const outcome = await this.useStore((store) => this.applyInTime(store, change));
+    const outcome = await this.useStore((store) => this.applyWithRetries(store, change));
     const report = getApplyReport(outcome, change.changeId);
     const generation = getAcceptedGeneration(outcome);
     if (generation === undefined || !this.wait) {
       return report;
     }
-    this.note(report.lines.join('\n'));
-    return this.waitForSpread(daemons, generation);
+    this.printProgress(report.lines.join('\n'));
+    return this.waitForRollout(daemons, generation);
   }
 
   private async readChange(baseGeneration: number): Promise<ConfigurationChange> {
@@ -120,13 +124,13 @@
     return { configuration, author, baseGeneration, changeId };
   }
 
-  /** Asks with the same identity until there is an answer or time is up. */
-  private async applyInTime(
+  /** Retries with the same id until the store answers or the timeout expires. */
+  private async applyWithRetries(
     store: ConfigurationStore,
     change: ConfigurationChange,
   ): Promise<ApplyResult> {
     const { clock } = this.context;
-    const end = clock.now() + Number(this.timeout);
+    const deadline = clock.now() + Number(this.timeout);
     let mayBeAccepted = false;
     for (;;) {
       // eslint-disable-next-line no-await-in-loop -- each attempt follows the one before
@@ -137,16 +141,16 @@
         return outcome;
       }
       mayBeAccepted ||= outcome.mayBeAccepted;
-      if (clock.now() >= end) {
+      if (clock.now() >= deadline) {
         return { ...outcome, mayBeAccepted };
       }
-      this.note(`no answer; asking again as change ${change.changeId}: ${outcome.error.message}`);
+      this.printProgress(`no answer; retrying change ${change.changeId}: ${outcome.error.message}`);
       // eslint-disable-next-line no-await-in-loop
-      await pause(clock, RETRY_INTERVAL);
+      await delay(clock, RETRY_INTERVAL_MS);
     }
   }
 
-  /** Tidies up now and then; the change is accepted whether this succeeds or not. */
+  /** Deletes unreferenced parts when due; a failure does not affect the accepted change. */
   private async collectGarbage(store: ConfigurationStore, outcome: ApplyResult): Promise<void> {
     const isDue =
       outcome.kind === 'accepted' && outcome.change.generation % GENERATIONS_PER_COLLECTION === 0;
@@ -158,20 +162,20 @@
       if (!(error instanceof StoreUnavailableError)) {
         throw error;
       }
-      this.note(`old parts stay until the next time: ${error.message}`);
+      this.printProgress(`unreferenced parts were not deleted: ${error.message}`);
     }
   }
 
-  private async waitForSpread(daemons: string[], generation: number): Promise<Report> {
+  private async waitForRollout(daemons: string[], generation: number): Promise<Report> {
     const { clock } = this.context;
     const callTimeout = Number(this.callTimeout);
-    const ask = async () => {
-      const asked = await askAnyDaemon(this.context, daemons, callTimeout);
-      return askBehind(this.context, asked, generation, callTimeout);
+    const fetchAnswer = async () => {
+      const asked = await fetchMembersFromAny(this.context, daemons, callTimeout);
+      return refreshLaggingMembers(this.context, asked, generation, callTimeout);
     };
-    const asked = await waitUntilInForce(clock, ask, generation, Number(this.timeout));
-    // Without any answer this last question fails with the reason why.
-    const report = getSpreadReport(asked ?? (await ask()), generation);
+    const asked = await waitUntilInForce(clock, fetchAnswer, generation, Number(this.timeout));
+    // If no daemon answered, this last query throws the error.
+    const report = getRolloutReport(asked ?? (await fetchAnswer()), generation);
     return { ...report, value: { accepted: generation, spread: report.value } };
   }
 }
--- a/packages/cli/src/lib/commands/DiffCommand.ts
+++ b/packages/cli/src/lib/commands/DiffCommand.ts
@@ -19,11 +19,11 @@
 
   static override usage = Command.Usage({
     category: 'Edit',
-    description: 'show what the files would change in the accepted configuration',
+    description: 'show how the files differ from the accepted configuration',
     details: `
-      Checks the files, reads the accepted configuration and prints what applying the files would
-      add (+), remove (-) and change (~). The last line names the generation that the files were
-      compared with: give it to \`apply\` as \`--base\`.
+      Validates the files, reads the accepted configuration and prints what applying the files would
+      add (+), remove (-) and change (~). The last line shows the generation that the files were
+      compared with, which \`apply\` takes as \`--base\`.
 
       Exit status: 0 no differences, 6 differences, 2 files refused, 4 no answer from the store.
     `,
--- a/packages/cli/src/lib/commands/ExplainCommand.ts
+++ b/packages/cli/src/lib/commands/ExplainCommand.ts
@@ -9,23 +9,23 @@
 import { Command, Option } from 'clipanion';
 import { createRegisterOption, createRulesOption } from '../sharedOptions.js';
 import { ExitCode } from '../ExitCode.js';
-import { getRequired } from '../getRequired.js';
+import { getRequiredOption } from '../getRequiredOption.js';
 import { OperatorCommand } from '../OperatorCommand.js';
 import { readConfiguration } from '../readFiles.js';
 import type { Report } from '../Report.js';
-import { isCount } from '../StoreCommand.js';
+import { isIntegerFrom } from '../StoreCommand.js';
 
-function getTrialLine({ index, rule, failed }: RuleEvaluation): string {
+function formatEvaluation({ index, rule, failed }: RuleEvaluation): string {
   if (failed === undefined) {
     return `classRules[${index}] matches: class ${rule.class}`;
   }
   const wanted = rule[failed as keyof ClassRule];
-  return `classRules[${index}] (${rule.class}) does not: ${failed} is not ${JSON.stringify(wanted)}`;
+  return `classRules[${index}] (${rule.class}) does not match: ${failed} is not ${JSON.stringify(wanted)}`;
 }
 
-function getClassLines(serviceClass: ServiceClass | undefined): string[] {
+function formatClass(serviceClass: ServiceClass | undefined): string[] {
   if (serviceClass === undefined) {
-    return ['no rule matches: such a request is refused'];
+    return ['no rule matches: the request is refused'];
   }
   const { name, tier, target, deadline, floor, preemptible, repeatable } = serviceClass;
   return [
@@ -34,9 +34,9 @@
   ];
 }
 
-/** Rules of other services say nothing about the request. */
-function getOwnTrials(rules: Rules, facts: RequestAttributes): RuleEvaluation[] {
-  return new ClassMatcher(rules).explain(facts).filter(({ failed }) => failed !== 'service');
+/** Returns the evaluations of the rules for the request's service; the other rules are left out. */
+function getServiceEvaluations(rules: Rules, attributes: RequestAttributes): RuleEvaluation[] {
+  return new ClassMatcher(rules).explain(attributes).filter(({ failed }) => failed !== 'service');
 }
 
 /** `apricotrill explain` */
@@ -45,13 +45,13 @@
 
   static override usage = Command.Usage({
     category: 'Edit',
-    description: 'show which class a request would get, and why',
+    description: 'show which class a request would get and why',
     details: `
-      Tries the rules of the file in order against a request described by options, and prints for
-      each rule of its service why it does not match, up to the one that decides. Nothing is sent
-      anywhere.
+      Evaluates the class rules in order for the request that the options describe. For each rule of
+      its service it prints why the rule does not match, up to the first one that matches. No
+      network calls are made.
 
-      Exit status: 0 a rule matches, 8 none does, 2 files refused.
+      Exit status: 0 a rule matches, 2 files refused, 8 no rule matches.
     `,
     examples: [
       [
@@ -66,44 +66,44 @@
 
   rules = createRulesOption();
 
-  service = Option.String('--service', { description: 'The service called.' });
+  service = Option.String('--service', { description: 'The called service.' });
 
-  workspace = Option.String('--workspace', { description: 'Who calls.' });
+  workspace = Option.String('--workspace', { description: 'The calling workspace.' });
 
   method = Option.String('--method', { description: 'The HTTP method of a plain call.' });
 
   calledPath = Option.String('--path', { description: 'The path of a plain call.' });
 
   maxTokens = Option.String('--max-tokens', {
-    validator: isCount(1),
-    description: 'The most tokens a chat request asks for.',
+    validator: isIntegerFrom(1),
+    description: 'The max_tokens of a chat request.',
   });
 
-  wish = Option.String('--wish', {
-    description: 'The class wished for by the x-apricotrill-class header.',
+  requestedClass = Option.String('--wish', {
+    description: 'The class requested in the x-apricotrill-class header.',
   });
 
   protected async run(): Promise<Report> {
     const { rules } = await readConfiguration(this.register, this.rules);
-    const facts = this.getFacts();
-    const serviceClass = new ClassMatcher(rules).getClass(facts);
-    const trials = getOwnTrials(rules, facts);
+    const attributes = this.getRequestAttributes();
+    const serviceClass = new ClassMatcher(rules).getClass(attributes);
+    const evaluations = getServiceEvaluations(rules, attributes);
     return {
       exitCode: serviceClass === undefined ? ExitCode.NoClass : ExitCode.Done,
-      lines: [...trials.map(getTrialLine), ...getClassLines(serviceClass)],
-      value: { class: serviceClass ?? null, trials },
+      lines: [...evaluations.map(formatEvaluation), ...formatClass(serviceClass)],
+      value: { class: serviceClass ?? null, trials: evaluations },
     };
   }
 
-  private getFacts(): RequestAttributes {
-    const { service, workspace, method, calledPath, maxTokens, wish } = this;
+  private getRequestAttributes(): RequestAttributes {
+    const { service, workspace, method, calledPath, maxTokens, requestedClass } = this;
     return {
-      service: getRequired(service, '--service', 'name the service called'),
-      workspace: getRequired(workspace, '--workspace', 'name the workspace that calls'),
+      service: getRequiredOption(service, '--service', 'give the called service'),
+      workspace: getRequiredOption(workspace, '--workspace', 'give the calling workspace'),
       method: method?.toUpperCase(),
       path: calledPath,
       maxTokens: maxTokens === undefined ? undefined : Number(maxTokens),
-      wishedClass: wish,
+      wishedClass: requestedClass,
     };
   }
 }
--- a/packages/cli/src/lib/commands/HistoryCommand.ts
+++ b/packages/cli/src/lib/commands/HistoryCommand.ts
@@ -17,14 +17,14 @@
 
   static override usage = Command.Usage({
     category: 'Watch',
-    description: 'list the last accepted changes',
+    description: 'list the most recent accepted changes',
     details: `
-      Prints the accepted change and those before it, newest first, as many as the manifest
-      remembers: who, when and under which identity.
+      Prints the accepted change and the changes before it that the manifest still lists, newest
+      first, with generation, time, author and id.
 
       Exit status: 0 answered, 4 no answer from the store.
     `,
-    examples: [['Show the last changes', '$0 history --platform http://127.0.0.1:8500']],
+    examples: [['Show the most recent changes', '$0 history --platform http://127.0.0.1:8500']],
   });
 
   protected async run(): Promise<Report> {
--- a/packages/cli/src/lib/commands/IncidentCommand.ts
+++ b/packages/cli/src/lib/commands/IncidentCommand.ts
@@ -2,7 +2,7 @@
 import { isAtLeast, isNumber, cascade } from 'typanion';
 import { ExitCode } from '../ExitCode.js';
 import { getIncidentSummary } from '../incident/IncidentSummary.js';
-import type { BeliefChange, IncidentSummary, Share, Symptom } from '../incident/IncidentSummary.js';
+import type { StateChange, IncidentSummary, Share, Symptom } from '../incident/IncidentSummary.js';
 import { OperatorCommand } from '../OperatorCommand.js';
 import type { Report } from '../Report.js';
 import { formatTable } from '../text/formatTable.js';
@@ -13,8 +13,8 @@
 
 const isSeconds = cascade(isNumber(), [isAtLeast(0)]);
 
-function formatSeconds(span: number): string {
-  return `${(span / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
+function formatSeconds(duration: number): string {
+  return `${(duration / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
 }
 
 function formatShare({ field, value, part }: Share): string {
@@ -32,7 +32,7 @@
   ];
 }
 
-function formatChange(change: BeliefChange): string[] {
+function formatStateChange(change: StateChange): string[] {
   return [
     formatSeconds(change.first),
     formatSeconds(change.last),
@@ -53,8 +53,8 @@
     ...rest.symptoms.map(formatSymptom),
   ];
   const changes = [
-    ['first', 'last', 'what the daemons believed', 'times', 'daemons'],
-    ...rest.changes.map(formatChange),
+    ['first', 'last', 'state change', 'times', 'daemons'],
+    ...rest.changes.map(formatStateChange),
   ];
   return [head, '', ...formatTable(symptoms), '', ...formatTable(changes)];
 }
@@ -65,28 +65,29 @@
 
   static override usage = Command.Usage({
     category: 'Watch',
-    description: 'sum up what became worse, for whom, from when, and what the daemons believed',
+    description:
+      'summarize what became worse, when, whom it affected, and the state changes of the daemons',
     details: `
-      Reads log lines of several daemons, from files or standard input. A second counts as bad when
-      a sign of trouble comes three times as often as in an ordinary second of the same logs, and
-      at least three times. Below the signs stand the changes of belief from five seconds before
-      the first one on.
+      Reads log lines of several daemons from files or standard input. A second counts as bad if an
+      indicator occurs at least three times in it, and at least three times as often as in the
+      median second of the same logs. The state changes of the daemons are listed from five seconds
+      before the first bad second.
 
-      Exit status: 0 read, 2 a file can't be read, 7 no line of a daemon.
+      Exit status: 0 read, 2 a file cannot be read, 7 no line of a daemon.
     `,
     examples: [
       ['From files', '$0 incident edge-1.log edge-2.log'],
-      ['A span of seconds', '$0 incident --from 20 --until 40 edge-1.log'],
+      ['Part of a log', '$0 incident --from 20 --until 40 edge-1.log'],
     ],
   });
 
   from = Option.String('--from', '0', {
-    description: 'Seconds after the first line; 0 by default.',
+    description: 'Start, in seconds after the first line; 0 by default.',
     validator: isSeconds,
   });
 
   until = Option.String('--until', {
-    description: 'Seconds after the first line; by default the end.',
+    description: 'End, in seconds after the first line; the last line by default.',
     validator: isSeconds,
   });
 
@@ -95,16 +96,16 @@
   protected async run(): Promise<Report> {
     const lines = await readLogLines(this.files, this.context.stdin);
     const start = lines.reduce((least, { time }) => Math.min(least, time), Number.MAX_VALUE);
-    const isWithin = this.getSpan(start);
+    const isWithin = this.getTimeFilter(start);
     const summary = getIncidentSummary(lines.filter(({ time }) => isWithin(time)));
     if (summary === undefined) {
-      const missing = ['no line of a daemon in that span'];
+      const missing = ['no line of a daemon in that time'];
       return { exitCode: ExitCode.Impossible, lines: missing, value: {} };
     }
     return { exitCode: ExitCode.Done, lines: formatSummary(summary), value: summary };
   }
 
-  private getSpan(start: number): (time: number) => boolean {
+  private getTimeFilter(start: number): (time: number) => boolean {
     const from = start + this.from * MILLISECONDS_PER_SECOND;
     const until =
       this.until === undefined
--- a/packages/cli/src/lib/commands/MembersCommand.ts
+++ b/packages/cli/src/lib/commands/MembersCommand.ts
@@ -1,6 +1,6 @@
 import { Command } from 'clipanion';
-import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
-import { getStateText } from '../daemons/MemberList.js';
+import { fetchMembersFromAny } from '../daemons/fetchMembersFromAny.js';
+import { formatState } from '../daemons/MemberList.js';
 import type { MemberView } from '../daemons/MemberList.js';
 import { ExitCode } from '../ExitCode.js';
 import { createDaemonOption, getDaemons } from '../sharedOptions.js';
@@ -9,12 +9,12 @@
 import { formatTime } from '../text/formatChange.js';
 import { formatTable } from '../text/formatTable.js';
 
-const CALL_TIMEOUT = 2000;
+const CALL_TIMEOUT_MS = 2000;
 
 function getRow(member: MemberView): string[] {
   const { id, availabilityZone, generation, since } = member;
   const from = since === undefined ? '-' : formatTime(since);
-  return [id, availabilityZone, getStateText(member), from, String(generation)];
+  return [id, availabilityZone, formatState(member), from, String(generation)];
 }
 
 /** `apricotrill members` */
@@ -23,27 +23,27 @@
 
   static override usage = Command.Usage({
     category: 'Watch',
-    description: 'list the daemons as one of them sees them',
+    description: 'list the daemons as seen by one of them',
     details: `
-      Asks the first of the named daemons that answers, and prints every daemon it knows with its
-      availability zone, its state and since when, and the generation in force there as far as that
-      daemon has heard: it hears from some at once and from others only now and then (\`status\` asks
-      each itself). "unreachable" is a daemon whose region cannot be reached from there, "damped" one
-      that goes and comes back too often and gets no duties until it stays. Ask another daemon for
-      its view when the two may differ.
+      Queries the first of the given daemons that answers, and prints every daemon it knows: the
+      availability zone, the state and when it was entered, and the last known generation in force.
+      That generation may be outdated, since a daemon hears from some daemons at once and from others
+      only occasionally (\`status\` queries each daemon itself). "unreachable" means that the region
+      of a daemon cannot be reached from the queried one, "damped" that a daemon leaves and rejoins
+      too often and is given no duties until it is stable. Other daemons may have a different view.
 
-      Exit status: 0 answered, 4 no answer from any of the daemons named.
+      Exit status: 0 answered, 4 no answer from any of the given daemons.
     `,
-    examples: [['Ask a daemon', '$0 members --daemon 10.0.0.1:8082']],
+    examples: [['Query a daemon', '$0 members --daemon 10.0.0.1:8082']],
   });
 
   daemon = createDaemonOption();
 
   protected async run(): Promise<Report> {
-    const { address, list } = await askAnyDaemon(
+    const { address, list } = await fetchMembersFromAny(
       this.context,
       getDaemons(this.daemon),
-      CALL_TIMEOUT,
+      CALL_TIMEOUT_MS,
     );
     const headings = ['daemon', 'zone', 'state', 'since', 'in force'];
     return {
--- a/packages/cli/src/lib/commands/ShowCommand.ts
+++ b/packages/cli/src/lib/commands/ShowCommand.ts
@@ -3,9 +3,9 @@
 import { Command, Option } from 'clipanion';
 import { ExitCode } from '../ExitCode.js';
 import type { Report } from '../Report.js';
-import { StoreCommand, isCount } from '../StoreCommand.js';
+import { StoreCommand, isIntegerFrom } from '../StoreCommand.js';
 
-const INDENT = 2;
+const JSON_INDENT = 2;
 
 /** `apricotrill show` */
 export class ShowCommand extends StoreCommand {
@@ -15,11 +15,11 @@
     category: 'Watch',
     description: 'print the accepted register or rules',
     details: `
-      Prints the accepted register or rules in the form of the operators' files, without their
-      comments: to merge after a conflict, or to go back to an earlier generation by applying it
-      again. Some two hundred generations are kept.
+      Prints the accepted register or rules in the format of the operators' files, without their
+      comments. Use it to merge after a conflict, or to return to an earlier generation by applying
+      it again. About two hundred generations are kept.
 
-      Exit status: 0 printed, 4 no answer from the store, 7 no such generation is kept.
+      Exit status: 0 printed, 4 no answer from the store, 7 the generation is not kept.
     `,
     examples: [
       ['The accepted rules', '$0 show rules --platform http://127.0.0.1:8500'],
@@ -30,8 +30,8 @@
   part = Option.String({ name: 'register|rules' });
 
   generation = Option.String('--generation', {
-    validator: isCount(1),
-    description: 'An earlier generation; the accepted one by default.',
+    validator: isIntegerFrom(1),
+    description: 'The generation to print; the accepted one by default.',
   });
 
   protected async run(): Promise<Report> {
@@ -39,7 +39,7 @@
     const value = this.part === 'rules' ? configuration.rules : configuration.register;
     return {
       exitCode: ExitCode.Done,
-      lines: [JSON.stringify(value, undefined, INDENT)],
+      lines: [JSON.stringify(value, undefined, JSON_INDENT)],
       value: { generation: manifest.generation, [this.part]: value },
     };
   }
--- a/packages/cli/src/lib/commands/StatusCommand.ts
+++ b/packages/cli/src/lib/commands/StatusCommand.ts
@@ -1,17 +1,17 @@
 import type { Manifest } from '@apricotrill/configuration';
 import { StoreUnavailableError } from '@apricotrill/store';
 import { Command } from 'clipanion';
-import { askAnyDaemon } from '../daemons/fetchMembersFromAny.js';
-import { askBehind } from '../daemons/refreshLaggingMembers.js';
+import { fetchMembersFromAny } from '../daemons/fetchMembersFromAny.js';
+import { refreshLaggingMembers } from '../daemons/refreshLaggingMembers.js';
 import { getLiveMembers } from '../daemons/MemberList.js';
 import { ExitCode } from '../ExitCode.js';
 import { createDaemonOption, getDaemons } from '../sharedOptions.js';
 import type { Report } from '../Report.js';
 import { StoreCommand } from '../StoreCommand.js';
 import { formatChange } from '../text/formatChange.js';
-import { getSpreadReport } from './getRolloutReport.js';
+import { getRolloutReport } from './getRolloutReport.js';
 
-/** The accepted manifest, or why it could not be read. */
+/** The accepted manifest, or the error that occurred while reading it. */
 interface AcceptedState {
   manifest?: Manifest;
   error?: StoreUnavailableError;
@@ -23,18 +23,19 @@
 
   static override usage = Command.Usage({
     category: 'Watch',
-    description: 'show how far the accepted version is in force, daemon by daemon',
+    description: 'show at which daemons the accepted generation is in force',
     details: `
-      Reads which generation is accepted, asks one daemon who is alive, and asks each daemon that it
-      does not know to have that generation in force itself. While the store gives no answer, the highest generation that any daemon
-      has in force stands in for the accepted one, and the status is 4.
+      Reads the accepted generation from the store and the list of live daemons from one of them. It
+      then queries each daemon at which the generation is not known to be in force. If the store
+      does not answer, the highest generation in force at any daemon is used instead, and the exit
+      status is 4.
 
-      Exit status: 0 in force at every live daemon, 5 not yet, 4 no answer from the store or from
-      any of the daemons named.
+      Exit status: 0 in force at every live daemon, 4 no answer from the store or from any of the
+      given daemons, 5 not in force everywhere yet.
     `,
     examples: [
       [
-        'Ask the first daemon that answers',
+        'Use the first daemon that answers',
         '$0 status --daemon 10.0.0.1:8082 --daemon 10.0.0.2:8082',
       ],
     ],
@@ -43,16 +44,21 @@
   daemon = createDaemonOption();
 
   protected async run(): Promise<Report> {
-    const [accepted, asked] = await Promise.all([
+    const [accepted, answer] = await Promise.all([
       this.readAccepted(),
-      askAnyDaemon(this.context, getDaemons(this.daemon), Number(this.callTimeout)),
+      fetchMembersFromAny(this.context, getDaemons(this.daemon), Number(this.callTimeout)),
     ]);
     const { manifest, error } = accepted;
     const isUnknown = error !== undefined;
-    const wanted = isUnknown ? Number.POSITIVE_INFINITY : (manifest?.generation ?? 0);
-    const told = await askBehind(this.context, asked, wanted, Number(this.callTimeout));
-    const highest = Math.max(...getLiveMembers(told.list).map(({ generation }) => generation));
-    const report = getSpreadReport(told, isUnknown ? highest : wanted);
+    const acceptedGeneration = isUnknown ? Number.POSITIVE_INFINITY : (manifest?.generation ?? 0);
+    const refreshed = await refreshLaggingMembers(
+      this.context,
+      answer,
+      acceptedGeneration,
+      Number(this.callTimeout),
+    );
+    const highest = Math.max(...getLiveMembers(refreshed.list).map(({ generation }) => generation));
+    const report = getRolloutReport(refreshed, isUnknown ? highest : acceptedGeneration);
     const heading = manifest === undefined ? 'nothing is accepted yet' : formatChange(manifest);
     return {
       exitCode: isUnknown ? ExitCode.Unavailable : report.exitCode,
--- a/packages/cli/src/lib/commands/ValidateCommand.ts
+++ b/packages/cli/src/lib/commands/ValidateCommand.ts
@@ -24,17 +24,20 @@
     category: 'Edit',
     description: 'check the files of the register and the rules',
     details: `
-      Reads both files as JSON with comments and checks them, each in itself and against each other.
-      Every fault is printed with its file, line and column, the reason and what would be right.
-      Nothing is sent anywhere.
+      Reads both files as JSON with comments and validates each of them and the references between
+      them. Every error is printed with its file, line and column, the reason and what is expected.
+      No network calls are made.
 
-      With \`--settings\` it checks the settings of a router daemon and nothing else.
+      With \`--settings\`, only the settings of a router daemon are validated.
 
-      Exit status: 0 right, 2 refused.
+      Exit status: 0 valid, 2 files refused.
     `,
     examples: [
       ['Check the files of this directory', '$0 validate'],
-      ['Check others', '$0 validate --register liitto/register.jsonc --rules liitto/rules.jsonc'],
+      [
+        'Check files elsewhere',
+        '$0 validate --register liitto/register.jsonc --rules liitto/rules.jsonc',
+      ],
       ['Check the settings of a daemon', '$0 validate --settings router.jsonc'],
     ],
   });
@@ -44,18 +47,18 @@
   rules = createRulesOption();
 
   settings = Option.String('--settings', {
-    description: "The file of a daemon's settings, to check in place of the others.",
+    description: "The path of a daemon's settings, to check instead of the register and the rules.",
   });
 
   protected async run(): Promise<Report> {
     if (this.settings !== undefined) {
       const settings = await readSettings(this.settings);
-      const lines = [`${this.settings} is right: daemon ${settings.id}`];
+      const lines = [`${this.settings} is valid: daemon ${settings.id}`];
       return { exitCode: ExitCode.Done, lines, value: { settings } };
     }
     const counts = getCounts(await readConfiguration(this.register, this.rules));
     const words = Object.entries(counts).map(([what, count]) => `${count} ${what}`);
-    const lines = [`${this.register} and ${this.rules} are right: ${words.join(', ')}`];
+    const lines = [`${this.register} and ${this.rules} are valid: ${words.join(', ')}`];
     return { exitCode: ExitCode.Done, lines, value: counts };
   }
 }
--- a/packages/cli/src/lib/commands/getApplyReport.ts
+++ b/packages/cli/src/lib/commands/getApplyReport.ts
@@ -5,27 +5,32 @@
 import { formatChange } from '../text/formatChange.js';
 import { formatDiff } from '../text/formatDiff.js';
 
-function getName(difference: ConfigurationDifference): string {
+function getEntryName(difference: ConfigurationDifference): string {
   return difference.kind === 'reordered'
     ? `${difference.list}: order`
     : `${difference.list} ${difference.name}`;
 }
 
-/** Entries that both sides touched: there a merge needs a decision. */
+/** Returns the entries that both sides changed, which have to be merged by hand. */
 function getOverlap(
   theirs: readonly ConfigurationDifference[],
   mine: readonly ConfigurationDifference[],
 ): string[] {
-  const touched = new Set(theirs.map(getName));
-  return mine.map(getName).filter((name) => touched.has(name));
+  const touched = new Set(theirs.map(getEntryName));
+  return mine.map(getEntryName).filter((name) => touched.has(name));
 }
 
 function getConflictLines(outcome: Extract<ApplyResult, { kind: 'conflict' }>): string[] {
   const { accepted, theirs, mine } = outcome;
   const heading = `conflict: ${formatChange(accepted)} was accepted on the same base`;
-  const advice = `nothing was applied; take their side into the files, then apply --base ${accepted.generation}`;
+  const advice = `nothing was applied; merge their changes into the files, then apply --base ${accepted.generation}`;
   if (theirs === undefined) {
-    return [heading, 'yours, against what is accepted:', ...formatDiff(mine), advice];
+    return [
+      heading,
+      'yours, compared with the accepted configuration:',
+      ...formatDiff(mine),
+      advice,
+    ];
   }
   const overlap = getOverlap(theirs, mine);
   const both = overlap.length === 0 ? 'nothing' : overlap.join(', ');
@@ -40,7 +45,7 @@
   ];
 }
 
-/** What an apply ended in, with what to do next. */
+/** Reports the result of an apply, with what to do next. */
 export function getApplyReport(outcome: ApplyResult, changeId: string): Report {
   switch (outcome.kind) {
     case 'accepted':
@@ -52,19 +57,19 @@
     case 'unchanged':
       return {
         exitCode: ExitCode.Done,
-        lines: [`nothing to apply: ${formatChange(outcome.accepted)} has this very content`],
+        lines: [`nothing to apply: ${formatChange(outcome.accepted)} has the same content`],
         value: outcome,
       };
     case 'conflict':
       return { exitCode: ExitCode.Conflict, lines: getConflictLines(outcome), value: outcome };
     case 'unavailable': {
       const { mayBeAccepted, error } = outcome;
-      const fate = mayBeAccepted
+      const nextStep = mayBeAccepted
         ? `change ${changeId} may be accepted; run the same command again to find out`
         : 'nothing was applied';
       return {
         exitCode: ExitCode.Unavailable,
-        lines: [`no answer: ${error.message}`, fate],
+        lines: [`no answer: ${error.message}`, nextStep],
         value: { kind: 'unavailable', mayBeAccepted, changeId, message: error.message },
       };
     }
@@ -72,8 +77,8 @@
       return {
         exitCode: ExitCode.Impossible,
         lines: [
-          `the base is too old: ${formatChange(outcome.accepted)} is accepted, and what followed the base is no longer kept`,
-          'compare with diff whether your change is in it',
+          `the base is too old: ${formatChange(outcome.accepted)} is accepted, and the changes after the base are no longer kept`,
+          'use diff to check whether your change is included',
         ],
         value: outcome,
       };
--- a/packages/cli/src/lib/commands/getChangeId.ts
+++ b/packages/cli/src/lib/commands/getChangeId.ts
@@ -5,8 +5,8 @@
 const ID_DIGITS = 16;
 
 /**
- * The identity of a change, from everything that makes it: who runs the same command again after a
- * lost confirmation asks for the same change, without having written anything down.
+ * Derives the id of a change from its content, base and author, so that running the same command
+ * again after a lost confirmation is recognized as the same change.
  */
 export function getChangeId(
   configuration: Configuration,
--- a/packages/cli/src/lib/createCli.ts
+++ b/packages/cli/src/lib/createCli.ts
@@ -12,7 +12,7 @@
 import { ValidateCommand } from './commands/ValidateCommand.js';
 import type { OperatorContext } from './OperatorContext.js';
 
-/** Every command of `apricotrill`. */
+/** All commands of `apricotrill`. */
 export const COMMANDS = [
   ValidateCommand,
   DiffCommand,
@@ -27,7 +27,7 @@
   IncidentCommand,
 ];
 
-/** Puts the operators' command line together. */
+/** Creates the operators' command line. */
 export function createCli(): Cli<OperatorContext> {
   const cli = new Cli<OperatorContext>({
     binaryLabel: 'apricotrill, the operators’ command line',
--- a/packages/cli/src/lib/daemons/DaemonUnavailableError.ts
+++ b/packages/cli/src/lib/daemons/DaemonUnavailableError.ts
@@ -1,4 +1,4 @@
 import { StepError } from '@apricotrill/utils';
 
-/** A daemon gave no answer that could be read. */
+/** A daemon did not answer, or its answer could not be parsed. */
 export class DaemonUnavailableError extends StepError {}
--- a/packages/cli/src/lib/daemons/fetchMembers.test.ts
+++ b/packages/cli/src/lib/daemons/fetchMembers.test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { askMembers } from './fetchMembers.js';
+import { fetchMembers } from './fetchMembers.js';
 
 const TIMEOUT = 5000;
 
@@ -13,7 +13,7 @@
   });
 }
 
-describe('askMembers', () => {
+describe('fetchMembers', () => {
   const list = { self: 'daemon-1', generation: 4, members: [] };
   let answer: { status: number; body: string };
   const server = createServer((request, response) => {
@@ -28,18 +28,18 @@
 
   afterAll(() => server.close());
 
-  it('reads what the daemon knows', async () => {
+  it('returns the member list of the daemon', async () => {
     answer = { status: 200, body: JSON.stringify(list) };
-    expect(await askMembers(address, TIMEOUT)).toEqual(list);
+    expect(await fetchMembers(address, TIMEOUT)).toEqual(list);
   });
 
   it.each([
     [503, JSON.stringify(list)],
     [200, '{"self":1}'],
     [200, 'not JSON'],
-  ])('names the step and the daemon when the answer is %s %s', async (status, body) => {
+  ])('fails with the step and the daemon if the answer is %s %s', async (status, body) => {
     answer = { status, body };
-    await expect(askMembers(address, TIMEOUT)).rejects.toMatchObject({
+    await expect(fetchMembers(address, TIMEOUT)).rejects.toMatchObject({
       name: 'DaemonUnavailableError',
       step: 'ask members',
       peer: address,
--- a/packages/cli/src/lib/daemons/fetchMembers.ts
+++ b/packages/cli/src/lib/daemons/fetchMembers.ts
@@ -17,12 +17,12 @@
 }
 
 /**
- * Asks one daemon for what it knows of all.
+ * Fetches the member list of one daemon.
  *
  * @param address - its admin address, as `host:port`
  * @throws DaemonUnavailableError
  */
-export async function askMembers(address: string, timeout: Milliseconds): Promise<MemberList> {
+export async function fetchMembers(address: string, timeout: Milliseconds): Promise<MemberList> {
   const agent = new Agent({ connect: { timeout } });
   try {
     return await readMembers(address, agent, timeout);
--- a/packages/cli/src/lib/daemons/fetchMembersFromAny.ts
+++ b/packages/cli/src/lib/daemons/fetchMembersFromAny.ts
@@ -3,27 +3,27 @@
 import { DaemonUnavailableError } from './DaemonUnavailableError.js';
 import type { MemberList } from './MemberList.js';
 
-/** An answer and who gave it. */
-export interface AskedMembers {
+/** A member list and the address of the daemon that returned it. */
+export interface MembersAnswer {
   address: string;
   list: MemberList;
 }
 
 /**
- * Asks the daemons in turn until one answers: any of them knows all.
+ * Queries the daemons in turn until one answers. Each of them knows all members.
  *
  * @throws DaemonUnavailableError when none answers
  */
-export async function askAnyDaemon(
-  { askMembers }: Pick<OperatorContext, 'askMembers'>,
+export async function fetchMembersFromAny(
+  { fetchMembers }: Pick<OperatorContext, 'fetchMembers'>,
   addresses: readonly string[],
   timeout: Milliseconds,
-): Promise<AskedMembers> {
+): Promise<MembersAnswer> {
   const reasons: string[] = [];
   for (const address of addresses) {
     try {
-      // eslint-disable-next-line no-await-in-loop -- the next is asked only if this one fails
-      return { address, list: await askMembers(address, timeout) };
+      // eslint-disable-next-line no-await-in-loop -- the next is queried only if this one fails
+      return { address, list: await fetchMembers(address, timeout) };
     } catch (error) {
       if (!(error instanceof DaemonUnavailableError)) {
         throw error;
@@ -31,6 +31,6 @@
       reasons.push(error.message);
     }
   }
-  const message = reasons.length === 0 ? 'no daemon was named; use --daemon' : reasons.join('; ');
+  const message = reasons.length === 0 ? 'no daemon given; use --daemon' : reasons.join('; ');
   throw new DaemonUnavailableError(message, { step: 'ask any daemon', peer: addresses.join(', ') });
 }
--- a/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
+++ b/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
@@ -1,18 +1,17 @@
 import type { Milliseconds } from '@apricotrill/utils';
 import type { OperatorContext } from '../OperatorContext.js';
-import type { AskedMembers } from './fetchMembersFromAny.js';
+import type { MembersAnswer } from './fetchMembersFromAny.js';
 import { DaemonUnavailableError } from './DaemonUnavailableError.js';
-import { getBehind } from './MemberList.js';
+import { getLaggingMembers } from './MemberList.js';
 import type { MemberView } from './MemberList.js';
 
-/** How many daemons are asked at once. */
-const CONCURRENCY = 64;
+const MAX_CONCURRENT_CALLS = 64;
 
-type AskMembers = OperatorContext['askMembers'];
+type FetchMembers = OperatorContext['fetchMembers'];
 
-/** What a daemon says of itself; what others say of it when it gives no answer. */
-async function askItself(
-  askMembers: AskMembers,
+/** Returns the generation that a daemon itself reports, or the known one if it does not answer. */
+async function refreshMember(
+  fetchMembers: FetchMembers,
   member: MemberView,
   timeout: Milliseconds,
 ): Promise<MemberView> {
@@ -20,7 +19,7 @@
     return member;
   }
   try {
-    const { self, generation } = await askMembers(member.adminAddress, timeout);
+    const { self, generation } = await fetchMembers(member.adminAddress, timeout);
     return self === member.id ? { ...member, generation } : member;
   } catch (error) {
     if (error instanceof DaemonUnavailableError) {
@@ -31,26 +30,28 @@
 }
 
 /**
- * Asks the daemons that seem to be behind for their own word. A daemon hears from its neighbours
- * each second and from others now and then: by its word alone, a change that is in force everywhere
- * would look unfinished for minutes in a large fleet.
+ * Queries the daemons that appear to lag behind a generation. A daemon hears from its neighbours
+ * every second but from other daemons only occasionally, so in a large fleet its member list alone
+ * would show a change as incomplete for minutes after it is in force everywhere.
  *
- * @param generation - daemons not known to have it in force are asked
+ * @param generation - daemons at which it is not known to be in force are queried
  */
-export async function askBehind(
-  { askMembers }: Pick<OperatorContext, 'askMembers'>,
-  { address, list }: AskedMembers,
+export async function refreshLaggingMembers(
+  { fetchMembers }: Pick<OperatorContext, 'fetchMembers'>,
+  { address, list }: MembersAnswer,
   generation: number,
   timeout: Milliseconds,
-): Promise<AskedMembers> {
-  const behind = getBehind(list, generation).filter(({ id }) => id !== list.self);
-  const told = new Map<string, MemberView>();
-  for (let start = 0; start < behind.length; start += CONCURRENCY) {
-    const some = behind.slice(start, start + CONCURRENCY);
-    // eslint-disable-next-line no-await-in-loop -- so many at once and no more
-    const answers = await Promise.all(some.map((one) => askItself(askMembers, one, timeout)));
-    answers.forEach((answer) => told.set(answer.id, answer));
+): Promise<MembersAnswer> {
+  const lagging = getLaggingMembers(list, generation).filter(({ id }) => id !== list.self);
+  const refreshed = new Map<string, MemberView>();
+  for (let start = 0; start < lagging.length; start += MAX_CONCURRENT_CALLS) {
+    const batch = lagging.slice(start, start + MAX_CONCURRENT_CALLS);
+    // eslint-disable-next-line no-await-in-loop -- limits the number of concurrent calls
+    const answers = await Promise.all(
+      batch.map((one) => refreshMember(fetchMembers, one, timeout)),
+    );
+    answers.forEach((answer) => refreshed.set(answer.id, answer));
   }
-  const members = list.members.map((member) => told.get(member.id) ?? member);
+  const members = list.members.map((member) => refreshed.get(member.id) ?? member);
   return { address, list: { ...list, members } };
 }
--- a/packages/cli/src/lib/daemons/waitUntilInForce.ts
+++ b/packages/cli/src/lib/daemons/waitUntilInForce.ts
@@ -1,21 +1,23 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import type { AskedMembers } from './fetchMembersFromAny.js';
+import type { MembersAnswer } from './fetchMembersFromAny.js';
 import { DaemonUnavailableError } from './DaemonUnavailableError.js';
-import { getBehind } from './MemberList.js';
+import { getLaggingMembers } from './MemberList.js';
 
-const POLL_INTERVAL: Milliseconds = 200;
+const POLL_INTERVAL_MS: Milliseconds = 200;
 
-/** Resolves after a span of the clock. */
-export function pause(clock: Clock, span: Milliseconds): Promise<void> {
+/** Resolves after a duration. */
+export function delay(clock: Clock, duration: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
-    clock.setTimer(span, resolve);
+    clock.setTimer(duration, resolve);
   });
 }
 
-/** Asks once; undefined when no daemon answers, which may pass. */
-async function tryAsk(ask: () => Promise<AskedMembers>): Promise<AskedMembers | undefined> {
+/** Returns undefined if no daemon answers, which may be temporary. */
+async function tryFetch(
+  fetchOnce: () => Promise<MembersAnswer>,
+): Promise<MembersAnswer | undefined> {
   try {
-    return await ask();
+    return await fetchOnce();
   } catch (error) {
     if (error instanceof DaemonUnavailableError) {
       return undefined;
@@ -25,27 +27,27 @@
 }
 
 /**
- * Asks again and again until every live daemon has a generation in force, or time is up.
+ * Polls until a generation is in force at every live daemon or the timeout expires.
  *
- * @returns the last answer, or undefined when no daemon ever answered
+ * @returns the last answer, or undefined if no daemon answered at all
  */
 export async function waitUntilInForce(
   clock: Clock,
-  ask: () => Promise<AskedMembers>,
+  fetchAnswer: () => Promise<MembersAnswer>,
   generation: number,
   timeout: Milliseconds,
-): Promise<AskedMembers | undefined> {
-  const end = clock.now() + timeout;
-  let last: AskedMembers | undefined;
+): Promise<MembersAnswer | undefined> {
+  const deadline = clock.now() + timeout;
+  let lastAnswer: MembersAnswer | undefined;
   for (;;) {
-    // eslint-disable-next-line no-await-in-loop -- each question follows the answer before
-    const asked = await tryAsk(ask);
-    last = asked ?? last;
-    const isDone = asked !== undefined && getBehind(asked.list, generation).length === 0;
-    if (isDone || clock.now() >= end) {
-      return last;
+    // eslint-disable-next-line no-await-in-loop -- polling is sequential
+    const answer = await tryFetch(fetchAnswer);
+    lastAnswer = answer ?? lastAnswer;
+    const isDone = answer !== undefined && getLaggingMembers(answer.list, generation).length === 0;
+    if (isDone || clock.now() >= deadline) {
+      return lastAnswer;
     }
     // eslint-disable-next-line no-await-in-loop
-    await pause(clock, POLL_INTERVAL);
+    await delay(clock, POLL_INTERVAL_MS);
   }
 }
--- a/packages/cli/src/lib/incident/IncidentSummary.test.ts
+++ b/packages/cli/src/lib/incident/IncidentSummary.test.ts
@@ -10,7 +10,7 @@
   return { daemon, time, event, fields: { ...fields } };
 }
 
-/** Ten calm seconds, and a replica that breaks all it gets from the fifth to the eighth. */
+/** Ten seconds of logs with a replica that breaks all its requests in seconds 5 to 7. */
 function getLines(): LogLine[] {
   const lines: LogLine[] = [];
   for (let second = 0; second < 10; second += 1) {
@@ -38,7 +38,7 @@
 }
 
 describe('getIncidentSummary', () => {
-  it('says what became worse, from when until when, and for whom', () => {
+  it('reports which indicators rose, when, and whom it affected', () => {
     const summary = getIncidentSummary(getLines())!;
     expect(summary).toMatchObject({ daemons: 2, requests: 100 });
     expect(summary.symptoms.map(({ measure }) => measure)).toEqual([
@@ -59,7 +59,7 @@
     });
   });
 
-  it('puts the changes of belief beside it that can have to do with it', () => {
+  it('lists the state changes around the symptoms', () => {
     const { changes } = getIncidentSummary(getLines())!;
     expect(changes).toEqual([
       { event: 'configuration', subject: '3', first: 10, last: 10, times: 1, daemons: 1 },
@@ -74,7 +74,7 @@
     ]);
   });
 
-  it('finds nothing in logs without trouble, and no summary in none', () => {
+  it('finds no symptom in logs without trouble, and returns no summary without logs', () => {
     const calm = getLines().filter(({ time }) => time < 1_004_000);
     expect(getIncidentSummary(calm)!.symptoms).toEqual([]);
     expect(getIncidentSummary([])).toBeUndefined();
@@ -92,7 +92,7 @@
     return file;
   }
 
-  it('prints the summary, also of a span alone', async () => {
+  it('prints the summary of all the logs or of a part', async () => {
     const { run } = createRunCli();
     const file = await writeLog();
     const all = await run('incident', file);
@@ -103,7 +103,7 @@
     expect(early.output).toContain('nothing became worse');
   });
 
-  it('refuses a span that is no number, and says when there is no line', async () => {
+  it('rejects a time that is not a number, and reports a time without any line', async () => {
     const { run } = createRunCli();
     const file = await writeLog();
     expect((await run('incident', '--from', 'noon', file)).exitCode).toBe(ExitCode.Usage);
--- a/packages/cli/src/lib/incident/IncidentSummary.ts
+++ b/packages/cli/src/lib/incident/IncidentSummary.ts
@@ -1,33 +1,33 @@
 import type { LogLine } from '../trace/RequestTrace.js';
-import { measures } from './incidentIndicators.js';
-import type { Measure } from './incidentIndicators.js';
+import { incidentIndicators } from './incidentIndicators.js';
+import type { IncidentIndicator } from './incidentIndicators.js';
 
-/** Something that became worse. */
+/** An indicator that rose above its usual level. */
 export interface Symptom {
   measure: string;
-  /** Milliseconds since the first line: the first and the last second above the usual. */
+  /** Start of the first and end of the last bad second, in milliseconds since the first line. */
   from: number;
   until: number;
   count: number;
-  /** In an ordinary second of the span, and in the worst. */
+  /** Lines in the median second and in the worst second. */
   usualPerSecond: number;
   worstPerSecond: number;
-  /** Who had most of it. */
+  /** The most frequent value of each grouping field. */
   mostly: Share[];
 }
 
-/** The part of a symptom that one route, workspace, replica or daemon had. */
+/** The share of a symptom that falls on one route, workspace, replica or daemon. */
 export interface Share {
   field: string;
   value: string;
-  /** 0 to 1. */
+  /** Between 0 and 1. */
   part: number;
 }
 
-/** Changes of belief of one kind, at all daemons together. */
-export interface BeliefChange {
+/** State changes of one kind, aggregated over all daemons. */
+export interface StateChange {
   event: string;
-  /** What it was about, such as a replica or a dependency. */
+  /** What the event refers to, such as a replica or a dependency. */
   subject: string;
   /** Milliseconds since the first line. */
   first: number;
@@ -36,7 +36,7 @@
   daemons: number;
 }
 
-/** What became worse in a span of logs, for whom, from when, and what the daemons believed. */
+/** The symptoms in a period of the logs, whom they affected, and the daemons' state changes. */
 export interface IncidentSummary {
   /** Milliseconds since the epoch. */
   start: number;
@@ -44,11 +44,11 @@
   daemons: number;
   requests: number;
   symptoms: Symptom[];
-  changes: BeliefChange[];
+  changes: StateChange[];
 }
 
-/** Events that change what a daemon believes, and the field that says of what. */
-const BELIEFS: Readonly<Record<string, string>> = {
+/** Events that change a daemon's state, and the field that holds their subject. */
+const STATE_CHANGE_SUBJECTS: Readonly<Record<string, string>> = {
   start: '',
   reload: '',
   stopping: 'signal',
@@ -69,25 +69,26 @@
   'peer-lost': 'peer',
 };
 
-const SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A second is bad from so many times the usual on, and from so many lines on. */
-const WORSE_FACTOR = 3;
-const FEWEST_LINES = 3;
+/** A second is bad if it has at least this many times the lines of the median second. */
+const BAD_SECOND_FACTOR = 3;
+/** A second with fewer lines is never bad. */
+const MIN_LINES_IN_BAD_SECOND = 3;
 
-/** A value that has less of a symptom explains nothing. */
-const LEAST_PART = 0.25;
+/** A value with a smaller share does not explain the symptom. */
+const MIN_SHARE = 0.25;
 
-/** Beliefs change before what they do is seen: so long before the first symptom they count. */
-const BEFORE = 5_000;
+/** State changes precede their effects and are listed from this time before the first symptom. */
+const LEAD_TIME_MS = 5_000;
 
 function getMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-/** Adds the route, workspace and replica of its request to each line that names a request. */
-function joinRequests(lines: readonly LogLine[]): LogLine[] {
+/** Adds the route, workspace and replica of the request to each line that has a request id. */
+function addRequestFields(lines: readonly LogLine[]): LogLine[] {
   const known = new Map<string, Record<string, unknown>>();
   return lines.map((line) => {
     const { id } = line.fields;
@@ -114,34 +115,36 @@
   });
   const [value, count] = [...counts].sort((left, right) => right[1] - left[1])[0]!;
   const part = count / lines.length;
-  return value === '' || part < LEAST_PART ? undefined : { field, value, part };
+  return value === '' || part < MIN_SHARE ? undefined : { field, value, part };
 }
 
 function getSymptom(
   lines: readonly LogLine[],
-  { name, isCounted, groupedBy }: Measure,
+  { name, isCounted, groupedBy }: IncidentIndicator,
   start: number,
   seconds: number,
 ): Symptom | undefined {
   const counted = lines.filter(isCounted);
   const perSecond = Array<number>(seconds).fill(0);
-  const getSecond = ({ time }: LogLine) => Math.floor((time - start) / SECOND);
+  const getSecond = ({ time }: LogLine) => Math.floor((time - start) / MILLISECONDS_PER_SECOND);
   counted.forEach((line) => {
     perSecond[getSecond(line)]! += 1;
   });
-  const usual = getMedian(perSecond);
-  const bound = Math.max(FEWEST_LINES, usual * WORSE_FACTOR);
-  const bad = new Set(perSecond.flatMap((count, second) => (count >= bound ? [second] : [])));
-  if (bad.size === 0) {
+  const median = getMedian(perSecond);
+  const threshold = Math.max(MIN_LINES_IN_BAD_SECOND, median * BAD_SECOND_FACTOR);
+  const badSeconds = new Set(
+    perSecond.flatMap((count, second) => (count >= threshold ? [second] : [])),
+  );
+  if (badSeconds.size === 0) {
     return undefined;
   }
-  const affected = counted.filter((line) => bad.has(getSecond(line)));
+  const affected = counted.filter((line) => badSeconds.has(getSecond(line)));
   return {
     measure: name,
-    from: Math.min(...bad) * SECOND,
-    until: (Math.max(...bad) + 1) * SECOND,
+    from: Math.min(...badSeconds) * MILLISECONDS_PER_SECOND,
+    until: (Math.max(...badSeconds) + 1) * MILLISECONDS_PER_SECOND,
     count: affected.length,
-    usualPerSecond: usual,
+    usualPerSecond: median,
     worstPerSecond: Math.max(...perSecond),
     mostly: groupedBy
       .map((field) => getLargestShare(affected, field))
@@ -149,10 +152,10 @@
   };
 }
 
-function getChanges(lines: readonly LogLine[], start: number): BeliefChange[] {
-  const changes = new Map<string, BeliefChange & { at: Set<string> }>();
+function getStateChanges(lines: readonly LogLine[], start: number): StateChange[] {
+  const changes = new Map<string, StateChange & { at: Set<string> }>();
   lines.forEach(({ daemon, event, fields, time }) => {
-    const field = BELIEFS[event];
+    const field = STATE_CHANGE_SUBJECTS[event];
     if (field === undefined) {
       return;
     }
@@ -177,10 +180,10 @@
 }
 
 /**
- * Sums a span of logs up.
+ * Summarizes a period of the logs.
  *
- * @param lines - of any daemons, in any order
- * @returns undefined where there are no lines
+ * @param lines - log lines of any daemons, in any order
+ * @returns undefined if there are no lines
  * @example
  * ```ts
  * getIncidentSummary(lines)?.symptoms.map(({ measure, from }) => `${measure} from ${from} ms`);
@@ -190,15 +193,15 @@
   if (lines.length === 0) {
     return undefined;
   }
-  const sorted = joinRequests([...lines].sort((left, right) => left.time - right.time));
+  const sorted = addRequestFields([...lines].sort((left, right) => left.time - right.time));
   const start = sorted[0]!.time;
   const end = sorted.at(-1)!.time;
-  const seconds = Math.floor((end - start) / SECOND) + 1;
-  const symptoms = measures
+  const seconds = Math.floor((end - start) / MILLISECONDS_PER_SECOND) + 1;
+  const symptoms = incidentIndicators
     .map((measure) => getSymptom(sorted, measure, start, seconds))
     .filter((symptom) => symptom !== undefined)
     .sort((left, right) => left.from - right.from);
-  const earliest = symptoms[0] === undefined ? 0 : symptoms[0].from - BEFORE;
+  const earliest = symptoms[0] === undefined ? 0 : symptoms[0].from - LEAD_TIME_MS;
   const latest = Math.max(0, ...symptoms.map(({ until }) => until));
   return {
     start,
@@ -206,7 +209,7 @@
     daemons: new Set(sorted.map(({ daemon }) => daemon)).size,
     requests: sorted.filter(({ event }) => event === 'admitted').length,
     symptoms,
-    changes: getChanges(sorted, start).filter(
+    changes: getStateChanges(sorted, start).filter(
       ({ first, last }) => last >= earliest && first <= latest,
     ),
   };
--- a/packages/cli/src/lib/incident/incidentIndicators.ts
+++ b/packages/cli/src/lib/incident/incidentIndicators.ts
@@ -1,30 +1,30 @@
 import type { LogLine } from '../trace/RequestTrace.js';
 
-/** What an engineer on call looks at first, by second. */
-export interface Measure {
+/** A sign of trouble, counted per second of the logs. */
+export interface IncidentIndicator {
   name: string;
-  /** The part of the log that the measure counts. */
+  /** Whether the indicator counts a line. */
   isCounted: (line: LogLine) => boolean;
-  /** Fields that say for whom it became worse. */
+  /** Fields by which the affected lines are grouped. */
   groupedBy: readonly string[];
 }
 
-/** A first byte that took longer than this is late by any route's target, in milliseconds. */
-const SLOW_FIRST_BYTE = 1_000;
+/** A first byte that takes longer exceeds the target of every route. */
+const SLOW_FIRST_BYTE_MS = 1_000;
 
-/** A stream that paused for longer stands still for whoever reads it, in milliseconds. */
-const LONG_PAUSE = 500;
+/** A pause in a stream that is noticeable to its reader. */
+const LONG_PAUSE_MS = 500;
 
-function isEvent(event: string): Measure['isCounted'] {
+function isEvent(event: string): IncidentIndicator['isCounted'] {
   return (line) => line.event === event;
 }
 
-function isAbove(field: string, bound: number): Measure['isCounted'] {
-  return ({ event, fields }) => event === 'answered' && Number(fields[field] ?? 0) > bound;
+function isAbove(field: string, threshold: number): IncidentIndicator['isCounted'] {
+  return ({ event, fields }) => event === 'answered' && Number(fields[field] ?? 0) > threshold;
 }
 
-/** Every sign of trouble that the daemons' log lines carry. */
-export const measures: readonly Measure[] = [
+/** All indicators that can be derived from the daemons' log lines. */
+export const incidentIndicators: readonly IncidentIndicator[] = [
   {
     name: 'requests given up',
     isCounted: isEvent('given-up'),
@@ -42,12 +42,12 @@
   },
   {
     name: 'first bytes after more than 1 s',
-    isCounted: isAbove('firstByte', SLOW_FIRST_BYTE),
+    isCounted: isAbove('firstByte', SLOW_FIRST_BYTE_MS),
     groupedBy: ['route', 'replica', 'workspace', 'daemon'],
   },
   {
     name: 'streams that paused for more than 0.5 s',
-    isCounted: isAbove('longestPause', LONG_PAUSE),
+    isCounted: isAbove('longestPause', LONG_PAUSE_MS),
     groupedBy: ['route', 'replica', 'daemon'],
   },
   {
--- a/packages/cli/src/lib/readFiles.ts
+++ b/packages/cli/src/lib/readFiles.ts
@@ -2,9 +2,9 @@
 import { parseConfiguration, parseSettings } from '@apricotrill/model';
 import type { Configuration, Settings } from '@apricotrill/model';
 import { StepError } from '@apricotrill/utils';
-import { RefusedFilesError } from './InvalidFilesError.js';
+import { InvalidFilesError } from './InvalidFilesError.js';
 
-/** A file that is not there or cannot be read. */
+/** A file is missing or cannot be read. */
 export class UnreadableFileError extends StepError {}
 
 async function readText(file: string): Promise<string> {
@@ -16,7 +16,7 @@
 }
 
 /**
- * Reads and checks the operators' two files.
+ * Reads and validates the register and the rules.
  *
  * @throws UnreadableFileError, RefusedFilesError
  */
@@ -30,20 +30,20 @@
   ]);
   const parsed = parseConfiguration({ registerText, registerFile, rulesText, rulesFile });
   if (!parsed.ok) {
-    throw new RefusedFilesError(parsed.error);
+    throw new InvalidFilesError(parsed.error);
   }
   return parsed.value;
 }
 
 /**
- * Reads and checks a daemon's settings.
+ * Reads and validates a daemon's settings.
  *
  * @throws UnreadableFileError, RefusedFilesError
  */
 export async function readSettings(file: string): Promise<Settings> {
   const parsed = parseSettings(await readText(file), file);
   if (!parsed.ok) {
-    throw new RefusedFilesError(parsed.error);
+    throw new InvalidFilesError(parsed.error);
   }
   return parsed.value;
 }
--- a/packages/cli/src/lib/sharedOptions.ts
+++ b/packages/cli/src/lib/sharedOptions.ts
@@ -1,26 +1,26 @@
 import { Option } from 'clipanion';
-import { getRequired } from './getRequired.js';
+import { getRequiredOption } from './getRequiredOption.js';
 
-/** The option that names the register's file. */
+/** Creates the option for the path of the register. */
 export const createRegisterOption = () =>
   Option.String('--register', 'register.jsonc', {
-    description: 'The file of the register; register.jsonc by default.',
+    description: 'The path of the register; register.jsonc by default.',
   });
 
-/** The option that names the rules' file. */
+/** Creates the option for the path of the rules. */
 export const createRulesOption = () =>
   Option.String('--rules', 'rules.jsonc', {
-    description: 'The file of the rules; rules.jsonc by default.',
+    description: 'The path of the rules; rules.jsonc by default.',
   });
 
-/** The option that names daemons to ask. */
+/** Creates the option for the daemons to query. */
 export const createDaemonOption = () =>
   Option.Array('--daemon', {
     description:
-      'The admin address of a daemon, such as 127.0.0.1:8082; may be repeated: the first that answers is asked.',
+      'The admin address of a daemon, such as 127.0.0.1:8082; may be repeated: the first that answers is used.',
   });
 
-/** The daemons named. @throws UsageError when none is */
+/** Returns the given daemons. @throws UsageError if there is none */
 export function getDaemons(daemons: string[] | undefined): string[] {
-  return getRequired(daemons, '--daemon', 'name the admin address of at least one daemon');
+  return getRequiredOption(daemons, '--daemon', 'give the admin address of at least one daemon');
 }
--- a/packages/cli/src/lib/text/formatDiff.ts
+++ b/packages/cli/src/lib/text/formatDiff.ts
@@ -19,13 +19,13 @@
         ),
       ];
     case 'reordered':
-      return [`~ ${difference.list}: in another order`];
+      return [`~ ${difference.list}: order changed`];
     default:
       throw exhaustiveSwitchError(difference);
   }
 }
 
-/** Writes differences for people: added, removed and changed entries. */
+/** Formats added, removed, changed and reordered entries for people. */
 export function formatDiff(differences: readonly ConfigurationDifference[]): string[] {
   return differences.length === 0
     ? ['no differences']
--- a/packages/cli/src/lib/text/formatTable.ts
+++ b/packages/cli/src/lib/text/formatTable.ts
@@ -1,4 +1,4 @@
-/** Lines up the columns of a table; the first row holds the headings. */
+/** Formats a table with aligned columns; the first row holds the headings. */
 export function formatTable(rows: readonly (readonly string[])[]): string[] {
   const [headings = []] = rows;
   const widths = headings.map((_, column) =>
--- a/packages/cli/src/lib/trace/RequestTrace.test.ts
+++ b/packages/cli/src/lib/trace/RequestTrace.test.ts
@@ -8,19 +8,19 @@
   return JSON.stringify({ level: 'info', time, event, ...fields });
 }
 
-/** A request that met a replica which then broke, in the logs of two daemons. */
+/** The logs of two daemons: a request that was sent to a replica which then failed. */
 const FIRST = [
   line(1_000, 'admitted', { id: 'r-1', route: 'chat', priority: 0 }),
   line(1_001, 'sent', { id: 'r-1', attempt: 1, replica: 'i-1', choice: { cost: 12.5 } }),
   line(1_002, 'sent', { id: 'r-2', attempt: 1, replica: 'i-2' }),
   line(1_400, 'attempt-ended', { id: 'r-1', attempt: 1, replica: 'i-1', end: 'broken' }),
   line(1_401, 'replica-suspect', { replica: 'i-1', reason: 'attempts break in a row' }),
-  line(1_402, 'replica-suspect', { replica: 'i-9', reason: 'of no concern' }),
+  line(1_402, 'replica-suspect', { replica: 'i-9', reason: 'unrelated' }),
   line(1_403, 'given-up', { id: 'r-1', outcome: 'unknown', status: 502 }),
 ];
 
 const SECOND = [
-  'no line of ours',
+  'not a log line of a daemon',
   `  0.5000 edge-2 ${line(2_000, 'admitted', { id: 'r-1', route: 'chat' })}`,
   `  0.5001 edge-2 ${line(2_300, 'answered', { id: 'r-1', status: 200, attempts: 1 })}`,
 ];
@@ -34,7 +34,7 @@
     return files;
   }
 
-  it('tells the story of one request over daemons, with what was learnt of its replicas', async () => {
+  it('lists the events of one request across daemons, with those of its replicas', async () => {
     const { run } = createRunCli();
     const { exitCode, output } = await run('trace', 'r-1', ...(await writeLogs()), '--json');
     expect(exitCode).toBe(ExitCode.Done);
@@ -50,7 +50,7 @@
     ]);
   });
 
-  it('prints a table for people, and says when there is no line', async () => {
+  it('prints a table, and reports a request without any line', async () => {
     const { run } = createRunCli();
     const files = await writeLogs();
     const found = await run('trace', 'r-1', ...files);
@@ -59,7 +59,7 @@
     expect(missing).toMatchObject({ exitCode: ExitCode.Impossible });
   });
 
-  it('names a file that it can not read', async () => {
+  it('refuses a file that cannot be read', async () => {
     const { run } = createRunCli();
     const { exitCode } = await run('trace', 'r-1', '/nowhere/edge.log');
     expect(exitCode).toBe(ExitCode.Refused);
--- a/packages/cli/src/lib/trace/RequestTrace.ts
+++ b/packages/cli/src/lib/trace/RequestTrace.ts
@@ -7,16 +7,16 @@
   fields: Record<string, unknown>;
 }
 
-/** One line of a request's story. */
-export interface StoryLine {
-  /** Milliseconds since the first line of the request. */
+/** One entry in the trace of a request. */
+export interface TraceEntry {
+  /** Milliseconds since the request's first log line. */
   after: number;
   daemon: string;
   event: string;
   facts: string;
 }
 
-/** Events about a replica that explain what became of a request there. */
+/** Replica events that help to explain the outcome of a request sent to that replica. */
 const REPLICA_EVENTS = new Set([
   'replica-suspect',
   'replica-trusted',
@@ -26,18 +26,18 @@
   'replica-kept',
 ]);
 
-/** Fields that every line has, or that the table shows in columns of their own. */
-const SHOWN_ELSEWHERE = new Set(['level', 'time', 'event', 'id']);
+/** Fields that every line has or that the table shows in separate columns. */
+const OMITTED_FIELDS = new Set(['level', 'time', 'event', 'id']);
 
-/** How long before a request's first line and after its last word on a replica still matters. */
-const AROUND = 2_000;
+/** Time before a request's first line and after its last in which replica events are included. */
+const REPLICA_EVENT_WINDOW_MS = 2_000;
 
 /**
- * Reads one line of a log.
+ * Parses one line of a log.
  *
- * @param text - JSON, with or without a name in front of it
- * @param source - the daemon's name where the line has none, such as the file's
- * @returns undefined where there is no event
+ * @param text - JSON, optionally preceded by the daemon's name
+ * @param source - the daemon's name if the line has none, such as the name of the log file
+ * @returns undefined if the line holds no event
  * @example
  * ```ts
  * parseLogLine('edge-1 {"time":5,"event":"caller-left","id":"r"}', '');
@@ -52,15 +52,15 @@
   try {
     fields = JSON.parse(text.slice(start)) as Record<string, unknown>;
   } catch {
-    // A line that was cut, or of another program, tells nothing of a request.
+    // The line was truncated or comes from another program.
     return undefined;
   }
   const { time, event } = fields;
   if (typeof time !== 'number' || typeof event !== 'string') {
     return undefined;
   }
-  const named = text.slice(0, start).trim().split(/\s+/).at(-1)!;
-  return { daemon: named === '' ? source : named, time, event, fields };
+  const lastWord = text.slice(0, start).trim().split(/\s+/).at(-1)!;
+  return { daemon: lastWord === '' ? source : lastWord, time, event, fields };
 }
 
 function formatValue(value: unknown): string {
@@ -70,42 +70,43 @@
   return typeof value === 'object' ? JSON.stringify(value) : String(value);
 }
 
-function formatFacts(fields: Record<string, unknown>): string {
+function formatFields(fields: Record<string, unknown>): string {
   return Object.entries(fields)
-    .filter(([name]) => !SHOWN_ELSEWHERE.has(name))
+    .filter(([name]) => !OMITTED_FIELDS.has(name))
     .map(([name, value]) => `${name}=${formatValue(value)}`)
     .join(' ');
 }
 
 /**
- * The lines of one request in order of time, with what was learnt of its replicas meanwhile.
+ * Returns the log lines of one request in order of time, together with the events of its replicas
+ * around that time.
  *
- * @param lines - of any daemons, in any order
+ * @param lines - log lines of any daemons, in any order
  */
-export function getStory(lines: readonly LogLine[], id: string): StoryLine[] {
-  const own = lines.filter(({ fields }) => fields.id === id);
-  if (own.length === 0) {
+export function getRequestTrace(lines: readonly LogLine[], id: string): TraceEntry[] {
+  const requestLines = lines.filter(({ fields }) => fields.id === id);
+  if (requestLines.length === 0) {
     return [];
   }
-  const daemons = new Set(own.map(({ daemon }) => daemon));
-  const replicas = new Set(own.map(({ fields }) => fields.replica));
-  const times = own.map(({ time }) => time);
+  const daemons = new Set(requestLines.map(({ daemon }) => daemon));
+  const replicas = new Set(requestLines.map(({ fields }) => fields.replica));
+  const times = requestLines.map(({ time }) => time);
   const first = Math.min(...times);
   const last = Math.max(...times);
-  const around = lines.filter(
+  const replicaLines = lines.filter(
     ({ daemon, event, time, fields }) =>
       REPLICA_EVENTS.has(event) &&
       daemons.has(daemon) &&
       replicas.has(fields.replica) &&
-      time >= first - AROUND &&
-      time <= last + AROUND,
+      time >= first - REPLICA_EVENT_WINDOW_MS &&
+      time <= last + REPLICA_EVENT_WINDOW_MS,
   );
-  return [...own, ...around]
+  return [...requestLines, ...replicaLines]
     .sort((left, right) => left.time - right.time)
     .map(({ daemon, time, event, fields }) => ({
       after: time - first,
       daemon,
       event,
-      facts: formatFacts(fields),
+      facts: formatFields(fields),
     }));
 }
--- a/packages/cli/src/lib/trace/readLogLines.ts
+++ b/packages/cli/src/lib/trace/readLogLines.ts
@@ -21,7 +21,7 @@
 }
 
 /**
- * Reads log lines of several daemons, from files or, where none is named, from standard input.
+ * Reads log lines of several daemons from files, or from standard input if no file is given.
  *
  * @throws UnreadableFileError
  */
--- a/packages/cli/src/test/runCli.ts
+++ b/packages/cli/src/test/runCli.ts
@@ -8,8 +8,8 @@
 
 const EXAMPLES = new URL('../../../../examples/', import.meta.url);
 
-/** A clock on which every wait is over at once, in order. */
-function createEagerClock(): Clock {
+/** Creates a clock whose timers fire immediately, in order. */
+function createImmediateClock(): Clock {
   const clock = new ManualClock();
   return {
     now: () => clock.now(),
@@ -21,37 +21,37 @@
   };
 }
 
-/** The path of a file of the Liitto example. */
+/** Returns the path of a file of the Liitto example. */
 export function getExample(file: string): string {
   return new URL(`liitto/${file}`, EXAMPLES).pathname;
 }
 
-/** What a command printed and how it ended. */
-export interface Run {
+/** The output and the exit code of a command. */
+export interface CliResult {
   exitCode: ExitCode;
   output: string;
   errors: string;
 }
 
-/** Runs one command line with fakes around it. */
-export type RunCli = (...words: string[]) => Promise<Run>;
+/** Runs one command in a fake environment. */
+export type RunCli = (...words: string[]) => Promise<CliResult>;
 
-/** The words that every command on the example's files starts with. */
-export const FILES = [
+/** The options that select the files of the Liitto example. */
+export const EXAMPLE_FILES = [
   '--register',
   getExample('register.jsonc'),
   '--rules',
   getExample('rules.jsonc'),
 ];
 
-/** A store as a command opens it; it stays open for the next command. */
+/** Wraps a store for a command; the store stays open for the next command. */
 export function createOpenStore(store: MemoryPlatformStore): OpenStore {
   return { store, dispose: () => Promise.resolve() };
 }
 
-/** A command line over a store in memory; the context can be changed in parts. */
-export function createRunCli(change: Partial<OperatorContext> = {}) {
-  const clock = createEagerClock();
+/** Creates a command line that uses a store in memory; parts of its context can be replaced. */
+export function createRunCli(contextOverrides: Partial<OperatorContext> = {}) {
+  const clock = createImmediateClock();
   const platform = new MemoryPlatformStore({ clock: new ManualClock() });
   const run: RunCli = async (...words) => {
     const stdout = new PassThrough();
@@ -63,9 +63,9 @@
       stderr,
       clock,
       openStore: () => createOpenStore(platform),
-      askMembers: () => Promise.reject(new Error('nobody was expected to ask')),
+      fetchMembers: () => Promise.reject(new Error('fetchMembers was not expected to be called')),
       userName: 'bo',
-      ...change,
+      ...contextOverrides,
     });
     const read = (stream: PassThrough) => String(stream.read() ?? '');
     return { exitCode, output: read(stdout), errors: read(stderr) };
