--- a/packages/cli/src/lib/readFiles.ts
+++ b/packages/cli/src/lib/readFiles.ts
@@ -18,7 +18,7 @@
 /**
  * Reads and validates the register and the rules.
  *
- * @throws UnreadableFileError, RefusedFilesError
+ * @throws UnreadableFileError, InvalidFilesError
  */
 export async function readConfiguration(
   registerFile: string,
@@ -38,7 +38,7 @@
 /**
  * Reads and validates a daemon's settings.
  *
- * @throws UnreadableFileError, RefusedFilesError
+ * @throws UnreadableFileError, InvalidFilesError
  */
 export async function readSettings(file: string): Promise<Settings> {
   const parsed = parseSettings(await readText(file), file);
