--- a/packages/standins/src/lib/engine/ChatExchange.ts
+++ b/packages/standins/src/lib/engine/ChatExchange.ts
@@ -1,6 +1,6 @@
 import type { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
 import type { RunLog } from '../backend/RunLog.js';
-import type { ChatAnswer } from './ChatAnswer.js';
+import type { ChatAnswer } from './ChatResponseWriter.js';
 import type { ChatRequest } from './parseChatRequest.js';
 
 /**
--- a/packages/standins/src/lib/engine/EngineStandin.test.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { Agent, get } from 'node:http';
 import { ManualClock } from '@apricotrill/utils';
-import { until } from '../../test/until.js';
+import { until } from '../../test/waitUntil.js';
 import { createEngineStandin } from './EngineStandin.js';
 import type { EngineStandinSettings } from './EngineStandinOptions.js';
 import { getExpectedTokens } from './getExpectedTokens.js';
--- a/packages/standins/src/lib/engine/EngineStandin.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.ts
@@ -1,7 +1,7 @@
 import { createRandom, SystemClock } from '@apricotrill/utils';
 import type { Clock } from '@apricotrill/utils';
 import type { ServerResponse } from 'node:http';
-import { RefusalReason, sendRefusal } from '../backend/backendAnswers.js';
+import { RefusalReason, sendRefusal } from '../backend/backendResponses.js';
 import { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
 import type { BackendFault } from '../backend/BackendFaultInjector.js';
 import { getNumberQuery } from '../http/getNumberQuery.js';
--- a/packages/standins/src/lib/platform/PlatformStandin.test.ts
+++ b/packages/standins/src/lib/platform/PlatformStandin.test.ts
@@ -9,7 +9,7 @@
 } from '@apricotrill/store';
 import type { PlatformStore } from '@apricotrill/store';
 import { ManualClock } from '@apricotrill/utils';
-import { until } from '../../test/until.js';
+import { until } from '../../test/waitUntil.js';
 import { createPlatformStandin } from './PlatformStandin.js';
 
 const TIMEOUT = 1_000;
--- a/packages/standins/src/lib/service/ServiceStandin.test.ts
+++ b/packages/standins/src/lib/service/ServiceStandin.test.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { ManualClock } from '@apricotrill/utils';
-import { until } from '../../test/until.js';
+import { until } from '../../test/waitUntil.js';
 import { createServiceStandin } from './ServiceStandin.js';
 import type { ServiceStandinSettings } from './ServiceStandin.js';
 
