--- a/packages/standins/src/bin/apricotrill-standin-engine.ts
+++ b/packages/standins/src/bin/apricotrill-standin-engine.ts
@@ -3,7 +3,7 @@
 import { isNumber } from 'typanion';
 import { createEngineStandin } from '../lib/engine/EngineStandin.js';
 import { defaultEngineStandinOptions as defaults } from '../lib/engine/EngineStandinOptions.js';
-import { getDefined } from '../lib/getDefined.js';
+import { omitUndefined } from '../lib/omitUndefined.js';
 import { runStandin } from '../lib/runStandin.js';
 
 const CRASH_CODE = 70;
@@ -21,9 +21,9 @@
   static override usage = Command.Usage({
     description: 'run a stand-in for a model engine',
     details: `
-      Answers chat completions, streamed and whole, at the pace of a modelled batch; the answer is a
-      pure function of the request. Prints one JSON line with its address when it listens, and ends
-      on SIGINT or SIGTERM. POST /faults makes it fail, GET /runs lists what ran.
+      Serves chat completions, streamed or not, at the pace of a simulated batch; the answer is a
+      pure function of the request. Prints one JSON line with its address when it listens, and exits
+      on SIGINT or SIGTERM. POST /faults injects a fault, GET /runs lists the requests that ran.
     `,
     examples: [
       ['A small engine that checks fencing numbers', '$0 --slots 4 --checks-fencing'],
@@ -33,35 +33,57 @@
 
   host = Option.String('--host', { description: `address to listen at (${defaults.host})` });
 
-  port = number('--port', 'port; 0, any free one', defaults.port);
+  port = number('--port', 'port; 0 for any free port', defaults.port);
 
-  slots = number('--slots', 'requests run at once', defaults.slots);
+  slots = number('--slots', 'maximum running requests', defaults.slots);
 
-  maxWaiting = number('--max-waiting', 'requests that may wait', defaults.maxWaiting);
+  maxWaiting = number('--max-waiting', 'maximum waiting requests', defaults.maxWaiting);
 
-  stepBase = number('--step-base', 'ms between tokens when idle', defaults.stepBase);
+  stepBase = number('--step-base', 'base duration of a step, in ms', defaults.stepBase);
 
-  stepPerRequest = number('--step-per-request', 'ms each adds', defaults.stepPerRequest);
+  stepPerRequest = number(
+    '--step-per-request',
+    'ms per running request and step',
+    defaults.stepPerRequest,
+  );
 
-  prefillPerToken = number('--prefill-per-token', 'ms per uncached', defaults.prefillPerToken);
+  prefillPerToken = number(
+    '--prefill-per-token',
+    'ms per uncached token',
+    defaults.prefillPerToken,
+  );
 
-  prefillPerStep = number('--prefill-per-step', 'prompt tokens a step', defaults.prefillPerStep);
+  prefillPerStep = number(
+    '--prefill-per-step',
+    'maximum prompt tokens per step',
+    defaults.prefillPerStep,
+  );
 
-  cacheBlocks = number('--cache-blocks', 'blocks of prefix cache', defaults.cacheBlocks);
+  cacheBlocks = number('--cache-blocks', 'capacity of the prefix cache', defaults.cacheBlocks);
 
-  loadLag = number('--load-lag', 'ms the load report is behind', defaults.loadLag);
+  loadLag = number('--load-lag', 'lag of the load report, in ms', defaults.loadLag);
 
   loadTime = number('--load-time', 'ms to load a model', defaults.loadTime);
 
-  weightLoads = number('--weight-loads', 'loads per span', defaults.weightLoads);
+  weightLoads = number('--weight-loads', 'maximum loads per weight span', defaults.weightLoads);
 
-  weightSpan = number('--weight-span', 'span for loads, in ms', defaults.weightSpan);
+  weightSpan = number('--weight-span', 'period for weight loads, in ms', defaults.weightSpan);
 
-  cacheEventLag = number('--cache-event-lag', 'ms events are late', defaults.cacheEventLag);
+  cacheEventLag = number(
+    '--cache-event-lag',
+    'delay of cache events, in ms',
+    defaults.cacheEventLag,
+  );
 
-  cacheEventLoss = number('--cache-event-loss', 'share lost', defaults.cacheEventLoss);
+  cacheEventLoss = number(
+    '--cache-event-loss',
+    'share of lost cache events',
+    defaults.cacheEventLoss,
+  );
 
-  loaded = Option.Array('--loaded', { description: 'a loaded model[:adapter]@version; repeat' });
+  loaded = Option.Array('--loaded', {
+    description: 'a loaded model[:adapter]@version; may be repeated',
+  });
 
   requiresLoaded = Option.Boolean('--requires-loaded', {
     description: 'refuse requests for a model that is not loaded',
@@ -81,7 +103,7 @@
     const { host, port, slots, maxWaiting, stepBase, stepPerRequest, prefillPerToken } = this;
     const { prefillPerStep, cacheBlocks, loadLag, loadTime, weightLoads, weightSpan } = this;
     const { cacheEventLag, cacheEventLoss, loaded, requiresLoaded, checksFencing } = this;
-    return getDefined({
+    return omitUndefined({
       ...{ host, port, slots, maxWaiting, stepBase, stepPerRequest, prefillPerToken },
       ...{ prefillPerStep, cacheBlocks, loadLag, loadTime, weightLoads, weightSpan },
       ...{ cacheEventLag, cacheEventLoss, loaded, requiresLoaded, checksFencing },
--- a/packages/standins/src/lib/authority/CertificateAuthority.ts
+++ b/packages/standins/src/lib/authority/CertificateAuthority.ts
@@ -4,15 +4,15 @@
 
 const ALGORITHM = { name: 'ECDSA', namedCurve: 'P-256', hash: 'SHA-256' };
 
-const HOUR = 3_600_000;
+const HOUR_MS = 3_600_000;
 
 x509.cryptoProvider.set(webcrypto as never);
 
-async function createPair(): Promise<webcrypto.CryptoKeyPair> {
+async function createKeyPair(): Promise<webcrypto.CryptoKeyPair> {
   return webcrypto.subtle.generateKey(ALGORITHM, true, ['sign', 'verify']);
 }
 
-async function getKeyText(key: webcrypto.CryptoKey): Promise<Buffer> {
+async function encodePrivateKey(key: webcrypto.CryptoKey): Promise<Buffer> {
   const bytes = Buffer.from(await webcrypto.subtle.exportKey('pkcs8', key));
   const lines = bytes.toString('base64').match(/.{1,64}/g) ?? [];
   return Buffer.from(
@@ -21,7 +21,7 @@
 }
 
 /**
- * A certificate with its key and its authority, PEM texts.
+ * A certificate with its private key and the certificate of its authority, in PEM format.
  *
  * @public
  */
@@ -32,7 +32,8 @@
 }
 
 /**
- * Stands in for the operators' certificate authority: signs short-lived certificates for loopback.
+ * A test replacement of the operators' certificate authority; issues short-lived certificates for
+ * loopback addresses.
  *
  * @example
  * ```ts
@@ -43,18 +44,18 @@
  */
 export class CertificateAuthority {
   private constructor(
-    private readonly pair: webcrypto.CryptoKeyPair,
+    private readonly keyPair: webcrypto.CryptoKeyPair,
     private readonly certificate: x509.X509Certificate,
   ) {}
 
-  /** Creates an authority with a key of its own. */
+  /** Creates an authority with a new key. */
   static async create(name: string): Promise<CertificateAuthority> {
-    const keys = await createPair();
+    const keys = await createKeyPair();
     const certificate = await x509.X509CertificateGenerator.createSelfSigned({
       serialNumber: '01',
       name: `CN=${name}`,
-      notBefore: new Date(Date.now() - HOUR),
-      notAfter: new Date(Date.now() + HOUR),
+      notBefore: new Date(Date.now() - HOUR_MS),
+      notAfter: new Date(Date.now() + HOUR_MS),
       keys,
       signingAlgorithm: ALGORITHM,
       extensions: [new x509.BasicConstraintsExtension(true, 1, true)],
@@ -62,23 +63,23 @@
     return new CertificateAuthority(keys, certificate);
   }
 
-  /** A daemon's keys, valid until `validFor` from now. */
-  async issue(name: string, validFor = HOUR): Promise<IssuedKeys> {
-    const pair = await createPair();
+  /** Issues a certificate for a daemon, valid for `validFor` milliseconds from now. */
+  async issue(name: string, validFor = HOUR_MS): Promise<IssuedKeys> {
+    const pair = await createKeyPair();
     const certificate = await x509.X509CertificateGenerator.create({
       serialNumber: Buffer.from(webcrypto.getRandomValues(new Uint8Array(8))).toString('hex'),
       subject: `CN=${name}`,
       issuer: this.certificate.subject,
-      notBefore: new Date(Date.now() - 2 * HOUR),
+      notBefore: new Date(Date.now() - 2 * HOUR_MS),
       notAfter: new Date(Date.now() + validFor),
       publicKey: pair.publicKey,
-      signingKey: this.pair.privateKey,
+      signingKey: this.keyPair.privateKey,
       signingAlgorithm: ALGORITHM,
       extensions: [new x509.SubjectAlternativeNameExtension([{ type: 'ip', value: '127.0.0.1' }])],
     });
     return {
       certificate: Buffer.from(certificate.toString('pem')),
-      privateKey: await getKeyText(pair.privateKey),
+      privateKey: await encodePrivateKey(pair.privateKey),
       caCertificate: Buffer.from(this.certificate.toString('pem')),
     };
   }
--- a/packages/standins/src/lib/backend/BackendFaultInjector.ts
+++ b/packages/standins/src/lib/backend/BackendFaultInjector.ts
@@ -1,34 +1,34 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 
 /**
- * A way for an engine or a plain service to fail, as tests ask for it.
+ * A fault of an engine or a plain service, as injected by tests.
  *
  * @public
  */
 export type BackendFault =
-  /** The process ends at once, in the middle of whatever it does. */
+  /** The process exits immediately, whatever it is doing. */
   | { kind: 'crash' }
-  /** Connections stay open, and nothing more is sent on any. */
+  /** Connections stay open, and nothing more is sent on any of them. */
   | { kind: 'stall' }
   | { kind: 'unstall' }
-  /** Connections open now go silent for good; new ones work. */
+  /** Connections that are open now go silent permanently; new ones work. */
   | { kind: 'silence-connections' }
-  /** Everything takes `factor` times as long; 1 ends it. */
+  /** Everything takes `factor` times as long; 1 ends the fault. */
   | { kind: 'slow'; factor: number }
   /**
-   * The next `count` requests run, and their connection breaks after that many tokens; at a plain
-   * service, before the answer.
+   * The next `count` requests run, and their connections break after `tokens` tokens; at a plain
+   * service, before the response.
    */
   | { kind: 'drop-after'; tokens: number; count: number }
-  /** The next `count` answers carry a piece of another request's answer. */
+  /** The next `count` responses contain a part of the response to another request. */
   | { kind: 'stray-answers'; count: number }
-  /** New requests are refused, with the word that the replica is leaving. */
+  /** New requests are refused with the information that the replica is leaving. */
   | { kind: 'leave' }
   | { kind: 'stay' }
   /** The next `count` requests are refused and do not run. */
   | { kind: 'refuse'; count: number };
 
-/** What the owner of the faults does for those it must carry out itself. */
+/** The faults that the owner of the injector implements itself. */
 export interface BackendFaultActions {
   crash: () => void;
   stall: () => void;
@@ -37,17 +37,17 @@
   slow: (factor: number) => void;
 }
 
-/** Which faults a backend server shows at the moment. */
+/** Holds the faults that are active at a backend server. */
 export class BackendFaultInjector {
-  private refusals = 0;
+  private remainingRefusals = 0;
 
-  private drops = { count: 0, tokens: 0 };
+  private remainingDrops = { count: 0, tokens: 0 };
 
-  private strays = 0;
+  private remainingStrayAnswers = 0;
 
   private leaving = false;
 
-  private stalled: { over: Promise<void>; end: () => void } | undefined;
+  private currentStall: { over: Promise<void>; end: () => void } | undefined;
 
   constructor(private readonly actions: BackendFaultActions) {}
 
@@ -69,10 +69,10 @@
         this.actions.slow(fault.factor);
         break;
       case 'drop-after':
-        this.drops = { count: fault.count, tokens: fault.tokens };
+        this.remainingDrops = { count: fault.count, tokens: fault.tokens };
         break;
       case 'stray-answers':
-        this.strays = fault.count;
+        this.remainingStrayAnswers = fault.count;
         break;
       case 'leave':
         this.leaving = true;
@@ -81,7 +81,7 @@
         this.leaving = false;
         break;
       case 'refuse':
-        this.refusals = fault.count;
+        this.remainingRefusals = fault.count;
         break;
       default:
         throw exhaustiveSwitchError(fault);
@@ -92,47 +92,47 @@
     return this.leaving;
   }
 
-  /** Resolves at once, or when a stall is over. */
-  async whenNotStalled(): Promise<void> {
-    await this.stalled?.over;
+  /** Resolves at once, or when the current stall is over. */
+  async waitWhileStalled(): Promise<void> {
+    await this.currentStall?.over;
   }
 
-  takeRefusal(): boolean {
-    const refused = this.refusals > 0;
-    this.refusals -= refused ? 1 : 0;
+  consumeRefusal(): boolean {
+    const refused = this.remainingRefusals > 0;
+    this.remainingRefusals -= refused ? 1 : 0;
     return refused;
   }
 
-  takeStray(): boolean {
-    const stray = this.strays > 0;
-    this.strays -= stray ? 1 : 0;
+  consumeStrayAnswer(): boolean {
+    const stray = this.remainingStrayAnswers > 0;
+    this.remainingStrayAnswers -= stray ? 1 : 0;
     return stray;
   }
 
-  /** @returns after how many tokens the connection of a new request breaks, if it is to break */
-  takeDrop(): number | undefined {
-    if (this.drops.count === 0) {
+  /** @returns after how many tokens the connection of a new request breaks, if it does */
+  consumeDrop(): number | undefined {
+    if (this.remainingDrops.count === 0) {
       return undefined;
     }
-    this.drops.count -= 1;
-    return this.drops.tokens;
+    this.remainingDrops.count -= 1;
+    return this.remainingDrops.tokens;
   }
 
   private stall(): void {
-    if (this.stalled === undefined) {
+    if (this.currentStall === undefined) {
       let end = () => {};
       const over = new Promise<void>((resolve) => {
         end = resolve;
       });
-      this.stalled = { over, end };
+      this.currentStall = { over, end };
       this.actions.stall();
     }
   }
 
   private unstall(): void {
-    if (this.stalled !== undefined) {
-      this.stalled.end();
-      this.stalled = undefined;
+    if (this.currentStall !== undefined) {
+      this.currentStall.end();
+      this.currentStall = undefined;
       this.actions.unstall();
     }
   }
--- a/packages/standins/src/lib/backend/RunLog.ts
+++ b/packages/standins/src/lib/backend/RunLog.ts
@@ -1,18 +1,18 @@
-/** Keeps what ran, up to a number of runs, for the oracle of tests. */
+/** Records a limited number of runs, which tests compare with their expectations. */
 export class RunLog<Run> {
   private readonly runs: Run[] = [];
 
-  private forgotten = 0;
+  private evictedCount = 0;
 
-  /** @param kept - how many runs are kept; the oldest go first */
-  constructor(private readonly kept = 200_000) {}
+  /** @param maxRuns - how many runs are kept; the oldest are evicted first */
+  constructor(private readonly maxRuns = 200_000) {}
 
-  /** Adds a run, which the caller goes on changing while it runs. */
+  /** Adds a run, which the caller keeps updating while it is in progress. */
   add(run: Run): Run {
     this.runs.push(run);
-    if (this.runs.length > 2 * this.kept) {
-      this.forgotten += this.runs.length - this.kept;
-      this.runs.splice(0, this.runs.length - this.kept);
+    if (this.runs.length > 2 * this.maxRuns) {
+      this.evictedCount += this.runs.length - this.maxRuns;
+      this.runs.splice(0, this.runs.length - this.maxRuns);
     }
     return run;
   }
@@ -21,8 +21,8 @@
     return [...this.runs];
   }
 
-  /** How many runs were too many to keep. */
-  getForgotten(): number {
-    return this.forgotten;
+  /** Returns how many runs have been evicted. */
+  getEvictedCount(): number {
+    return this.evictedCount;
   }
 }
--- a/packages/standins/src/lib/backend/backendResponses.ts
+++ b/packages/standins/src/lib/backend/backendResponses.ts
@@ -1,7 +1,7 @@
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import { sendJson } from '../http/sendJson.js';
 
-/** A backend server's word on its load, as old as `measuredAt` says. */
+/** The load that a backend server reports, as measured at `measuredAt`. */
 export interface ReportedLoad {
   running: number;
   waiting: number;
@@ -9,14 +9,14 @@
   measuredAt: number;
 }
 
-/** The header that carries the load on every answer. */
+/** Returns the header that reports the load with every response. */
 export function getLoadHeaders(load: ReportedLoad): OutgoingHttpHeaders {
   const { running, waiting, slots, measuredAt } = load;
   const parts = [`running=${running}`, `waiting=${waiting}`, `slots=${slots}`];
   return { 'x-load': [...parts, `measured-at=${Math.round(measuredAt)}`].join(',') };
 }
 
-/** Why a request did not run. */
+/** Why a request was refused. */
 export enum RefusalReason {
   Leaving = 'leaving',
   Refusing = 'refusing',
@@ -24,14 +24,14 @@
   NotLoaded = 'model-not-loaded',
 }
 
-const STATUS: Record<RefusalReason, number> = {
+const STATUS_BY_REASON: Record<RefusalReason, number> = {
   [RefusalReason.Leaving]: 503,
   [RefusalReason.Refusing]: 503,
   [RefusalReason.Overloaded]: 429,
   [RefusalReason.NotLoaded]: 503,
 };
 
-/** Sends the documented refusal: nothing of the request ran or will run. */
+/** Sends the documented refusal: no part of the request has run or will run. */
 export function sendRefusal(
   response: ServerResponse,
   reason: RefusalReason,
@@ -39,5 +39,10 @@
 ): void {
   const leaving = reason === RefusalReason.Leaving ? { 'x-leaving': 'true' } : {};
   const headers = { 'x-outcome': 'not-run', 'retry-after': '1', ...leaving };
-  sendJson(response, STATUS[reason], { error: reason }, { ...headers, ...getLoadHeaders(load) });
+  sendJson(
+    response,
+    STATUS_BY_REASON[reason],
+    { error: reason },
+    { ...headers, ...getLoadHeaders(load) },
+  );
 }
--- a/packages/standins/src/lib/engine/CacheEventLog.ts
+++ b/packages/standins/src/lib/engine/CacheEventLog.ts
@@ -2,8 +2,8 @@
 import type { CacheChange } from './PrefixCache.js';
 
 /**
- * A cache change as an engine publishes it. A missing sequence number is a change nobody will hear
- * of.
+ * A cache change as published by an engine. A gap in the sequence numbers means that a change was
+ * never published.
  *
  * @public
  */
@@ -11,17 +11,17 @@
   sequence: number;
 }
 
-/** How badly cache events are published. */
+/** The delay, loss and retention of cache events. */
 export interface CacheEventOptions {
-  /** How late an event is published, in milliseconds. */
+  /** By how much an event is delayed, in milliseconds. */
   lag: Milliseconds;
-  /** Share of events that are never published, 0 to 1. */
-  lossShare: number;
-  /** Events kept for those who ask late. */
-  kept: number;
+  /** The share of events that are never published, 0 to 1. */
+  lossRate: number;
+  /** The number of events kept for later reads. */
+  maxEvents: number;
 }
 
-/** Publishes cache changes late and with gaps, as engines do. */
+/** Publishes cache changes with a delay and with gaps, as real engines do. */
 export class CacheEventLog {
   private sequence = 0;
 
@@ -35,17 +35,17 @@
 
   add(change: CacheChange): void {
     this.sequence += 1;
-    if (this.random.next() < this.options.lossShare) {
+    if (this.random.next() < this.options.lossRate) {
       return;
     }
     const event = { ...change, sequence: this.sequence };
     this.events.push({ event, visibleAt: this.clock.now() + this.options.lag });
-    if (this.events.length > this.options.kept) {
+    if (this.events.length > this.options.maxEvents) {
       this.events.shift();
     }
   }
 
-  /** The published events after a sequence number, oldest first. */
+  /** Returns the published events after a sequence number, oldest first. */
   getAfter(sequence: number): CacheEvent[] {
     const now = this.clock.now();
     return this.events
--- a/packages/standins/src/lib/engine/ChatExchange.ts
+++ b/packages/standins/src/lib/engine/ChatExchange.ts
@@ -1,6 +1,6 @@
 import type { BackendFaultInjector } from '../backend/BackendFaultInjector.js';
 import type { RunLog } from '../backend/RunLog.js';
-import type { ChatAnswer } from './ChatResponseWriter.js';
+import type { ChatResponseWriter } from './ChatResponseWriter.js';
 import type { ChatRequest } from './parseChatRequest.js';
 
 /**
@@ -10,15 +10,15 @@
  */
 export interface EngineRun {
   requestId: string;
-  /** The first token of this attempt: above 0 when it was resumed. */
+  /** The index of the first token of this attempt; above 0 if it was resumed. */
   startIndex: number;
-  /** Tokens this attempt computed, whether delivered or not. */
+  /** The number of tokens that this attempt generated, whether delivered or not. */
   tokens: number;
-  /** Whether the attempt came to the end of the answer. */
+  /** Whether the attempt reached the end of the answer. */
   completed: boolean;
 }
 
-/** One request and its answer, with the faults that strike it. */
+/** A request and its response, with the faults that apply to it. */
 export class ChatExchange {
   private readonly run: EngineRun;
 
@@ -28,40 +28,40 @@
 
   constructor(
     readonly request: ChatRequest,
-    private readonly answer: ChatAnswer,
+    private readonly writer: ChatResponseWriter,
     faults: BackendFaultInjector,
   ) {
     const { requestId, startIndex } = request;
     this.run = { requestId, startIndex, tokens: 0, completed: false };
-    this.dropAfter = faults.takeDrop();
-    this.isStrayDue = faults.takeStray();
+    this.dropAfter = faults.consumeDrop();
+    this.isStrayDue = faults.consumeStrayAnswer();
   }
 
-  /** Notes that the request reached a slot. */
+  /** Records that the request reached a slot. */
   start(runs: RunLog<EngineRun>): void {
     runs.add(this.run);
   }
 
-  /** Whether the connection is to break now. */
+  /** Whether the connection has to break now. */
   isDropDue(): boolean {
     return this.run.tokens === this.dropAfter;
   }
 
-  drop(): void {
-    this.answer.drop();
+  breakConnection(): void {
+    this.writer.breakConnection();
   }
 
-  giveToken(index: number): void {
+  sendToken(index: number): void {
     this.run.tokens += 1;
-    this.answer.token(index);
+    this.writer.sendToken(index);
     if (this.isStrayDue) {
       this.isStrayDue = false;
-      this.answer.stray();
+      this.writer.sendStrayChunk();
     }
   }
 
   finish(promptTokens: number): void {
     this.run.completed = true;
-    this.answer.finish(promptTokens);
+    this.writer.finish(promptTokens);
   }
 }
--- a/packages/standins/src/lib/engine/ChatResponseWriter.ts
+++ b/packages/standins/src/lib/engine/ChatResponseWriter.ts
@@ -2,21 +2,21 @@
 import { sendJson } from '../http/sendJson.js';
 import type { ChatRequest } from './parseChatRequest.js';
 
-/** Writes one answer, streamed as server-sent events or whole. */
-export class ChatAnswer {
+/** Writes the response to one chat request, either streamed as server-sent events or as a whole. */
+export class ChatResponseWriter {
   private readonly created = Math.floor(Date.now() / 1_000);
 
   private readonly sent: string[] = [];
 
   constructor(
     private readonly request: ChatRequest,
-    private readonly answer: readonly string[],
+    private readonly tokens: readonly string[],
     private readonly response: ServerResponse,
     private readonly getHeaders: () => OutgoingHttpHeaders,
   ) {}
 
-  /** Sends the head of a streamed answer. */
-  begin(): void {
+  /** Sends the head of a streamed response. */
+  sendHead(): void {
     if (this.request.stream) {
       this.response.writeHead(200, {
         'content-type': 'text/event-stream',
@@ -27,8 +27,8 @@
     }
   }
 
-  token(index: number): void {
-    const content = this.answer[index]!;
+  sendToken(index: number): void {
+    const content = this.tokens[index]!;
     this.sent.push(content);
     if (this.request.stream) {
       const delta = index === 0 ? { role: 'assistant', content } : { content };
@@ -39,8 +39,8 @@
     }
   }
 
-  /** Sends a piece of some other request's answer, as a crossed connection would. */
-  stray(): void {
+  /** Sends a chunk that belongs to another request, as if responses had been mixed up. */
+  sendStrayChunk(): void {
     if (this.request.stream) {
       const choices = [{ index: 0, delta: { content: ' stray' } }];
       const chunk = this.getChunk('stray/0', choices);
@@ -49,21 +49,21 @@
   }
 
   finish(promptTokens: number): void {
-    const finishReason = this.answer.length < this.request.maxTokens ? 'stop' : 'length';
+    const finishReason = this.tokens.length < this.request.maxTokens ? 'stop' : 'length';
     const usage = {
       prompt_tokens: promptTokens,
-      completion_tokens: this.answer.length,
-      total_tokens: promptTokens + this.answer.length,
+      completion_tokens: this.tokens.length,
+      total_tokens: promptTokens + this.tokens.length,
     };
     if (this.request.stream) {
       this.finishStream(finishReason, usage);
     } else {
-      this.sendWhole(finishReason, usage);
+      this.sendCompletion(finishReason, usage);
     }
   }
 
-  /** Breaks the connection in the middle of the answer. */
-  drop(): void {
+  /** Breaks the connection in the middle of the response. */
+  breakConnection(): void {
     this.response.destroy();
   }
 
@@ -73,7 +73,7 @@
     this.response.end(`data: ${JSON.stringify(chunk)}\n\ndata: [DONE]\n\n`);
   }
 
-  private sendWhole(finishReason: string, usage: object): void {
+  private sendCompletion(finishReason: string, usage: object): void {
     const message = { role: 'assistant', content: this.sent.join('') };
     const choices = [{ index: 0, message, finish_reason: finishReason }];
     const body = { ...this.getHead(this.request.requestId), object: 'chat.completion', choices };
--- a/packages/standins/src/lib/engine/EngineBatch.fuzz.test.ts
+++ b/packages/standins/src/lib/engine/EngineBatch.fuzz.test.ts
@@ -7,20 +7,20 @@
 
 const SLOTS = 3;
 
-const LONG_TIME = 1_000_000;
+const DRAIN_TIME_MS = 1_000_000;
 
-/** What the oracle knows of a request: how far it is, and whether it may still be heard of. */
-interface Expected {
+/** The expected state and progress of a request. */
+interface ExpectedJob {
   job: EngineJob;
   state: 'waiting' | 'running' | 'finished' | 'cancelled';
   nextIndex: number;
-  /** The token on which the request's owner cancels it. */
+  /** The index of the token on which the owner cancels the request. */
   cancelAt: number | undefined;
 }
 
-/** Follows the batch's events and fails on the first that breaks a rule. */
+/** Checks the events of the batch and fails on the first unexpected one. */
 class Oracle {
-  readonly jobs = new Map<string, Expected>();
+  readonly jobs = new Map<string, ExpectedJob>();
 
   isPaused = false;
 
@@ -55,11 +55,11 @@
     }
   }
 
-  count(state: Expected['state']): number {
+  count(state: ExpectedJob['state']): number {
     return [...this.jobs.values()].filter((expected) => expected.state === state).length;
   }
 
-  private checkToken(expected: Expected, index: number): void {
+  private checkToken(expected: ExpectedJob, index: number): void {
     expect(expected.state).toBe('running');
     expect(index).toBe(expected.nextIndex);
     Object.assign(expected, { nextIndex: index + 1 });
@@ -69,7 +69,7 @@
     }
   }
 
-  private checkStart({ job, state }: Expected): void {
+  private checkStart({ job, state }: ExpectedJob): void {
     expect(state).toBe('waiting');
     expect(this.count('running')).toBeLessThan(SLOTS);
     const waiting = [...this.jobs.values()].filter((other) => other.state === 'waiting');
@@ -124,12 +124,12 @@
 }
 
 function createPause(isPaused: boolean): BatchCommand {
-  return createCommand(isPaused ? 'pause' : 'unpause', (oracle, { batch }) => {
+  return createCommand(isPaused ? 'pause' : 'resume', (oracle, { batch }) => {
     Object.assign(oracle, { isPaused });
     if (isPaused) {
       batch.pause();
     } else {
-      batch.unpause();
+      batch.resume();
     }
   });
 }
@@ -153,8 +153,8 @@
   { maxCommands: 80 },
 );
 
-describe('EngineBatch against an oracle', () => {
-  it('gives every request its own tokens once and in order, by priority, within its slots', () => {
+describe('EngineBatch compared with a model', () => {
+  it('generates the tokens of each request once and in order, by priority, within its slots', () => {
     const run = (steps: Iterable<BatchCommand>) => {
       const clock = new ManualClock();
       let handle: (event: BatchEvent) => void = () => {};
@@ -164,8 +164,8 @@
       handle = (event) => oracle.handle(event);
       fc.modelRun(() => ({ model: oracle, real: { batch, clock } }), steps);
       oracle.isPaused = false;
-      batch.unpause();
-      clock.advance(LONG_TIME);
+      batch.resume();
+      clock.advance(DRAIN_TIME_MS);
       expect(oracle.count('waiting') + oracle.count('running')).toBe(0);
     };
     fc.assert(fc.property(commands, run), { seed: 1, numRuns: RUNS });
--- a/packages/standins/src/lib/engine/EngineBatch.test.ts
+++ b/packages/standins/src/lib/engine/EngineBatch.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe('EngineBatch', () => {
-  it('takes longer for each token the more requests run', () => {
+  it('takes longer per token the more requests run', () => {
     const { clock, batch, times } = setUp({ slots: 8 });
     batch.submit(createJob('alone'));
     clock.advance(1_000);
@@ -36,7 +36,7 @@
     expect(crowded).toBeGreaterThan(alone);
   });
 
-  it('gives the first token of a cached prompt sooner, and of an evicted one no sooner', () => {
+  it('generates the first token earlier for a cached prompt, but not for an evicted one', () => {
     const { clock, batch, times } = setUp({ cacheBlocks: 60 });
     const blocks = Array.from({ length: 50 }, (_, index) => index);
     const others = blocks.map((block) => block + 1_000);
@@ -54,7 +54,7 @@
     expect(evicted).toBeGreaterThan(warm);
   });
 
-  it('reports its load late and keeps still while paused', () => {
+  it('reports its load with a lag and emits nothing while paused', () => {
     const { clock, batch, events } = setUp({ slots: 1, loadLag: 100 });
     batch.submit(createJob('a'));
     batch.submit(createJob('b'));
@@ -64,7 +64,7 @@
     clock.advance(100);
     expect(batch.getReportedLoad()).toEqual({ value: { running: 1, waiting: 1 }, measuredAt: 0 });
     expect(events).toEqual([{ kind: 'started', id: 'a', cachedTokens: 0 }]);
-    batch.unpause();
+    batch.resume();
     clock.advance(1_000);
     expect(events.filter(({ kind }) => kind === 'finished')).toHaveLength(2);
   });
--- a/packages/standins/src/lib/engine/EngineBatch.ts
+++ b/packages/standins/src/lib/engine/EngineBatch.ts
@@ -9,7 +9,7 @@
 import { WaitingQueue } from './WaitingQueue.js';
 
 /**
- * A request as the modelled engine sees it.
+ * A request to the simulated engine.
  *
  * @public
  */
@@ -17,29 +17,29 @@
   id: string;
   /** 0 is the most urgent. */
   priority: number;
-  /** The prompt's blocks, each a hash of itself and all before it. */
+  /** The blocks of the prompt, each a hash of itself and all blocks before it. */
   blocks: readonly number[];
   promptTokens: number;
-  /** The first token to generate: above 0 when the request is resumed. */
+  /** The index of the first token to generate; above 0 if the request is resumed. */
   startIndex: number;
-  /** Tokens of the whole answer, those before `startIndex` included. */
+  /** The number of tokens of the whole answer, including those before `startIndex`. */
   outputTokens: number;
 }
 
 /**
- * What the batch tells its owner.
+ * An event that the batch emits to its owner.
  *
  * @public
  */
 export type BatchEvent =
-  /** The request left the waiting queue for a slot. */
+  /** The request moved from the waiting queue to a slot. */
   | { kind: 'started'; id: string; cachedTokens: number }
   | { kind: 'token'; id: string; index: number }
   | { kind: 'finished'; id: string; promptTokens: number }
   | { kind: 'cache'; change: CacheChange };
 
 /**
- * How busy an engine is.
+ * The number of running and waiting requests of an engine.
  *
  * @public
  */
@@ -48,12 +48,12 @@
   waiting: number;
 }
 
-interface StepPart {
+interface StepShare {
   running: RunningJob;
   prefill: number;
 }
 
-/** What to hand a batch; every option left out has its default. */
+/** Constructor arguments of a batch; omitted options have their defaults. */
 export interface EngineBatchSettings {
   clock: Clock;
   options?: Partial<EngineBatchOptions>;
@@ -61,9 +61,10 @@
 }
 
 /**
- * A model of an engine that batches continuously: free slots take waiting requests by priority,
- * every step gives each running request a token, a step takes longer the more run, and time to
- * first token grows with the uncached part of the prompt. A state machine without I/O.
+ * Simulates an engine with continuous batching. Free slots are filled with waiting requests by
+ * priority, every step generates a token for each running request, a step takes longer the more
+ * requests run, and the time to first token grows with the uncached part of the prompt. A state
+ * machine without I/O.
  *
  * @example
  * ```ts
@@ -86,9 +87,9 @@
 
   private readonly running = new Map<string, RunningJob>();
 
-  private readonly load: LaggedValue<EngineLoad>;
+  private readonly reportedLoad: LaggedValue<EngineLoad>;
 
-  private step: Timer | undefined;
+  private stepTimer: Timer | undefined;
 
   private paused = false;
 
@@ -101,65 +102,65 @@
     this.cache = new PrefixCache(this.options.cacheBlocks, (change) =>
       emit({ kind: 'cache', change }),
     );
-    this.load = new LaggedValue(clock, this.options.loadLag, { running: 0, waiting: 0 });
+    this.reportedLoad = new LaggedValue(clock, this.options.loadLag, { running: 0, waiting: 0 });
   }
 
-  /** Takes a request; it starts at the next step that has a free slot for it. */
+  /** Submits a request; it starts at the next step with a free slot. */
   submit(job: EngineJob): void {
     this.waiting.add(job);
-    this.noteLoad();
+    this.recordLoad();
     this.beginStep();
   }
 
-  /** Drops a request, waiting or running; its slot is free from the next step on. */
+  /** Cancels a waiting or running request; its slot is free from the next step on. */
   cancel(id: string): void {
     if (this.running.delete(id) || this.waiting.remove(id)) {
-      this.noteLoad();
+      this.recordLoad();
     }
   }
 
-  /** Stops giving tokens; requests go on being taken and wait. */
+  /** Stops generating tokens; requests are still accepted and wait. */
   pause(): void {
     this.paused = true;
-    this.step?.cancel();
-    this.step = undefined;
+    this.stepTimer?.cancel();
+    this.stepTimer = undefined;
   }
 
-  /** Goes on after {@link pause}; the step that was under way starts again. */
-  unpause(): void {
+  /** Resumes after {@link pause}; the interrupted step starts again. */
+  resume(): void {
     this.paused = false;
     this.beginStep();
   }
 
-  /** Makes each step take `factor` times as long, as on a straggler. */
+  /** Makes each step take `factor` times as long, to simulate a slow replica. */
   setSlowFactor(factor: number): void {
     this.slowFactor = factor;
   }
 
-  /** The load as it is. */
+  /** Returns the current load. */
   getLoad(): EngineLoad {
     return { running: this.running.size, waiting: this.waiting.size };
   }
 
-  /** The load as the engine reports it: behind the truth by `loadLag`. */
+  /** Returns the load that the engine reports, which lags by `loadLag`. */
   getReportedLoad(): TimestampedValue<EngineLoad> {
-    return this.load.get();
+    return this.reportedLoad.get();
   }
 
-  /** Ends every request without a word, as a crash does. */
+  /** Ends every request without an event, as in a crash. */
   dispose(): void {
     this.pause();
     this.running.clear();
     this.waiting.clear();
-    this.noteLoad();
+    this.recordLoad();
   }
 
-  private noteLoad(): void {
-    this.load.set(this.getLoad());
+  private recordLoad(): void {
+    this.reportedLoad.set(this.getLoad());
   }
 
   private beginStep(): void {
-    if (this.step !== undefined || this.paused) {
+    if (this.stepTimer !== undefined || this.paused) {
       return;
     }
     this.fillSlots();
@@ -167,12 +168,12 @@
     if (parts.length === 0) {
       return;
     }
-    this.step = this.clock.setTimer(this.getStepLength(parts), () => this.endStep(parts));
+    this.stepTimer = this.clock.setTimer(this.getStepDuration(parts), () => this.endStep(parts));
   }
 
   private fillSlots(): void {
     while (this.running.size < this.options.slots) {
-      const job = this.waiting.take();
+      const job = this.waiting.shift();
       if (job === undefined) {
         return;
       }
@@ -182,41 +183,41 @@
 
   private start(job: EngineJob): void {
     const cachedTokens = this.cache.match(job.blocks) * this.options.blockTokens;
-    // The last prompt token is always computed: it gives the first token of the answer.
-    const prefillLeft = Math.max(1, job.promptTokens + job.startIndex - cachedTokens);
-    this.running.set(job.id, new RunningJob(job, prefillLeft));
-    this.noteLoad();
+    // The last prompt token is always computed, since it yields the first token of the answer.
+    const prefillTokens = Math.max(1, job.promptTokens + job.startIndex - cachedTokens);
+    this.running.set(job.id, new RunningJob(job, prefillTokens));
+    this.recordLoad();
     this.emit({ kind: 'started', id: job.id, cachedTokens });
   }
 
-  /** Shares the step's prefill among new requests, the more urgent first. */
-  private planStep(): StepPart[] {
+  /** Distributes the prefill budget of the step to the requests, the more urgent first. */
+  private planStep(): StepShare[] {
     let budget = this.options.prefillPerStep;
     return [...this.running.values()]
       .sort((left, right) => left.job.priority - right.job.priority)
       .map((running) => {
-        const prefill = running.getPrefill(budget);
+        const prefill = running.getPrefillTokens(budget);
         budget -= prefill;
         return { running, prefill };
       });
   }
 
-  private getStepLength(parts: readonly StepPart[]): number {
+  private getStepDuration(parts: readonly StepShare[]): number {
     const { stepBase, stepPerRequest, prefillPerToken } = this.options;
     const prefill = parts.reduce((sum, part) => sum + part.prefill, 0);
-    const length = stepBase + stepPerRequest * parts.length + prefillPerToken * prefill;
-    return length * this.slowFactor;
+    const duration = stepBase + stepPerRequest * parts.length + prefillPerToken * prefill;
+    return duration * this.slowFactor;
   }
 
-  private endStep(parts: readonly StepPart[]): void {
+  private endStep(parts: readonly StepShare[]): void {
     parts.forEach((part) => this.advance(part));
-    this.step = undefined;
+    this.stepTimer = undefined;
     this.beginStep();
   }
 
-  private advance({ running, prefill }: StepPart): void {
+  private advance({ running, prefill }: StepShare): void {
     const { job } = running;
-    // The request may have been cancelled during the step, and its id taken by another.
+    // The request may have been cancelled during the step and its id reused.
     if (this.running.get(job.id) !== running) {
       return;
     }
@@ -226,18 +227,18 @@
     if (running.isFirstToken()) {
       this.cache.store(job.blocks);
     }
-    this.giveToken(running);
+    this.emitToken(running);
   }
 
-  private giveToken(running: RunningJob): void {
+  private emitToken(running: RunningJob): void {
     const { id, promptTokens } = running.job;
     if (!running.isFinished()) {
       this.emit({ kind: 'token', id, index: running.takeToken() });
     }
-    // The owner may have cancelled the request on that token.
+    // The owner may have cancelled the request while handling the token event.
     if (running.isFinished() && this.running.get(id) === running) {
       this.running.delete(id);
-      this.noteLoad();
+      this.recordLoad();
       this.emit({ kind: 'finished', id, promptTokens });
     }
   }
--- a/packages/standins/src/lib/engine/EngineBatchOptions.ts
+++ b/packages/standins/src/lib/engine/EngineBatchOptions.ts
@@ -1,33 +1,33 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
 /**
- * How fast the modelled engine is. Time goes by in steps; each step gives every running request
- * one token, and works through a share of the prompts of those that have just begun.
+ * The performance of the simulated engine. Time is divided into steps; each step generates one
+ * token for every running request and computes a part of the prompts of those in prefill.
  *
  * @public
  */
 export interface EngineBatchOptions {
-  /** Requests run at once. */
+  /** The number of requests that run at once. */
   slots: number;
-  /** What a step takes however few requests run, in milliseconds. */
+  /** The base duration of a step, in milliseconds. */
   stepBase: Milliseconds;
-  /** What each request adds to a step, in milliseconds. */
+  /** The duration that each running request adds to a step, in milliseconds. */
   stepPerRequest: Milliseconds;
-  /** What each uncached prompt token adds to a step, in milliseconds. */
+  /** The duration that each uncached prompt token adds to a step, in milliseconds. */
   prefillPerToken: Milliseconds;
-  /** Prompt tokens one step works through at most, over all requests. */
+  /** The maximum number of prompt tokens computed in one step, over all requests. */
   prefillPerStep: number;
-  /** Blocks the prefix cache holds. */
+  /** The capacity of the prefix cache, in blocks. */
   cacheBlocks: number;
-  /** Prompt tokens in a block. */
+  /** The number of prompt tokens in a block. */
   blockTokens: number;
-  /** How long the reported load stays behind the truth, in milliseconds. */
+  /** How long the reported load lags behind the actual load, in milliseconds. */
   loadLag: Milliseconds;
 }
 
 /**
- * An engine of today's size: 20 ms between tokens when almost idle, about 36 ms with all 16
- * slots busy, a prompt of 1,000 uncached tokens in about 100 ms.
+ * An engine of typical size: 20 ms between tokens when almost idle, about 36 ms with all 16 slots
+ * busy, and a prefill of about 100 ms for 1,000 uncached tokens.
  *
  * @public
  */
--- a/packages/standins/src/lib/engine/EngineOrders.test.ts
+++ b/packages/standins/src/lib/engine/EngineOrders.test.ts
@@ -5,15 +5,15 @@
 function setUp(checksFencing: boolean) {
   const clock = new ManualClock();
   const weights = new WeightStore(clock, { loads: 2, per: 1_000 });
-  const setup = { clock, weights, checksFencing, loadTime: 100, loaded: ['base@1'] };
-  const orders = new EngineOrders(setup);
+  const settings = { clock, weights, checksFencing, loadTime: 100, loaded: ['base@1'] };
+  const orders = new EngineOrders(settings);
   const load = (fencingNumber: number, model: string, orderId = model) =>
     orders.handle({ fencingNumber, orderId, order: { kind: 'load', model, version: '1' } });
   return { clock, orders, load };
 }
 
 describe('EngineOrders', () => {
-  it('refuses an old fencing number only where the engine checks it', () => {
+  it('refuses an old fencing number only if the engine checks it', () => {
     const order = { kind: 'set-role', role: EngineRole.Decode } as const;
     const checking = setUp(true).orders;
     checking.handle({
@@ -30,7 +30,7 @@
     expect(other.getState()).toMatchObject({ role: EngineRole.Decode, highestFencingNumber: 7 });
   });
 
-  it('carries an order out once, however often it is sent', () => {
+  it('executes an order once, however often it is sent', () => {
     const { clock, orders, load } = setUp(true);
     load(1, 'a');
     clock.advance(100);
@@ -43,7 +43,7 @@
     expect(orders.getHistory()).toHaveLength(3);
   });
 
-  it('loads no faster than the weight store allows, and takes the refused order later', () => {
+  it('respects the rate limit of the weight store, and accepts a refused order later', () => {
     const { clock, orders, load } = setUp(true);
     load(1, 'a');
     clock.advance(400);
@@ -53,7 +53,7 @@
     clock.advance(600);
     expect(load(1, 'c').kind).toBe('taken');
     expect(orders.getState()).toMatchObject({ loaded: ['a@1', 'b@1', 'base@1'], loading: ['c@1'] });
-    expect([orders.serves('a'), orders.serves('a@1'), orders.serves('c')]).toEqual([
+    expect([orders.isLoaded('a'), orders.isLoaded('a@1'), orders.isLoaded('c')]).toEqual([
       true,
       true,
       false,
--- a/packages/standins/src/lib/engine/EngineOrders.ts
+++ b/packages/standins/src/lib/engine/EngineOrders.ts
@@ -2,7 +2,7 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { WeightStore } from './WeightStore.js';
 
-/** What an engine does for requests. */
+/** The phases of a request that an engine runs. */
 export enum EngineRole {
   Mixed = 'mixed',
   Prefill = 'prefill',
@@ -10,7 +10,7 @@
 }
 
 /**
- * What an engine can be told to do.
+ * An order to an engine.
  *
  * @public
  */
@@ -20,7 +20,7 @@
   | { kind: 'set-role'; role: EngineRole };
 
 /**
- * An order with the identity of its sending and the fencing number of its sender.
+ * An order with its id and the fencing number of its sender.
  *
  * @public
  */
@@ -31,7 +31,7 @@
 }
 
 /**
- * The engine's word on an order.
+ * The result of an order.
  *
  * @public
  */
@@ -41,7 +41,7 @@
   | { kind: 'rate-limited'; retryAfter: Milliseconds };
 
 /**
- * What is loaded on an engine, by names of the form `model[:adapter]@version`.
+ * The state of an engine; loaded models are named `model[:adapter]@version`.
  *
  * @public
  */
@@ -53,7 +53,7 @@
 }
 
 /**
- * The name of what an order loads or unloads.
+ * Returns the name of the model that an order loads or unloads.
  *
  * @example
  * ```ts
@@ -66,28 +66,28 @@
   return `${part.model}${adapter}@${part.version}`;
 }
 
-/** How an engine deals with orders. */
-export interface EngineOrdersSetup {
+/** Constructor arguments of {@link EngineOrders}. */
+export interface EngineOrdersSettings {
   clock: Clock;
   weights: WeightStore;
   /** Whether an order with an old fencing number is refused. */
   checksFencing: boolean;
   /** How long a load takes, in milliseconds. */
   loadTime: Milliseconds;
-  /** Names loaded from the start. */
+  /** The names of the models loaded initially. */
   loaded: readonly string[];
 }
 
 /**
- * Carries out orders. An order whose identity was seen before is answered again and not carried
- * out again, so that a sender who lost the answer can ask again.
+ * Executes orders. An order with a known id is answered but not executed again, so that a sender
+ * can safely retry after a lost response.
  */
 export class EngineOrders {
   private readonly loaded: Set<string>;
 
   private readonly loading = new Map<string, Timer>();
 
-  private readonly taken = new Set<string>();
+  private readonly acceptedOrderIds = new Set<string>();
 
   private readonly history: (FencedOrder & { outcome: OrderOutcome['kind'] })[] = [];
 
@@ -95,12 +95,12 @@
 
   private highestFencingNumber = 0;
 
-  constructor(private readonly setup: EngineOrdersSetup) {
-    this.loaded = new Set(setup.loaded);
+  constructor(private readonly settings: EngineOrdersSettings) {
+    this.loaded = new Set(settings.loaded);
   }
 
   handle(order: FencedOrder): OrderOutcome {
-    const outcome = this.decide(order);
+    const outcome = this.process(order);
     this.history.push({ ...order, outcome: outcome.kind });
     return outcome;
   }
@@ -111,13 +111,13 @@
     return { loaded, loading: [...this.loading.keys()].sort(), role, highestFencingNumber };
   }
 
-  /** Every order that arrived and what became of it, for the oracle of tests. */
+  /** Returns every received order with its outcome. */
   getHistory(): (FencedOrder & { outcome: OrderOutcome['kind'] })[] {
     return [...this.history];
   }
 
-  /** Whether a request for the model, named with or without its version, can run. */
-  serves(model: string): boolean {
+  /** Whether the model, named with or without its version, is loaded. */
+  isLoaded(model: string): boolean {
     return [...this.loaded].some((name) => name === model || name.split('@')[0] === model);
   }
 
@@ -126,23 +126,23 @@
     this.loading.clear();
   }
 
-  private decide({ fencingNumber, orderId, order }: FencedOrder): OrderOutcome {
-    if (this.setup.checksFencing && fencingNumber < this.highestFencingNumber) {
+  private process({ fencingNumber, orderId, order }: FencedOrder): OrderOutcome {
+    if (this.settings.checksFencing && fencingNumber < this.highestFencingNumber) {
       return { kind: 'stale-fencing-number', highest: this.highestFencingNumber };
     }
     this.highestFencingNumber = Math.max(this.highestFencingNumber, fencingNumber);
-    if (!this.taken.has(orderId)) {
-      const retryAfter = this.carryOut(order);
+    if (!this.acceptedOrderIds.has(orderId)) {
+      const retryAfter = this.execute(order);
       if (retryAfter > 0) {
         return { kind: 'rate-limited', retryAfter };
       }
-      this.taken.add(orderId);
+      this.acceptedOrderIds.add(orderId);
     }
     return { kind: 'taken', state: this.getState() };
   }
 
-  /** @returns above 0 when the weight store's rate is used up */
-  private carryOut(order: EngineOrder): Milliseconds {
+  /** @returns the milliseconds to wait if the rate limit of the weight store is reached, else 0 */
+  private execute(order: EngineOrder): Milliseconds {
     switch (order.kind) {
       case 'load':
         return this.load(getLoadedName(order));
@@ -161,11 +161,11 @@
     if (this.loaded.has(name) || this.loading.has(name)) {
       return 0;
     }
-    const retryAfter = this.setup.weights.tryFetch();
+    const retryAfter = this.settings.weights.tryFetch();
     if (retryAfter > 0) {
       return retryAfter;
     }
-    const timer = this.setup.clock.setTimer(this.setup.loadTime, () => {
+    const timer = this.settings.clock.setTimer(this.settings.loadTime, () => {
       this.loading.delete(name);
       this.loaded.add(name);
     });
--- a/packages/standins/src/lib/engine/EngineRequests.ts
+++ b/packages/standins/src/lib/engine/EngineRequests.ts
@@ -5,7 +5,7 @@
 import { getLoadHeaders } from '../backend/backendResponses.js';
 import type { ReportedLoad } from '../backend/backendResponses.js';
 import { RunLog } from '../backend/RunLog.js';
-import { ChatAnswer } from './ChatResponseWriter.js';
+import { ChatResponseWriter } from './ChatResponseWriter.js';
 import { ChatExchange } from './ChatExchange.js';
 import type { EngineRun } from './ChatExchange.js';
 import { EngineBatch } from './EngineBatch.js';
@@ -16,7 +16,7 @@
 import type { ChatRequest } from './parseChatRequest.js';
 import type { CacheChange } from './PrefixCache.js';
 
-/** Carries requests through the batch: from the parsed request to the last byte of its answer. */
+/** Runs requests in the batch, from the parsed request to the last byte of the response. */
 export class EngineRequests {
   readonly batch: EngineBatch;
 
@@ -32,7 +32,7 @@
     private readonly faults: BackendFaultInjector,
     private readonly onCacheChange: (change: CacheChange) => void,
   ) {
-    this.batch = new EngineBatch({ clock, options, emit: (event) => this.handle(event) });
+    this.batch = new EngineBatch({ clock, options, emit: (event) => this.handleEvent(event) });
   }
 
   getReportedLoad(): ReportedLoad {
@@ -40,20 +40,22 @@
     return { ...value, slots: this.batch.options.slots, measuredAt };
   }
 
-  /** @param isSilent - whether the engine no longer notices what becomes of the connection */
-  run(request: ChatRequest, response: ServerResponse, isSilent: () => boolean): void {
+  /** @param isSilenced - whether the engine no longer notices that the connection is closed */
+  run(request: ChatRequest, response: ServerResponse, isSilenced: () => boolean): void {
     this.lastJob += 1;
-    // Not the caller's id: two attempts that carry the same one are still two jobs.
+    // The caller's id is not used, since two attempts with the same id are two jobs.
     const id = String(this.lastJob);
     const tokens = getExpectedTokens(request.model, request.messages, request.maxTokens);
-    const answer = new ChatAnswer(request, tokens, response, () => this.getHeaders(request));
-    this.exchanges.set(id, new ChatExchange(request, answer, this.faults));
+    const writer = new ChatResponseWriter(request, tokens, response, () =>
+      this.getHeaders(request),
+    );
+    this.exchanges.set(id, new ChatExchange(request, writer, this.faults));
     response.on('close', () => {
-      if (!isSilent()) {
+      if (!isSilenced()) {
         this.cancel(id);
       }
     });
-    answer.begin();
+    writer.sendHead();
     this.submit(id, request, tokens.length);
   }
 
@@ -77,7 +79,7 @@
     this.batch.cancel(id);
   }
 
-  private handle(event: BatchEvent): void {
+  private handleEvent(event: BatchEvent): void {
     switch (event.kind) {
       case 'cache':
         this.onCacheChange(event.change);
@@ -86,7 +88,7 @@
         this.exchanges.get(event.id)?.start(this.runs);
         break;
       case 'token':
-        this.giveToken(event.id, event.index);
+        this.sendToken(event.id, event.index);
         break;
       case 'finished':
         this.finish(event.id, event.promptTokens);
@@ -96,13 +98,13 @@
     }
   }
 
-  private giveToken(id: string, index: number): void {
+  private sendToken(id: string, index: number): void {
     const exchange = this.exchanges.get(id);
     if (exchange?.isDropDue()) {
       this.cancel(id);
-      exchange.drop();
+      exchange.breakConnection();
     } else {
-      exchange?.giveToken(index);
+      exchange?.sendToken(index);
     }
   }
 
@@ -110,7 +112,7 @@
     const exchange = this.exchanges.get(id);
     this.exchanges.delete(id);
     if (exchange?.isDropDue()) {
-      exchange.drop();
+      exchange.breakConnection();
     } else {
       exchange?.finish(promptTokens);
     }
--- a/packages/standins/src/lib/engine/EngineStandin.test.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { Agent, get } from 'node:http';
 import { ManualClock } from '@apricotrill/utils';
-import { until } from '../../test/waitUntil.js';
+import { waitUntil } from '../../test/waitUntil.js';
 import { createEngineStandin } from './EngineStandin.js';
 import type { EngineStandinSettings } from './EngineStandinOptions.js';
 import { getExpectedTokens } from './getExpectedTokens.js';
@@ -14,10 +14,10 @@
 
 const MODEL = 'kielimalli';
 
-const ENDLESS = 100_000;
+const MAX_TOKENS_OF_LONG_ANSWER = 100_000;
 
-/** The parts of the answers that these tests look at. */
-interface Json {
+/** The parts of response bodies that these tests check. */
+interface ParsedBody {
   choices: { message: { content: string } }[];
   runs: object[];
   events: object[];
@@ -28,12 +28,12 @@
   return [{ role: 'user', content: `a question about ${topic}` }];
 }
 
-/** Reads an answer whose parts the test then checks one by one. */
-async function readJson(answer: Response): Promise<Json> {
-  return (await answer.json()) as Json;
+/** Parses a response body, whose parts the test then checks. */
+async function readJson(answer: Response): Promise<ParsedBody> {
+  return (await answer.json()) as ParsedBody;
 }
 
-/** Reads a stream's tokens by SSE id, and what it ended in. */
+/** Reads the tokens of a stream by SSE id, and its last two events. */
 async function readStream(answer: Response) {
   const events = (await answer.text()).split('\n\n').filter((event) => event !== '');
   const tokens = new Map<number, string>();
@@ -46,9 +46,9 @@
   return { tokens, last: events.at(-1), finish: events.at(-2) };
 }
 
-async function setUp(setup: EngineStandinSettings = {}) {
+async function setUp(settings: EngineStandinSettings = {}) {
   const pace = { stepBase: 1, stepPerRequest: 0, prefillPerToken: 0, loadLag: 0 };
-  const engine = createEngineStandin({ ...pace, ...setup });
+  const engine = createEngineStandin({ ...pace, ...settings });
   disposals.push(() => engine.dispose());
   const { host, port } = await engine.listen();
   const url = `http://${host}:${port}`;
@@ -63,7 +63,7 @@
 }
 
 describe('EngineStandin', () => {
-  it('answers whole, streamed and resumed with the tokens of the oracle', async () => {
+  it('returns the expected tokens in whole, streamed and resumed responses', async () => {
     const { ask, read } = await setUp();
     const expected = getExpectedTokens(MODEL, getMessages('ink'), 40);
     const whole = await readJson(await ask('ink'));
@@ -87,7 +87,7 @@
     expect(runs[1]).toMatchObject({ requestId: 'r-1/2', tokens: expected.length, completed: true });
   });
 
-  it('answers differently to each question, by lengths one cannot guess', () => {
+  it('gives each question a different answer of unpredictable length', () => {
     const topics = Array.from({ length: 20 }, (_, index) => `topic ${index}`);
     const lengths = topics.map(
       (topic) => getExpectedTokens(MODEL, getMessages(topic), 1_000).length,
@@ -99,13 +99,13 @@
     expect(ink!.filter((token) => paper!.includes(token))).toEqual([]);
   });
 
-  it('frees the slot of a caller that leaves', async () => {
-    // Symptom: an engine computes answers nobody reads. Events: a caller leaves in the middle of
-    // its stream. Cause: a closed connection that does not end the request.
+  it('frees the slot of a caller that disconnects', async () => {
+    // Guards against an engine that computes answers nobody reads: a caller disconnects in the
+    // middle of its stream, and the closed connection does not cancel the request.
     const { engine, ask } = await setUp({ slots: 1 });
     const abort = new AbortController();
     const init = { signal: abort.signal };
-    const left = await ask('ink', { stream: true, max_tokens: ENDLESS }, init);
+    const left = await ask('ink', { stream: true, max_tokens: MAX_TOKENS_OF_LONG_ANSWER }, init);
     expect(left.status).toBe(200);
     const next = ask('paper');
     abort.abort();
@@ -113,7 +113,7 @@
     expect(engine.getRuns().map(({ completed }) => completed)).toEqual([false, true]);
   });
 
-  it('refuses without running what it refuses', async () => {
+  it('does not run the requests that it refuses', async () => {
     const { engine, ask, read } = await setUp({ slots: 1, maxWaiting: 0 });
     const expectRefusal = async (status: number, leaving: string | null) => {
       const answer = await ask('ink');
@@ -129,13 +129,13 @@
     expect(await read('/load')).toMatchObject({ leaving: true, running: 0, slots: 1 });
     engine.faults.apply({ kind: 'stay' });
     expect(engine.getRuns()).toEqual([]);
-    const busy = await ask('paper', { stream: true, max_tokens: ENDLESS });
+    const busy = await ask('paper', { stream: true, max_tokens: MAX_TOKENS_OF_LONG_ANSWER });
     await expectRefusal(429, null);
     expect(engine.getRuns()).toHaveLength(1);
     await busy.body!.cancel();
   });
 
-  it('refuses a request for a model that is not loaded, where it is told to', async () => {
+  it('refuses a request for a model that is not loaded if requiresLoaded is set', async () => {
     const { engine, ask } = await setUp({ requiresLoaded: true, loaded: [`${MODEL}@4`] });
     expect((await ask('ink')).status).toBe(200);
     expect((await ask('ink', { model: `${MODEL}@4` })).status).toBe(200);
@@ -153,7 +153,7 @@
     expect((await ask('ink', {}, { headers: { 'last-event-id': 'x' } })).status).toBe(400);
   });
 
-  it('breaks, strays and stalls when told to', async () => {
+  it('injects broken connections, stray answers and stalls', async () => {
     const { engine, ask, read } = await setUp();
     engine.faults.apply({ kind: 'drop-after', tokens: 0, count: 1 });
     await expect(ask('ink', { stream: true }).then(readStream)).rejects.toThrow('terminated');
@@ -173,12 +173,12 @@
     expect((await stalled).status).toBe(200);
   });
 
-  it('falls silent on the connections that are open, and serves new ones', async () => {
+  it('goes silent on open connections and serves new ones', async () => {
     const { engine, url } = await setUp();
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     const getLoad = () => get(`${url}/load`, { agent });
     await once(getLoad(), 'response').then(([answer]) => once(answer.resume(), 'end'));
-    await until(() => Object.keys(agent.freeSockets).length === 1);
+    await waitUntil(() => Object.keys(agent.freeSockets).length === 1);
     engine.faults.apply({ kind: 'silence-connections' });
     const silent = getLoad();
     const ended = once(silent, 'response').catch((error) => error.message);
@@ -190,7 +190,7 @@
     agent.destroy();
   });
 
-  it('sends nothing more of an answer whose connection fell silent', async () => {
+  it('sends nothing more of a response once its connection is silenced', async () => {
     const clock = new ManualClock();
     const { engine, ask } = await setUp({ clock });
     const stream = await ask('ink', { stream: true });
@@ -202,7 +202,7 @@
     await expect(text).rejects.toThrow('terminated');
   });
 
-  it('publishes cache events late, and orders over HTTP', async () => {
+  it('publishes cache events and handles orders over HTTP', async () => {
     const { ask, read, url } = await setUp({ cacheEventLag: 0, cacheEventLoss: 0, blockTokens: 2 });
     await (await ask('ink')).text();
     const { events } = await read('/cache-events?after=1');
@@ -214,12 +214,12 @@
     expect(await read('/admin/state')).toMatchObject({ highestFencingNumber: 3, role: 'mixed' });
   });
 
-  it('ends every connection in a crash', async () => {
+  it('breaks every connection in a crash', async () => {
     const { engine, ask } = await setUp();
-    const answer = await ask('ink', { stream: true, max_tokens: ENDLESS });
+    const answer = await ask('ink', { stream: true, max_tokens: MAX_TOKENS_OF_LONG_ANSWER });
     engine.faults.apply({ kind: 'crash' });
     await expect(answer.text()).rejects.toThrow('terminated');
-    await until(() => engine.getRuns().length > 0);
+    await waitUntil(() => engine.getRuns().length > 0);
     await expect(ask('paper')).rejects.toThrow('fetch failed');
   });
 });
--- a/packages/standins/src/lib/engine/EngineStandin.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.ts
@@ -20,7 +20,7 @@
 import type { ChatRequest } from './parseChatRequest.js';
 import { WeightStore } from './WeightStore.js';
 
-const CACHE_EVENTS_KEPT = 10_000;
+const MAX_CACHE_EVENTS = 10_000;
 
 function sendOrderOutcome(response: ServerResponse, outcome: OrderOutcome): void {
   if (outcome.kind === 'taken') {
@@ -34,8 +34,9 @@
 }
 
 /**
- * A model engine's place in tests: chat completions, streamed and whole, from a modelled batch,
- * with load reports, cache events, orders and faults. The answer is a pure function of the request.
+ * Replaces a model engine in tests: chat completions, streamed or not, from a simulated batch, with
+ * load reports, cache events, orders and fault injection. The answer is a pure function of the
+ * request.
  *
  * @public
  */
@@ -54,14 +55,14 @@
 
   private lastId = 0;
 
-  constructor(setup: EngineStandinSettings = {}) {
-    const { clock = new SystemClock(), weights, onCrash, ...options } = setup;
+  constructor(settings: EngineStandinSettings = {}) {
+    const { clock = new SystemClock(), weights, onCrash, ...options } = settings;
     this.options = { ...defaultEngineStandinOptions, ...options };
     this.server = new StandinServer(this.options);
     this.faults = new BackendFaultInjector(this.getFaultActions(onCrash));
-    const { lag, lossShare, kept } = this.getCacheEventOptions();
+    const { lag, lossRate, maxEvents } = this.getCacheEventOptions();
     const random = createRandom(this.options.seed);
-    this.cacheEvents = new CacheEventLog(clock, random, { lag, lossShare, kept });
+    this.cacheEvents = new CacheEventLog(clock, random, { lag, lossRate, maxEvents });
     this.requests = new EngineRequests(clock, this.options, this.faults, (change) =>
       this.cacheEvents.add(change),
     );
@@ -69,17 +70,17 @@
     this.addRoutes();
   }
 
-  /** @returns the address, with the port that port 0 became */
+  /** @returns the address, with the selected port if the port option is 0 */
   listen(): Promise<ListenAddress> {
     return this.server.listen();
   }
 
-  /** Everything that reached a slot, for the oracle of tests. */
+  /** Returns every request that reached a slot. */
   getRuns(): EngineRun[] {
     return this.requests.runs.getRuns();
   }
 
-  /** Stops at once, as a crash does: every connection breaks. */
+  /** Stops immediately, as in a crash; every connection breaks. */
   async dispose(): Promise<void> {
     this.faults.apply({ kind: 'unstall' });
     this.requests.dispose();
@@ -91,7 +92,7 @@
     return {
       crash: onCrash ?? (() => this.dispose()),
       stall: () => this.requests.batch.pause(),
-      unstall: () => this.requests.batch.unpause(),
+      unstall: () => this.requests.batch.resume(),
       silenceConnections: () => this.server.silenceConnections(),
       slow: (factor: number) => this.requests.batch.setSlowFactor(factor),
     };
@@ -99,17 +100,17 @@
 
   private getCacheEventOptions() {
     const { cacheEventLag, cacheEventLoss } = this.options;
-    return { lag: cacheEventLag, lossShare: cacheEventLoss, kept: CACHE_EVENTS_KEPT };
+    return { lag: cacheEventLag, lossRate: cacheEventLoss, maxEvents: MAX_CACHE_EVENTS };
   }
 
   private createOrders(clock: Clock, weights: WeightStore | undefined): EngineOrders {
     const { weightLoads, weightSpan, checksFencing, loadTime, loaded } = this.options;
-    const own = weights ?? new WeightStore(clock, { loads: weightLoads, per: weightSpan });
-    return new EngineOrders({ clock, weights: own, checksFencing, loadTime, loaded });
+    const weightStore = weights ?? new WeightStore(clock, { loads: weightLoads, per: weightSpan });
+    return new EngineOrders({ clock, weights: weightStore, checksFencing, loadTime, loaded });
   }
 
   private addRoutes(): void {
-    this.addWorkRoutes();
+    this.addRequestRoutes();
     this.addOrderRoutes();
     this.server.route('POST', '/faults', async (request, response) => {
       const fault = await readJson<BackendFault>(request);
@@ -121,17 +122,17 @@
     });
   }
 
-  private addWorkRoutes(): void {
+  private addRequestRoutes(): void {
     this.server.route('POST', '/v1/chat/completions', (request, response) =>
       this.serveChat(request, response),
     );
     this.server.route('GET', '/load', async (_request, response) => {
-      await this.faults.whenNotStalled();
+      await this.faults.waitWhileStalled();
       const load = this.requests.getReportedLoad();
       sendJson(response, 200, { ...load, leaving: this.faults.isLeaving() });
     });
     this.server.route('GET', '/cache-events', async (request, response) => {
-      await this.faults.whenNotStalled();
+      await this.faults.waitWhileStalled();
       const events = this.cacheEvents.getAfter(getNumberQuery(request, 'after', 0));
       sendJson(response, 200, { events });
     });
@@ -140,14 +141,14 @@
   private addOrderRoutes(): void {
     this.server.route('POST', '/admin/orders', async (request, response) => {
       const order = await readJson<FencedOrder>(request);
-      await this.faults.whenNotStalled();
+      await this.faults.waitWhileStalled();
       sendOrderOutcome(response, this.orders.handle(order));
     });
     this.server.route('GET', '/admin/orders', (_request, response) => {
       sendJson(response, 200, { orders: this.orders.getHistory() });
     });
     this.server.route('GET', '/admin/state', async (_request, response) => {
-      await this.faults.whenNotStalled();
+      await this.faults.waitWhileStalled();
       sendJson(response, 200, this.orders.getState());
     });
   }
@@ -155,8 +156,8 @@
   private async serveChat(connection: RoutedRequest, response: ServerResponse): Promise<void> {
     this.lastId += 1;
     const request = await parseChatRequest(connection, `unnamed-${this.lastId}/1`);
-    await this.faults.whenNotStalled();
-    // The caller may have left meanwhile; work begun now would have nobody to notice and end it.
+    await this.faults.waitWhileStalled();
+    // The caller may have disconnected; the 'close' event would then never cancel the request.
     if (response.destroyed) {
       return;
     }
@@ -166,17 +167,17 @@
       return;
     }
     const { socket } = connection;
-    this.requests.run(request, response, () => this.server.isSilent(socket));
+    this.requests.run(request, response, () => this.server.isSilenced(socket));
   }
 
   private getRefusal(request: ChatRequest): RefusalReason | undefined {
     if (this.faults.isLeaving()) {
       return RefusalReason.Leaving;
     }
-    if (this.faults.takeRefusal()) {
+    if (this.faults.consumeRefusal()) {
       return RefusalReason.Refusing;
     }
-    if (this.options.requiresLoaded && !this.orders.serves(request.model)) {
+    if (this.options.requiresLoaded && !this.orders.isLoaded(request.model)) {
       return RefusalReason.NotLoaded;
     }
     const { running, waiting } = this.requests.batch.getLoad();
@@ -195,6 +196,6 @@
  * ```
  * @public
  */
-export function createEngineStandin(setup: EngineStandinSettings = {}): EngineStandin {
-  return new EngineStandin(setup);
+export function createEngineStandin(settings: EngineStandinSettings = {}): EngineStandin {
+  return new EngineStandin(settings);
 }
--- a/packages/standins/src/lib/engine/EngineStandinOptions.ts
+++ b/packages/standins/src/lib/engine/EngineStandinOptions.ts
@@ -4,51 +4,51 @@
 import type { WeightStore } from './WeightStore.js';
 
 /**
- * How an engine stand-in behaves.
+ * Options of an engine stand-in.
  *
  * @public
  */
 export interface EngineStandinOptions extends EngineBatchOptions {
   host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   port: number;
-  /** Requests that may wait for a slot; more are refused. */
+  /** The number of requests that may wait for a slot; further requests are refused. */
   maxWaiting: number;
   /** Whether a request for a model that is not loaded is refused. */
   requiresLoaded: boolean;
-  /** What is loaded from the start, as `model[:adapter]@version`. */
+  /** The models loaded initially, as `model[:adapter]@version`. */
   loaded: string[];
   /** Whether an order with an old fencing number is refused. */
   checksFencing: boolean;
   /** How long loading takes, in milliseconds. */
   loadTime: Milliseconds;
-  /** Loads that may begin within {@link weightSpan}. */
+  /** The number of loads that may begin within {@link weightSpan}. */
   weightLoads: number;
-  /** In milliseconds. */
+  /** The period to which {@link weightLoads} applies, in milliseconds. */
   weightSpan: Milliseconds;
-  /** How late cache events are published, in milliseconds. */
+  /** By how much cache events are delayed, in milliseconds. */
   cacheEventLag: Milliseconds;
-  /** Share of cache events that are never published, 0 to 1. */
+  /** The share of cache events that are never published, 0 to 1. */
   cacheEventLoss: number;
-  /** Seeds the choice of lost cache events. */
+  /** The random seed for the choice of lost cache events. */
   seed: number;
 }
 
 /**
- * What an engine stand-in runs on, beside its options.
+ * Constructor arguments of an engine stand-in.
  *
  * @public
  */
 export interface EngineStandinSettings extends Partial<EngineStandinOptions> {
-  /** The machine's clock when absent. */
+  /** The system clock by default. */
   clock?: Clock;
-  /** One of its own when absent; engines in one process may share one. */
+  /** A new one by default; engines in one process may share one. */
   weights?: WeightStore;
-  /** What a crash does; breaks every connection and frees the port when absent. */
+  /** Called on a crash fault; breaks every connection and frees the port by default. */
   onCrash?: () => void;
 }
 
-/** The defaults: a quick start, an engine of today's size, no fencing check. */
+/** The default options: short load times, an engine of typical size, no fencing check. */
 export const defaultEngineStandinOptions: EngineStandinOptions = {
   ...defaultEngineBatchOptions,
   host: '127.0.0.1',
--- a/packages/standins/src/lib/engine/PrefixCache.test.ts
+++ b/packages/standins/src/lib/engine/PrefixCache.test.ts
@@ -2,7 +2,7 @@
 import type { CacheChange } from './PrefixCache.js';
 
 describe('PrefixCache', () => {
-  it('evicts the prompt used least recently, its tail before its head', () => {
+  it('evicts the least recently used prompt, its tail before its head', () => {
     const changes: CacheChange[] = [];
     const cache = new PrefixCache(4, (change) => changes.push(change));
     cache.store([1, 2]);
--- a/packages/standins/src/lib/engine/PrefixCache.ts
+++ b/packages/standins/src/lib/engine/PrefixCache.ts
@@ -1,5 +1,5 @@
 /**
- * What became of a block of the prefix cache.
+ * A block was stored in the prefix cache or evicted from it.
  *
  * @public
  */
@@ -9,9 +9,9 @@
 }
 
 /**
- * A prefix cache of limited size. A prompt is a chain of blocks, each named by a hash of itself and
- * all blocks before it, so that two prompts share exactly their common head. The least recently
- * used block goes first, and within one prompt its tail goes before its head.
+ * A prefix cache of limited size. A prompt is a chain of blocks, each identified by a hash of
+ * itself and all blocks before it, so that two prompts share exactly the blocks of their common
+ * prefix. The least recently used block is evicted first, and the tail of a prompt before its head.
  *
  * @example
  * ```ts
@@ -22,7 +22,7 @@
  * @public
  */
 export class PrefixCache {
-  /** In order of use, the least recent first. */
+  /** Ordered by last use, the least recent first. */
   private readonly blocks = new Set<number>();
 
   /**
@@ -34,7 +34,7 @@
     private readonly onChange: (change: CacheChange) => void = () => {},
   ) {}
 
-  /** How many blocks at the head of the chain are cached; marks them as used. */
+  /** Returns how many blocks at the head of the chain are cached, and marks them as used. */
   match(chain: readonly number[]): number {
     let count = 0;
     while (count < chain.length && this.blocks.has(chain[count]!)) {
@@ -44,7 +44,7 @@
     return count;
   }
 
-  /** Stores a chain, evicting what was used least recently. */
+  /** Stores a chain, evicting the least recently used blocks. */
   store(chain: readonly number[]): void {
     const kept = chain.slice(0, this.capacity);
     const added = kept.filter((block) => !this.blocks.has(block));
@@ -58,7 +58,7 @@
   }
 
   private touch(chain: readonly number[]): void {
-    // From tail to head, so that the head ends up as the most recently used.
+    // From tail to head, so that the head becomes the most recently used.
     for (let index = chain.length - 1; index >= 0; index -= 1) {
       this.blocks.delete(chain[index]!);
       this.blocks.add(chain[index]!);
--- a/packages/standins/src/lib/engine/RunningJob.ts
+++ b/packages/standins/src/lib/engine/RunningJob.ts
@@ -1,27 +1,27 @@
 import type { EngineJob } from './EngineBatch.js';
 
-/** A request in a slot of the batch: how far its prompt and its answer have come. */
+/** A request in a slot of the batch, with the progress of its prefill and its output. */
 export class RunningJob {
-  /** The next token to give. */
+  /** The index of the next token. */
   nextIndex: number;
 
-  /** @param prefillLeft - uncached tokens to be worked through before the first token */
+  /** @param remainingPrefill - uncached prompt tokens to compute before the first output token */
   constructor(
     readonly job: EngineJob,
-    private prefillLeft: number,
+    private remainingPrefill: number,
   ) {
     this.nextIndex = job.startIndex;
   }
 
-  /** How many tokens of its prompt it works through in a step that has `budget` left for that. */
-  getPrefill(budget: number): number {
-    return Math.min(this.prefillLeft, budget);
+  /** Returns how many prompt tokens are computed in a step with a remaining prefill `budget`. */
+  getPrefillTokens(budget: number): number {
+    return Math.min(this.remainingPrefill, budget);
   }
 
-  /** @returns whether the whole prompt has been worked through */
+  /** @returns whether the whole prompt has been computed */
   prefill(tokens: number): boolean {
-    this.prefillLeft -= tokens;
-    return this.prefillLeft <= 0;
+    this.remainingPrefill -= tokens;
+    return this.remainingPrefill <= 0;
   }
 
   isFirstToken(): boolean {
@@ -32,7 +32,7 @@
     return this.nextIndex >= this.job.outputTokens;
   }
 
-  /** @returns the index of the token given */
+  /** @returns the index of the generated token */
   takeToken(): number {
     this.nextIndex += 1;
     return this.nextIndex - 1;
--- a/packages/standins/src/lib/engine/WaitingQueue.ts
+++ b/packages/standins/src/lib/engine/WaitingQueue.ts
@@ -1,6 +1,6 @@
 import type { EngineJob } from './EngineBatch.js';
 
-/** Requests that wait for a slot: by priority, and in order of arrival within one priority. */
+/** Requests that wait for a slot, by priority and then in order of arrival. */
 export class WaitingQueue {
   private readonly jobs: EngineJob[] = [];
 
@@ -16,7 +16,7 @@
     this.jobs.splice(index, 0, job);
   }
 
-  take(): EngineJob | undefined {
+  shift(): EngineJob | undefined {
     return this.jobs.shift();
   }
 
--- a/packages/standins/src/lib/engine/WeightStore.ts
+++ b/packages/standins/src/lib/engine/WeightStore.ts
@@ -1,13 +1,13 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 
 /**
- * The store engines fetch weights from, which hands out a limited number of loads in a span of
- * time. Engines in one process may share one.
+ * The store from which engines fetch weights, with a rate limit on loads. Engines in one process
+ * may share one.
  *
  * @example
  * ```ts
  * const weights = new WeightStore(clock, { loads: 2, per: 60_000 });
- * weights.tryFetch(); // 0: go ahead; above 0: wait that many milliseconds
+ * weights.tryFetch(); // 0: fetch now; above 0: wait that many milliseconds
  * ```
  * @public
  */
@@ -20,7 +20,7 @@
     private readonly limit: { loads: number; per: Milliseconds },
   ) {}
 
-  /** @returns 0 when the fetch may begin now and is counted, else the milliseconds to wait */
+  /** @returns 0 if the fetch may begin now and is counted, else the milliseconds to wait */
   tryFetch(): Milliseconds {
     const now = this.clock.now();
     const { loads, per } = this.limit;
--- a/packages/standins/src/lib/engine/getExpectedTokens.ts
+++ b/packages/standins/src/lib/engine/getExpectedTokens.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * The answer's length when a request names no `max_tokens`.
+ * The token limit of a request without `max_tokens`.
  *
  * @public
  */
@@ -45,34 +45,34 @@
   'label',
 ];
 
-const TWO_TO_32 = 4294967296;
+const HASH_RANGE = 4294967296;
 
-/** One in five answers runs into the limit; the rest end anywhere below it. */
-const OVERSHOOT = 1.25;
+/** One in five answers reaches the limit; the others are evenly distributed below it. */
+const LENGTH_FACTOR = 1.25;
 
 function getLength(seed: number, maxTokens: number): number {
-  const share = Math.min(1, (getHash('length', seed) / TWO_TO_32) * OVERSHOOT);
+  const share = Math.min(1, (getHash('length', seed) / HASH_RANGE) * LENGTH_FACTOR);
   return Math.max(1, Math.ceil(share * maxTokens));
 }
 
 function getToken(seed: number, index: number): string {
-  const mark = getHash(String(index), seed);
-  const word = WORDS[mark % WORDS.length]!;
-  // The mark makes tokens of two answers, or of two places in one answer, differ.
-  return `${index === 0 ? '' : ' '}${word}-${mark.toString(36)}`;
+  const hash = getHash(String(index), seed);
+  const word = WORDS[hash % WORDS.length]!;
+  // The hash makes the tokens of different answers and positions differ.
+  return `${index === 0 ? '' : ' '}${word}-${hash.toString(36)}`;
 }
 
 /**
- * The tokens every engine stand-in answers a chat request with: a pure function of the request, so
- * that a test computes the whole answer and compares. The length varies between 1 and `maxTokens`
- * and can't be guessed from the request.
+ * Returns the tokens with which every engine stand-in answers a chat request. They are a pure
+ * function of the request, so that a test can compute the whole answer and compare it. The length
+ * varies between 1 and `maxTokens` and cannot be predicted from the request.
  *
  * @param model - as in the request
  * @param messages - as in the request; only role and content count
  * @param maxTokens - the request's `max_tokens`
  * @example
  * ```ts
- * const whole = getExpectedAnswer('kielimalli', messages, 64).join('');
+ * const answer = getExpectedTokens('kielimalli', messages, 64).join('');
  * ```
  * @public
  */
--- a/packages/standins/src/lib/engine/getPromptBlocks.ts
+++ b/packages/standins/src/lib/engine/getPromptBlocks.ts
@@ -2,21 +2,21 @@
 import type { ChatMessage } from './getExpectedTokens.js';
 
 /**
- * A prompt as a prefix cache sees it.
+ * A prompt divided into the blocks of a prefix cache.
  *
  * @public
  */
 export interface PromptBlocks {
-  /** Tokens of the whole prompt; a word counts as one. */
+  /** The number of tokens of the whole prompt; a word counts as one token. */
   promptTokens: number;
-  /** Each full block, named by a hash of itself and all before it. */
+  /** The full blocks, each identified by a hash of itself and all blocks before it. */
   blocks: number[];
 }
 
 /**
- * Cuts a prompt into the blocks of a prefix cache.
+ * Divides a prompt into the blocks of a prefix cache.
  *
- * @param blockTokens - tokens in a block; a last block that is not full is not cached
+ * @param blockTokens - tokens in a block; an incomplete last block is not cached
  * @example
  * ```ts
  * const { blocks, promptTokens } = getPromptBlocks(messages, 16);
--- a/packages/standins/src/lib/engine/parseChatRequest.ts
+++ b/packages/standins/src/lib/engine/parseChatRequest.ts
@@ -4,16 +4,16 @@
 import { DEFAULT_MAX_TOKENS } from './getExpectedTokens.js';
 import type { ChatMessage } from './getExpectedTokens.js';
 
-/** A chat request with what its headers say about it. */
+/** A chat request with the values of its headers. */
 export interface ChatRequest {
-  /** The caller's `x-request-id`, echoed with every piece of the answer. */
+  /** The caller's `x-request-id`, echoed in every chunk of the response. */
   requestId: string;
   model: string;
   messages: ChatMessage[];
   stream: boolean;
   maxTokens: number;
   priority: number;
-  /** The first token to send: above 0 when the caller resumes. */
+  /** The index of the first token to send; above 0 if the caller resumes a stream. */
   startIndex: number;
 }
 
@@ -25,18 +25,18 @@
   priority?: unknown;
 }
 
-const LEAST_PRIORITY = 5;
+const DEFAULT_PRIORITY = 5;
 
-function check(condition: boolean, message: string): asserts condition {
+function assertValid(condition: boolean, message: string): asserts condition {
   if (!condition) {
     throw new BadRequestError(message);
   }
 }
 
-function getWholeNumber(value: unknown, name: string, fallback: number): number {
+function getInteger(value: unknown, name: string, fallback: number): number {
   const number = value ?? fallback;
-  const isWhole = typeof number === 'number' && Number.isInteger(number) && number >= 0;
-  check(isWhole, `${name} must be a whole number`);
+  const isValid = typeof number === 'number' && Number.isInteger(number) && number >= 0;
+  assertValid(isValid, `${name} must be a whole number`);
   return number;
 }
 
@@ -45,7 +45,7 @@
   if (lastEventId === undefined) {
     return 0;
   }
-  check(/^\d+$/.test(String(lastEventId)), 'last-event-id must be the index of a token');
+  assertValid(/^\d+$/.test(String(lastEventId)), 'last-event-id must be the index of a token');
   return Number(lastEventId) + 1;
 }
 
@@ -54,22 +54,22 @@
   return typeof message?.role === 'string' && typeof message.content === 'string';
 }
 
-/** Reads a chat request. @throws BadRequestError when it is malformed */
+/** Parses a chat request. @throws BadRequestError if it is malformed */
 export async function parseChatRequest(
   request: IncomingMessage,
   fallbackId: string,
 ): Promise<ChatRequest> {
   const body = await readJson<ChatBody>(request);
   const { model, messages } = body;
-  check(typeof model === 'string', 'model must be a text');
-  check(Array.isArray(messages) && messages.every(isMessage), 'messages must be a list');
+  assertValid(typeof model === 'string', 'model must be a text');
+  assertValid(Array.isArray(messages) && messages.every(isMessage), 'messages must be a list');
   return {
     requestId: String(request.headers['x-request-id'] ?? fallbackId),
     model,
     messages,
     stream: body.stream === true,
-    maxTokens: getWholeNumber(body.max_tokens, 'max_tokens', DEFAULT_MAX_TOKENS),
-    priority: getWholeNumber(body.priority, 'priority', LEAST_PRIORITY),
+    maxTokens: getInteger(body.max_tokens, 'max_tokens', DEFAULT_MAX_TOKENS),
+    priority: getInteger(body.priority, 'priority', DEFAULT_PRIORITY),
     startIndex: getStartIndex(request),
   };
 }
--- a/packages/standins/src/lib/http/StandinServer.ts
+++ b/packages/standins/src/lib/http/StandinServer.ts
@@ -15,14 +15,14 @@
   port: number;
 }
 
-/** A request with what polka's routing found in its URL. */
+/** A request with the parts of its URL that polka's routing extracted. */
 export interface RoutedRequest extends IncomingMessage {
   path: string;
   params: Record<string, string>;
   query: Record<string, string | string[]>;
 }
 
-/** Serves one request; a thrown {@link BadRequestError} becomes a 400. */
+/** Serves one request; a thrown {@link BadRequestError} is answered with 400. */
 export type RequestHandler = (
   request: RoutedRequest,
   response: ServerResponse,
@@ -30,7 +30,7 @@
 
 type Method = 'GET' | 'PUT' | 'POST' | 'DELETE';
 
-function answerError(error: unknown, response: ServerResponse): void {
+function sendError(error: unknown, response: ServerResponse): void {
   if (response.headersSent || response.destroyed) {
     response.destroy();
   } else if (error instanceof BadRequestError) {
@@ -52,7 +52,7 @@
 
   private readonly sockets = new Set<Socket>();
 
-  private readonly silent = new WeakSet<Socket>();
+  private readonly silencedSockets = new WeakSet<Socket>();
 
   constructor(private readonly address: ListenAddress) {
     this.server.on('connection', (socket) => {
@@ -65,15 +65,15 @@
   /** Adds a route; patterns are polka's, e.g. `/instances/:id` and `/objects/*`. */
   route(method: Method, pattern: string, handler: RequestHandler): void {
     this.app.add(method, pattern, ((request: RoutedRequest, response: ServerResponse) => {
-      StandinServer.run(handler, request, response);
+      StandinServer.runHandler(handler, request, response);
     }) as unknown as polka.Middleware);
   }
 
-  /** Sets the handler of every request that no route takes. */
-  routeRest(handler: RequestHandler): void {
-    const rest = (request: RoutedRequest, response: ServerResponse) =>
-      StandinServer.run(handler, request, response);
-    (this.app as unknown as { onNoMatch: typeof rest }).onNoMatch = rest;
+  /** Sets the handler of the requests that match no route. */
+  setFallbackHandler(handler: RequestHandler): void {
+    const fallback = (request: RoutedRequest, response: ServerResponse) =>
+      StandinServer.runHandler(handler, request, response);
+    (this.app as unknown as { onNoMatch: typeof fallback }).onNoMatch = fallback;
   }
 
   async listen(): Promise<ListenAddress> {
@@ -85,30 +85,30 @@
     return { host, port: (this.server.address() as AddressInfo).port };
   }
 
-  /** Breaks every open connection; new ones are taken. */
+  /** Breaks every open connection; new ones are accepted. */
   breakConnections(): void {
     this.sockets.forEach((socket) => socket.destroy());
   }
 
   /**
-   * Makes the connections open now silent for good: nothing more is sent on them, and what comes
-   * on them is not looked at. New ones work, as when something between the two ends has lost track.
+   * Silences the connections that are open now permanently: nothing more is sent on them, and
+   * incoming data is ignored. New ones work, as when a middlebox has lost its connection state.
    */
   silenceConnections(): void {
     this.sockets.forEach((socket) => {
-      this.silent.add(socket);
-      // Otherwise an idle connection would be closed in order, and its client would notice.
+      this.silencedSockets.add(socket);
+      // Otherwise an idle connection would be closed properly, and its client would notice.
       socket.setTimeout(0);
-      // Corking it would not do: the end of an answer undoes that.
+      // Corking the socket is not enough, since the end of a response uncorks it.
       Object.assign(socket, { write: () => true, end: () => socket });
     });
   }
 
-  isSilent(socket: Socket): boolean {
-    return this.silent.has(socket);
+  isSilenced(socket: Socket): boolean {
+    return this.silencedSockets.has(socket);
   }
 
-  /** Stops at once: breaks every connection and frees the port. */
+  /** Stops immediately: breaks every connection and frees the port. */
   async dispose(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -118,12 +118,12 @@
   }
 
   private serve(request: IncomingMessage, response: ServerResponse): void {
-    if (!this.isSilent(request.socket)) {
+    if (!this.isSilenced(request.socket)) {
       this.app.handler(request as unknown as polka.Request, response);
     }
   }
 
-  private static async run(
+  private static async runHandler(
     handler: RequestHandler,
     request: RoutedRequest,
     response: ServerResponse,
@@ -131,7 +131,7 @@
     try {
       await handler(request, response);
     } catch (error) {
-      answerError(error, response);
+      sendError(error, response);
     }
   }
 }
--- a/packages/standins/src/lib/http/getNumberQuery.ts
+++ b/packages/standins/src/lib/http/getNumberQuery.ts
@@ -1,7 +1,7 @@
 import { BadRequestError } from './requestErrors.js';
 import type { RoutedRequest } from './StandinServer.js';
 
-/** A number from the URL's query. @throws BadRequestError when it is no number */
+/** Returns a number from the URL's query. @throws BadRequestError if it is not a number */
 export function getNumberQuery(request: RoutedRequest, name: string, fallback: number): number {
   const text = request.query[name];
   if (text === undefined) {
--- a/packages/standins/src/lib/http/readBody.ts
+++ b/packages/standins/src/lib/http/readBody.ts
@@ -1,29 +1,29 @@
 import type { IncomingMessage } from 'node:http';
 import { BadRequestError, PayloadTooLargeError } from './requestErrors.js';
 
-const DEFAULT_LIMIT_BYTES = 16 * 1_048_576;
+const DEFAULT_MAX_BYTES = 16 * 1_048_576;
 
-/** Reads a whole body as text. @throws PayloadTooLargeError beyond `limit` bytes */
+/** Reads a whole body as text. @throws PayloadTooLargeError if it exceeds `maxBytes` */
 export async function readBody(
   request: IncomingMessage,
-  limit = DEFAULT_LIMIT_BYTES,
+  maxBytes = DEFAULT_MAX_BYTES,
 ): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
 
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size <= limit) {
+    if (size <= maxBytes) {
       chunks.push(chunk);
     }
   }
-  if (size > limit) {
-    throw new PayloadTooLargeError(`the body has ${size} bytes, at most ${limit} are taken`);
+  if (size > maxBytes) {
+    throw new PayloadTooLargeError(`the body has ${size} bytes, at most ${maxBytes} are taken`);
   }
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Reads a body as a JSON object. @throws BadRequestError when it is none */
+/** Reads a body as a JSON object. @throws BadRequestError if it is not one */
 export async function readJson<Body extends object>(request: IncomingMessage): Promise<Body> {
   const text = await readBody(request);
   try {
@@ -32,7 +32,7 @@
       return body as Body;
     }
   } catch {
-    // Falls through to the same refusal.
+    // Falls through to the error below.
   }
   throw new BadRequestError('the body must be a JSON object');
 }
--- a/packages/standins/src/lib/http/sendJson.ts
+++ b/packages/standins/src/lib/http/sendJson.ts
@@ -1,6 +1,6 @@
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
 
-/** Sends a JSON answer and ends it. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -16,7 +16,7 @@
   response.end(text);
 }
 
-/** Sends an answer without a body. */
+/** Sends a response without a body. */
 export function sendEmpty(
   response: ServerResponse,
   status: number,
--- a/packages/standins/src/lib/network/ChangeSignal.ts
+++ b/packages/standins/src/lib/network/ChangeSignal.ts
@@ -1,29 +1,28 @@
 /**
- * Lets tests wait for something that changes now and then, without asking for it by the clock.
+ * Lets tests wait for a condition without polling: it is checked after every notified change.
  *
  * @example
  * ```ts
  * const signal = new ChangeSignal();
  * server.on('request', () => signal.notify());
- * await signal.until(() => server.count >= 3);
+ * await signal.waitUntil(() => server.count >= 3);
  * ```
  * @public
  */
 export class ChangeSignal {
-  private readonly waiting: (() => void)[] = [];
+  private readonly waiters: (() => void)[] = [];
 
-  /** Something has changed. */
+  /** Checks the conditions that are being waited for. */
   notify(): void {
-    this.waiting.splice(0).forEach((resolve) => resolve());
+    this.waiters.splice(0).forEach((resolve) => resolve());
   }
 
-  /** Resolves as soon as the condition holds, which may be now. */
-  async waitUntil(holds: () => boolean): Promise<void> {
-    while (!holds()) {
-      // Each look follows a change.
-      // eslint-disable-next-line no-await-in-loop
+  /** Resolves as soon as the condition holds, possibly immediately. */
+  async waitUntil(condition: () => boolean): Promise<void> {
+    while (!condition()) {
+      // eslint-disable-next-line no-await-in-loop -- each check follows a change
       await new Promise<void>((resolve) => {
-        this.waiting.push(resolve);
+        this.waiters.push(resolve);
       });
     }
   }
--- a/packages/standins/src/lib/network/RawCaller.ts
+++ b/packages/standins/src/lib/network/RawCaller.ts
@@ -3,14 +3,14 @@
 import { ChangeSignal } from './ChangeSignal.js';
 
 /**
- * A caller that sends bytes as it likes.
+ * A client that sends arbitrary bytes over a TCP connection, such as malformed HTTP.
  *
  * @public
  */
 export class RawCaller {
   received = '';
 
-  /** Resolves when the connection is over. */
+  /** Resolves when the connection is closed. */
   readonly closed: Promise<void>;
 
   readonly socket: Socket;
@@ -37,30 +37,30 @@
     return this;
   }
 
-  /** Sends one piece after the other, as fast as they are taken, until the connection is over. */
+  /** Sends a chunk repeatedly, as fast as the connection accepts it, until it is closed. */
   sendUntilClosed(piece: Buffer): this {
-    const next = (error?: Error | null) => {
+    const sendNext = (error?: Error | null) => {
       if (this.socket.writable && !error) {
-        this.socket.write(piece, next);
+        this.socket.write(piece, sendNext);
       }
     };
-    next();
+    sendNext();
     return this;
   }
 
-  /** Waits until that text has come, or the connection is over. */
+  /** Waits until the text has been received or the connection is closed. */
   async waitFor(text: string): Promise<string> {
     await this.changed.waitUntil(() => this.received.includes(text) || this.socket.destroyed);
     return this.received;
   }
 
-  /** The status of the first answer. */
+  /** Returns the status of the first response. */
   async getStatus(): Promise<number> {
     const text = await this.waitFor('\r\n\r\n');
     return Number(/^HTTP\/1\.1 (\d+)/.exec(text)?.[1]);
   }
 
-  /** The problem the first answer carries. */
+  /** Returns the problem document in the body of the first response. */
   async getProblem(): Promise<{ outcome?: string; type?: string }> {
     const text = await this.waitFor('}');
     const body = text.slice(text.indexOf('\r\n\r\n') + 4);
--- a/packages/standins/src/lib/network/TcpProxy.ts
+++ b/packages/standins/src/lib/network/TcpProxy.ts
@@ -3,53 +3,52 @@
 import { setTimeout as wait } from 'node:timers/promises';
 import { ChangeSignal } from './ChangeSignal.js';
 
-/** What the relay does to the connections that pass through it, old and new. */
+/** A fault that the proxy applies to all its connections, existing and new. */
 export enum LinkFault {
   None = 'none',
-  /** Nothing passes either way until the fault is over; then what was held goes on. */
+  /** Data is held in both directions until the fault ends, and is then delivered. */
   Held = 'held',
-  /** What the target sends is held, what is sent to it passes. */
+  /** Data from the target is held; data to the target passes. */
   AnswersHeld = 'answers-held',
-  /** Every piece takes longer. */
+  /** Every chunk is delayed. */
   Slow = 'slow',
 }
 
-/** How much longer each piece takes on a slow link, in milliseconds. */
-const SLOW_DELAY = 120;
+/** The delay of each chunk under {@link LinkFault.Slow}. */
+const SLOW_LINK_DELAY_MS = 120;
 
-interface Link {
-  near: Socket;
-  far: Socket;
-  isSilent: boolean;
+interface ProxiedConnection {
+  client: Socket;
+  target: Socket;
+  isSilenced: boolean;
 }
 
 /**
- * Stands between two ends of TCP connections. It can hold them, slow them down, reset them, and
- * lose track of those that are open: they stay open on both sides and nothing passes any more,
- * while new ones work.
+ * A TCP proxy for fault injection. It can hold, slow down, reset and silence connections. Silenced
+ * connections stay open on both sides without passing any data, while new ones work.
  *
  * @public
  */
 export class TcpProxy {
-  private readonly target: number;
+  private readonly targetPort: number;
 
   private readonly server: Server;
 
-  private readonly links = new Set<Link>();
+  private readonly connections = new Set<ProxiedConnection>();
 
   private fault = LinkFault.None;
 
-  private count = 0;
+  private connectionCount = 0;
 
-  private readonly opened = new ChangeSignal();
+  private readonly connectionOpened = new ChangeSignal();
 
-  /** @param target - the loopback port behind the relay */
-  constructor(target: number) {
-    this.target = target;
-    this.server = createServer((near) => this.join(near));
+  /** @param targetPort - the loopback port to which connections are forwarded */
+  constructor(targetPort: number) {
+    this.targetPort = targetPort;
+    this.server = createServer((client) => this.accept(client));
   }
 
-  /** @returns the port in front of the relay */
+  /** @returns the port on which the proxy listens */
   listen(): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -59,22 +58,22 @@
     });
   }
 
-  /** Puts a fault on all connections; `None` heals them, and what was held goes on. */
+  /** Applies a fault to all connections; `None` ends it, and held data is delivered. */
   setFault(fault: LinkFault): void {
     this.fault = fault;
-    this.links.forEach((link) => this.hold(link));
+    this.connections.forEach((connection) => this.applyFault(connection));
   }
 
-  /** Loses track of the connections that are open now. */
+  /** Silences the connections that are open now: they stay open, and no more data passes. */
   silenceConnections(): void {
-    this.links.forEach((link) => Object.assign(link, { isSilent: true }));
+    this.connections.forEach((connection) => Object.assign(connection, { isSilenced: true }));
   }
 
-  /** Ends the connections that are open now, as a crashed end would. */
+  /** Resets the connections that are open now, as when a peer crashes. */
   resetConnections(): void {
-    this.links.forEach(({ near, far }) => {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    this.connections.forEach(({ client, target }) => {
+      client.resetAndDestroy();
+      target.resetAndDestroy();
     });
   }
 
@@ -95,62 +94,62 @@
     });
   }
 
-  /** How many connections have been opened so far. */
-  getCount(): number {
-    return this.count;
+  /** Returns how many connections have been opened so far. */
+  getConnectionCount(): number {
+    return this.connectionCount;
   }
 
   /** Resolves once that many connections have been opened. */
   waitForCount(count: number): Promise<void> {
-    return this.opened.waitUntil(() => this.count >= count);
+    return this.connectionOpened.waitUntil(() => this.connectionCount >= count);
   }
 
   dispose(): void {
     this.server.close();
-    this.links.forEach(({ near, far }) => {
-      near.destroy();
-      far.destroy();
+    this.connections.forEach(({ client, target }) => {
+      client.destroy();
+      target.destroy();
     });
   }
 
-  private join(near: Socket): void {
-    const far = connect(this.target, '127.0.0.1');
-    const link = { near, far, isSilent: false };
-    this.links.add(link);
-    this.count += 1;
-    this.opened.notify();
-    this.pass(link, near, far);
-    this.pass(link, far, near);
-    this.hold(link);
+  private accept(client: Socket): void {
+    const target = connect(this.targetPort, '127.0.0.1');
+    const connection = { client, target, isSilenced: false };
+    this.connections.add(connection);
+    this.connectionCount += 1;
+    this.connectionOpened.notify();
+    this.forward(connection, client, target);
+    this.forward(connection, target, client);
+    this.applyFault(connection);
   }
 
-  private hold({ near, far }: Link): void {
+  private applyFault({ client, target }: ProxiedConnection): void {
     const isHeld = this.fault === LinkFault.Held;
     const areAnswersHeld = isHeld || this.fault === LinkFault.AnswersHeld;
-    const setHeld = (socket: Socket, held: boolean) => (held ? socket.pause() : socket.resume());
-    setHeld(near, isHeld);
-    setHeld(far, areAnswersHeld);
+    const setPaused = (socket: Socket, held: boolean) => (held ? socket.pause() : socket.resume());
+    setPaused(client, isHeld);
+    setPaused(target, areAnswersHeld);
   }
 
-  private pass(link: Link, from: Socket, to: Socket): void {
-    // One after the other, so that a piece that is delayed is not overtaken by the next, nor by the
-    // end of the connection.
+  private forward(connection: ProxiedConnection, from: Socket, to: Socket): void {
+    // Chunks are chained so that a delayed one is not overtaken by the next or by the end of the
+    // connection.
     let last: Promise<void> = Promise.resolve();
     const enqueue = (act: () => void) => {
       if (this.fault === LinkFault.Slow) {
-        last = last.then(() => wait(SLOW_DELAY));
+        last = last.then(() => wait(SLOW_LINK_DELAY_MS));
       }
       last = last.then(act);
     };
     from.on('data', (bytes) => {
-      if (!link.isSilent) {
+      if (!connection.isSilenced) {
         enqueue(() => to.write(bytes));
       }
     });
     from.on('error', () => undefined);
     from.on('close', (hasFailed) => {
-      if (!link.isSilent) {
-        this.links.delete(link);
+      if (!connection.isSilenced) {
+        this.connections.delete(connection);
         enqueue(() => (hasFailed ? to.destroy() : to.end()));
       }
     });
--- a/packages/standins/src/lib/network/reservePorts.ts
+++ b/packages/standins/src/lib/network/reservePorts.ts
@@ -2,8 +2,8 @@
 import type { Server } from 'node:net';
 
 /**
- * Below the ports that the system gives to outgoing connections: a daemon that is down for a while
- * finds its port free when it comes back.
+ * The range lies below the ports that the system assigns to outgoing connections, so that the port
+ * of a daemon stays free while the daemon is down.
  */
 const FIRST_PORT = 10_000;
 
@@ -11,13 +11,13 @@
 
 const HOST = '127.0.0.1';
 
-/** A port is reserved by listening to it here, which leaves it free at the address of the tests. */
+/** A port is reserved by listening at this address, which leaves it free at {@link HOST}. */
 const RESERVATION_HOST = '127.0.0.2';
 
-/** Processes start at different ports, which saves them collisions. */
-let next = FIRST_PORT + ((process.pid * 131) % (LAST_PORT - FIRST_PORT));
+/** Processes start at different ports to avoid collisions. */
+let nextCandidate = FIRST_PORT + ((process.pid * 131) % (LAST_PORT - FIRST_PORT));
 
-/** @returns undefined if the port is taken */
+/** @returns undefined if the port is in use */
 function listen(host: string, port: number): Promise<Server | undefined> {
   return new Promise((resolve, reject) => {
     const server = createServer();
@@ -39,34 +39,34 @@
   return true;
 }
 
-/** Keeps a port from other processes until this one ends. */
+/** Reserves a port for this process until it exits. */
 async function reserve(port: number): Promise<boolean> {
   const server = await listen(RESERVATION_HOST, port);
   server?.unref();
   return server !== undefined;
 }
 
-function takeNext(): number {
-  const port = next;
-  next = port === LAST_PORT ? FIRST_PORT : port + 1;
+function takeCandidate(): number {
+  const port = nextCandidate;
+  nextCandidate = port === LAST_PORT ? FIRST_PORT : port + 1;
   return port;
 }
 
-async function getQuietPort(): Promise<number> {
-  const port = takeNext();
-  return (await reserve(port)) && (await isFree(port)) ? port : getQuietPort();
+async function reservePort(): Promise<number> {
+  const port = takeCandidate();
+  return (await reserve(port)) && (await isFree(port)) ? port : reservePort();
 }
 
 /**
- * Ports that no other process is given until this one ends, and that stay free while nobody listens
- * to them. For daemons that must know a port before they listen, or return to it.
+ * Reserves free ports that no other process is given until this one exits. For daemons that must
+ * know their port before they listen, or that listen on the same port again after a restart.
  *
  * @example
  * ```ts
- * const [callers, status] = await getQuietPorts(2);
+ * const [callers, status] = await reservePorts(2);
  * ```
  * @public
  */
 export function reservePorts(count: number): Promise<number[]> {
-  return Promise.all(Array.from({ length: count }, getQuietPort));
+  return Promise.all(Array.from({ length: count }, reservePort));
 }
--- a/packages/standins/src/lib/platform/ObjectRoutes.ts
+++ b/packages/standins/src/lib/platform/ObjectRoutes.ts
@@ -16,7 +16,7 @@
 
 const OBJECTS_PREFIX = '/objects/';
 
-const DEFAULT_WATCH_WAIT: Milliseconds = 30_000;
+const DEFAULT_WATCH_WAIT_MS: Milliseconds = 30_000;
 
 function getKey(request: RoutedRequest): string {
   return decodeURIComponent(request.path.slice(OBJECTS_PREFIX.length));
@@ -26,7 +26,7 @@
   return String(request.query.prefix ?? '');
 }
 
-/** The version a write expects; 0 when the object must not exist. */
+/** Returns the version that a write expects; 0 if the object must not exist. */
 function getExpectedVersion(request: RoutedRequest): number {
   if (request.headers['if-none-match'] === '*') {
     return 0;
@@ -47,7 +47,7 @@
   response.end(object.value);
 }
 
-function sendOutcome(response: ServerResponse, status: number, outcome: PutResult): void {
+function sendWriteResult(response: ServerResponse, status: number, outcome: PutResult): void {
   if (outcome.kind === 'accepted') {
     sendEmpty(response, status, { etag: `"${outcome.version}"` });
   } else if (outcome.current === undefined) {
@@ -57,7 +57,7 @@
   }
 }
 
-/** The object store over HTTP, with the faults it is told to show. */
+/** Serves the object store over HTTP, with fault injection. */
 export class ObjectRoutes {
   readonly counters: CallCounters = { reads: 0, writes: 0, watches: 0, waitingWatches: 0 };
 
@@ -68,37 +68,37 @@
     private readonly clock: Clock,
   ) {}
 
-  add(): void {
+  register(): void {
     const { server } = this;
     server.route(
       'GET',
       '/objects',
-      this.whenUp((request, response) => this.list(request, response)),
+      this.refuseWhileDown((request, response) => this.list(request, response)),
     );
     server.route(
       'GET',
       '/objects/*',
-      this.whenUp((request, response) => this.get(request, response)),
+      this.refuseWhileDown((request, response) => this.get(request, response)),
     );
     server.route(
       'PUT',
       '/objects/*',
-      this.whenUp((request, response) => this.put(request, response)),
+      this.refuseWhileDown((request, response) => this.put(request, response)),
     );
     server.route(
       'DELETE',
       '/objects/*',
-      this.whenUp((request, response) => this.delete(request, response)),
+      this.refuseWhileDown((request, response) => this.delete(request, response)),
     );
     server.route(
       'GET',
       '/watch',
-      this.whenUp((request, response) => this.watch(request, response)),
+      this.refuseWhileDown((request, response) => this.watch(request, response)),
     );
   }
 
-  /** Serves while the platform is up; breaks the connection while it is down. */
-  whenUp(handler: RequestHandler): RequestHandler {
+  /** Wraps a handler so that connections break while the platform is down. */
+  refuseWhileDown(handler: RequestHandler): RequestHandler {
     return (request, response) => {
       if (this.faults.isDown()) {
         response.destroy();
@@ -144,42 +144,42 @@
     key: string,
     response: ServerResponse,
     status: number,
-    effect: () => PutResult,
+    applyWrite: () => PutResult,
   ): Promise<void> {
     this.counters.writes += 1;
-    const fate = this.faults.consumeWriteOutcome(key);
-    if (fate.kind === 'late') {
-      this.clock.setTimer(fate.delayMs, effect);
+    const writeFault = this.faults.consumeWriteOutcome(key);
+    if (writeFault.kind === 'late') {
+      this.clock.setTimer(writeFault.delayMs, applyWrite);
       response.destroy();
       return;
     }
-    const outcome = effect();
-    if (fate.kind === 'answer-lost') {
+    const result = applyWrite();
+    if (writeFault.kind === 'answer-lost') {
       response.destroy();
       return;
     }
     await this.delay();
-    sendOutcome(response, status, outcome);
+    sendWriteResult(response, status, result);
   }
 
   private watch(request: RoutedRequest, response: ServerResponse): void {
     const after = getNumberQuery(request, 'after', 0);
-    const wait = getNumberQuery(request, 'waitMs', DEFAULT_WATCH_WAIT);
+    const wait = getNumberQuery(request, 'waitMs', DEFAULT_WATCH_WAIT_MS);
     this.counters.watches += 1;
     this.counters.waitingWatches += 1;
     response.on('close', () => {
       this.counters.waitingWatches -= 1;
     });
-    const callOff = this.objects.watch(getPrefix(request), after, wait, async (changes) => {
+    const cancelWatch = this.objects.watch(getPrefix(request), after, wait, async (changes) => {
       if (!this.faults.hasSilentWatches()) {
         await this.delay();
         sendJson(response, 200, { changes });
       }
     });
-    response.on('close', callOff);
+    response.on('close', cancelWatch);
   }
 
-  /** Waits while the platform is told to be slow. */
+  /** Waits for the delay of an injected slowness. */
   private async delay(): Promise<void> {
     const delay = this.faults.getDelay();
     if (delay > 0) {
--- a/packages/standins/src/lib/platform/PlatformStandin.fuzz.test.ts
+++ b/packages/standins/src/lib/platform/PlatformStandin.fuzz.test.ts
@@ -6,7 +6,7 @@
 
 const RUNS = Number(process.env.FUZZ_RUNS ?? 40);
 
-/** The oracle: the objects there are, and which answers the next writes are to lose. */
+/** The expected state: the objects, and how many responses to writes will be lost. */
 interface StoreModel {
   objects: Map<string, StoredObject>;
   deletions: Map<string, number>;
@@ -15,7 +15,7 @@
   answersToLose: number;
 }
 
-/** A store under test, with the faults it can be told to show. */
+/** A store under test with fault injection. */
 interface FaultyStore {
   store: PlatformStore;
   applyFault: (fault: StoreFault) => Promise<void>;
@@ -27,7 +27,6 @@
 
 const KEYS = ['a', 'a/b', 'b ü?', 'config/x'];
 
-/** A fresh oracle. */
 function createStoreModel(): StoreModel {
   return {
     objects: new Map(),
@@ -49,7 +48,7 @@
     .sort((left, right) => left.version - right.version);
 }
 
-/** Fails unless the call ends in the answer, or in the error while the platform is down. */
+/** Expects the answer, or an error while the platform is down. */
 async function expectAnswer(model: StoreModel, call: Promise<unknown>, answer: unknown) {
   if (model.isDown) {
     await expect(call).rejects.toThrow(StoreUnavailableError);
@@ -62,11 +61,16 @@
   return { check: () => true, run, toString: () => name };
 }
 
-/** What a write of the value (a deletion when absent) ends in, with its effect on the oracle. */
-function applyWrite(model: StoreModel, key: string, value: string | undefined, expected: number) {
+/** Applies a write, or a deletion without a value, to the model and returns its expected result. */
+function applyWrite(
+  model: StoreModel,
+  key: string,
+  value: string | undefined,
+  expectedVersion: number,
+) {
   const current = model.objects.get(key);
   const isMissing = value === undefined && current === undefined;
-  if (isMissing || (current?.version ?? 0) !== expected) {
+  if (isMissing || (current?.version ?? 0) !== expectedVersion) {
     return { kind: 'conflict', current };
   }
   const version = model.lastVersion + 1;
@@ -123,7 +127,7 @@
   });
 }
 
-/** Random calls and faults; each call is checked against the oracle. */
+/** Creates random calls and faults; each call is checked against the model. */
 function createStoreCommands(): fc.Arbitrary<Iterable<StoreCommand>> {
   const key = fc.constantFrom(...KEYS);
   const value = fc.option(fc.string({ unit: 'grapheme' }), { nil: undefined, freq: 4 });
@@ -163,13 +167,13 @@
   await fc.asyncModelRun(() => ({ model: createStoreModel(), real }), commands);
 }
 
-describe('stores against one oracle, with outages and lost answers', () => {
-  it('HttpPlatformStore with the stand-in answers as the oracle does', async () => {
+describe('stores compared with a model, with outages and lost responses', () => {
+  it('HttpPlatformStore with the stand-in behaves like the model', async () => {
     const property = fc.asyncProperty(createStoreCommands(), runAgainstStandin);
     await fc.assert(property, { seed: 1, numRuns: RUNS });
   });
 
-  it('MemoryPlatformStore answers as the oracle does', async () => {
+  it('MemoryPlatformStore behaves like the model', async () => {
     const property = fc.asyncProperty(createStoreCommands(), runInMemory);
     await fc.assert(property, { seed: 1, numRuns: 5 * RUNS });
   });
--- a/packages/standins/src/lib/platform/PlatformStandin.ts
+++ b/packages/standins/src/lib/platform/PlatformStandin.ts
@@ -10,29 +10,29 @@
 import { ObjectRoutes } from './ObjectRoutes.js';
 
 /**
- * How the platform's stand-in behaves.
+ * Options of the platform stand-in.
  *
  * @public
  */
 export interface PlatformStandinOptions {
   host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   port: number;
-  /** How long the list of instances stays behind the truth, in milliseconds. */
+  /** How long the list of instances lags behind the actual state, in milliseconds. */
   listLag: Milliseconds;
 }
 
 /**
- * What the platform's stand-in runs on, beside its options.
+ * Constructor arguments of the platform stand-in.
  *
  * @public
  */
 export interface PlatformStandinSettings extends Partial<PlatformStandinOptions> {
-  /** The machine's clock when absent. */
+  /** The system clock by default. */
   clock?: Clock;
 }
 
-/** The defaults: a list that is two seconds behind. */
+/** The default options; the list of instances lags by two seconds. */
 export const defaultPlatformStandinOptions: PlatformStandinOptions = {
   host: '127.0.0.1',
   port: 0,
@@ -40,8 +40,8 @@
 };
 
 /**
- * The platform's place in tests: the object store and the lagging list of instances, with faults
- * and counters.
+ * Replaces the platform in tests: an object store and a lagging list of instances, with fault
+ * injection and call counters.
  *
  * @public
  */
@@ -58,24 +58,24 @@
 
   private readonly server: StandinServer;
 
-  constructor(setup: PlatformStandinSettings = {}) {
-    const { clock = new SystemClock(), ...options } = setup;
+  constructor(settings: PlatformStandinSettings = {}) {
+    const { clock = new SystemClock(), ...options } = settings;
     this.options = { ...defaultPlatformStandinOptions, ...options };
     this.objects = new ObjectStore(clock);
     this.directory = new InstanceDirectory(clock, this.options.listLag);
     this.server = new StandinServer(this.options);
     this.routes = new ObjectRoutes(this.server, this.objects, this.faults, clock);
-    this.routes.add();
+    this.routes.register();
     this.addInstanceRoutes();
-    this.addHarnessRoutes();
+    this.addTestRoutes();
   }
 
-  /** @returns the address, with the port that port 0 became */
+  /** @returns the address, with the selected port if the port option is 0 */
   listen(): Promise<ListenAddress> {
     return this.server.listen();
   }
 
-  /** Shows a fault, or ends one. */
+  /** Starts or ends a fault. */
   applyFault(fault: StoreFault): void {
     this.faults.apply(fault);
     if (fault.kind === 'list-lag') {
@@ -87,12 +87,12 @@
     }
   }
 
-  /** Calls counted since the start. */
+  /** Returns the numbers of calls since the start. */
   getCounters(): ObjectRoutes['counters'] {
     return { ...this.routes.counters };
   }
 
-  /** Stops at once: every connection breaks. */
+  /** Stops immediately; every connection breaks. */
   async dispose(): Promise<void> {
     await this.server.dispose();
   }
@@ -101,7 +101,7 @@
     this.server.route(
       'GET',
       '/instances',
-      this.routes.whenUp((_request, response) => {
+      this.routes.refuseWhileDown((_request, response) => {
         this.routes.counters.reads += 1;
         sendJson(response, 200, { instances: this.directory.getInstances() });
       }),
@@ -117,10 +117,10 @@
     });
   }
 
-  private addHarnessRoutes(): void {
+  private addTestRoutes(): void {
     const serveFault: RequestHandler = async (request, response) => {
       const fault = await readJson<StoreFault>(request);
-      // Answered first, since taking the platform down breaks this connection too.
+      // The response is sent first, since taking the platform down breaks this connection too.
       await new Promise<void>((resolve) => {
         response.on('finish', resolve);
         sendJson(response, 200, {}, { connection: 'close' });
@@ -135,7 +135,7 @@
 }
 
 /**
- * Creates the platform's stand-in in this process.
+ * Creates a platform stand-in in this process.
  *
  * @example
  * ```ts
@@ -144,6 +144,6 @@
  * ```
  * @public
  */
-export function createPlatformStandin(setup: PlatformStandinSettings = {}): PlatformStandin {
-  return new PlatformStandin(setup);
+export function createPlatformStandin(settings: PlatformStandinSettings = {}): PlatformStandin {
+  return new PlatformStandin(settings);
 }
--- a/packages/standins/src/lib/process/PausableClock.ts
+++ b/packages/standins/src/lib/process/PausableClock.ts
@@ -1,8 +1,8 @@
 import type { Clock, ManualClock, Milliseconds, Timer } from '@apricotrill/utils';
 
-/** The clock of a process that can be frozen: its timers and answers wait until it wakes. */
+/** The clock of a process that can be paused: its timers and responses wait until it resumes. */
 export class PausableClock implements Clock {
-  private waiting: (() => void)[] | undefined;
+  private pendingTasks: (() => void)[] | undefined;
 
   constructor(private readonly base: ManualClock) {}
 
@@ -21,22 +21,22 @@
     };
   }
 
-  /** Runs a task of the process, once it is awake. */
+  /** Runs a task of the process, at once or when the process resumes. */
   run(task: () => void): void {
-    if (this.waiting === undefined) {
+    if (this.pendingTasks === undefined) {
       task();
     } else {
-      this.waiting.push(task);
+      this.pendingTasks.push(task);
     }
   }
 
   pause(): void {
-    this.waiting ??= [];
+    this.pendingTasks ??= [];
   }
 
   resume(): void {
-    const tasks = this.waiting ?? [];
-    this.waiting = undefined;
+    const tasks = this.pendingTasks ?? [];
+    this.pendingTasks = undefined;
     tasks.forEach((task) => task());
   }
 }
--- a/packages/standins/src/lib/process/SimulatedLink.ts
+++ b/packages/standins/src/lib/process/SimulatedLink.ts
@@ -1,18 +1,21 @@
 import type { ManualClock, Milliseconds, Random } from '@apricotrill/utils';
 import type { PausableClock } from './PausableClock.js';
 
-/** Delays of calls: mostly short, at times past every timeout, rarely past a lease's span. */
+/**
+ * Creates a generator of call delays: mostly short, sometimes beyond every timeout, and rarely
+ * beyond the duration of a lease.
+ */
 export function createDelayGenerator(random: Random): () => Milliseconds {
   return () => {
-    const kind = random.integer(100);
-    if (kind < 94) {
+    const percentile = random.integer(100);
+    if (percentile < 94) {
       return 1 + random.integer(20);
     }
-    return kind < 98 ? 1_000 + random.integer(8_000) : 15_000 + random.integer(45_000);
+    return percentile < 98 ? 1_000 + random.integer(8_000) : 15_000 + random.integer(45_000);
   };
 }
 
-/** The way from one process to a peer: each call takes time there, has its effect, and time back. */
+/** A simulated network link from a process to a peer that delays each call and its response. */
 export class SimulatedLink {
   constructor(
     private readonly base: ManualClock,
@@ -20,11 +23,11 @@
     private readonly getDelay: () => Milliseconds,
   ) {}
 
-  async call<Value>(timeout: Milliseconds, effect: () => Value): Promise<Value> {
+  async call<Value>(timeout: Milliseconds, handleCall: () => Value): Promise<Value> {
     return new Promise((resolve, reject) => {
-      const giveUp = () => reject(new Error('timeout'));
-      const timer = this.clock.setTimer(timeout, giveUp);
-      const answer = (deliver: () => void) => {
+      const expire = () => reject(new Error('timeout'));
+      const timer = this.clock.setTimer(timeout, expire);
+      const sendAnswer = (deliver: () => void) => {
         this.base.setTimer(this.getDelay(), () =>
           this.clock.run(() => {
             timer.cancel();
@@ -34,30 +37,30 @@
       };
       this.base.setTimer(this.getDelay(), () => {
         try {
-          const value = effect();
-          answer(() => resolve(value));
+          const value = handleCall();
+          sendAnswer(() => resolve(value));
         } catch (error) {
-          answer(() => reject(error));
+          sendAnswer(() => reject(error));
         }
       });
     });
   }
 }
 
-/** Lets everything run that doesn't wait for the clock. */
+/** Runs all pending tasks that do not wait for the clock. */
 export async function flushTasks(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-/** Moves time on, timer by timer, and calls `check` after each. */
+/** Advances the clock timer by timer and calls `check` after each. */
 export async function advanceClock(
   clock: ManualClock,
-  span: Milliseconds,
+  duration: Milliseconds,
   check: () => void = () => {},
 ): Promise<void> {
-  const end = clock.now() + span;
+  const end = clock.now() + duration;
   await flushTasks();
   while (clock.runNext(end)) {
     // eslint-disable-next-line no-await-in-loop
--- a/packages/standins/src/lib/service/ServiceQueue.ts
+++ b/packages/standins/src/lib/service/ServiceQueue.ts
@@ -8,14 +8,14 @@
   waiting: number;
 }
 
-interface Work {
+interface QueuedCall {
   onStart: () => void;
   onEnd: () => void;
 }
 
-/** Runs calls of equal length, a limited number at once, the rest in order of arrival. */
+/** Runs calls of equal duration with limited concurrency; the others wait in order of arrival. */
 export class ServiceQueue {
-  private readonly waiting: Work[] = [];
+  private readonly waiting: QueuedCall[] = [];
 
   private readonly timers = new Set<Timer>();
 
@@ -24,8 +24,8 @@
   private slowFactor = 1;
 
   /**
-   * @param options - how many calls run at once, how long each takes, how far the reported load
-   *   stays behind
+   * @param options - how many calls run at once, how long each takes, and by how much the reported
+   *   load lags
    */
   constructor(
     private readonly clock: Clock,
@@ -34,9 +34,9 @@
     this.load = new LaggedValue(clock, options.loadLag, { running: 0, waiting: 0 });
   }
 
-  /** Takes a call; `onStart` runs when it gets a slot, `onEnd` when it is through. */
-  submit(work: Work): void {
-    this.waiting.push(work);
+  /** Enqueues a call; `onStart` runs when it gets a slot, `onEnd` when it has finished. */
+  submit(call: QueuedCall): void {
+    this.waiting.push(call);
     this.fillSlots();
   }
 
@@ -65,13 +65,13 @@
     this.load.set(this.getLoad());
   }
 
-  private start(work: Work): void {
+  private start(call: QueuedCall): void {
     const timer = this.clock.setTimer(this.options.delay * this.slowFactor, () => {
       this.timers.delete(timer);
-      work.onEnd();
+      call.onEnd();
       this.fillSlots();
     });
     this.timers.add(timer);
-    work.onStart();
+    call.onStart();
   }
 }
--- a/packages/standins/src/lib/service/ServiceStandin.test.ts
+++ b/packages/standins/src/lib/service/ServiceStandin.test.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 import { ManualClock } from '@apricotrill/utils';
-import { until } from '../../test/waitUntil.js';
+import { waitUntil } from '../../test/waitUntil.js';
 import { createServiceStandin } from './ServiceStandin.js';
 import type { ServiceStandinSettings } from './ServiceStandin.js';
 
@@ -10,8 +10,13 @@
   await Promise.all(disposals.splice(0).map((dispose) => dispose()));
 });
 
-async function setUp(setup: ServiceStandinSettings = {}) {
-  const service = createServiceStandin({ service: 'bodega-app', delay: 1, loadLag: 0, ...setup });
+async function setUp(settings: ServiceStandinSettings = {}) {
+  const service = createServiceStandin({
+    service: 'bodega-app',
+    delay: 1,
+    loadLag: 0,
+    ...settings,
+  });
   disposals.push(() => service.dispose());
   const { host, port } = await service.listen();
   const headers = { 'idempotency-key': 'key-1', 'x-request-id': 'r-1/1' };
@@ -26,7 +31,7 @@
 }
 
 describe('ServiceStandin', () => {
-  it('echoes the call and keeps its run', async () => {
+  it('echoes a call and records it', async () => {
     const { service, pay } = await setUp();
     const answer = await pay();
     const echo = createHash('sha256').update('{}').digest('hex');
@@ -36,7 +41,7 @@
     expect(service.getRuns()).toEqual([{ ...call, idempotencyKey: 'key-1', completed: true }]);
   });
 
-  it('runs a call whose answer is lost or strays, and none it refuses', async () => {
+  it('runs a call whose response is lost or mixed up, but not one that it refuses', async () => {
     const { service, pay } = await setUp();
     service.faults.apply({ kind: 'drop-after', tokens: 0, count: 1 });
     await expect(pay()).rejects.toThrow('fetch failed');
@@ -50,12 +55,12 @@
     expect(service.getRuns()).toHaveLength(2);
   });
 
-  it('runs a limited number at once and refuses what may not even wait', async () => {
+  it('limits the running and waiting calls and refuses the others', async () => {
     const clock = new ManualClock();
     const { service, pay } = await setUp({ slots: 1, maxWaiting: 1, clock });
     const statuses: number[] = [];
     const calls = Array.from({ length: 4 }, async () => statuses.push((await pay()).status));
-    await until(() => statuses.length === 2);
+    await waitUntil(() => statuses.length === 2);
     expect(statuses).toEqual([429, 429]);
     expect(service.getRuns()).toHaveLength(1);
     clock.advance(1);
--- a/packages/standins/src/lib/service/ServiceStandin.ts
+++ b/packages/standins/src/lib/service/ServiceStandin.ts
@@ -14,39 +14,39 @@
 import { ServiceQueue } from './ServiceQueue.js';
 
 /**
- * How a plain service's stand-in behaves.
+ * Options of the stand-in for a plain service.
  *
  * @public
  */
 export interface ServiceStandinOptions {
-  /** The service's name, echoed in its answers. */
+  /** The service's name, echoed in its responses. */
   service: string;
   host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   port: number;
-  /** Calls run at once. */
+  /** The number of calls that run at once. */
   slots: number;
-  /** Calls that may wait for a slot; more are refused. */
+  /** The number of calls that may wait for a slot; further calls are refused. */
   maxWaiting: number;
   /** How long a call takes, in milliseconds. */
   delay: Milliseconds;
-  /** How long the reported load stays behind the truth, in milliseconds. */
+  /** How long the reported load lags behind the actual load, in milliseconds. */
   loadLag: Milliseconds;
 }
 
 /**
- * What a plain service's stand-in runs on, beside its options.
+ * Constructor arguments of the stand-in for a plain service.
  *
  * @public
  */
 export interface ServiceStandinSettings extends Partial<ServiceStandinOptions> {
-  /** The machine's clock when absent. */
+  /** The system clock by default. */
   clock?: Clock;
-  /** What a crash does; breaks every connection and frees the port when absent. */
+  /** Called on a crash fault; breaks every connection and frees the port by default. */
   onCrash?: () => void;
 }
 
-/** The defaults: 16 calls at once, each of 5 ms. */
+/** The default options: 16 concurrent calls of 5 ms each. */
 export const defaultServiceStandinOptions: ServiceStandinOptions = {
   service: 'service',
   host: '127.0.0.1',
@@ -57,8 +57,8 @@
   loadLag: 200,
 };
 
-/** The request id on an answer that belongs to another request. */
-const STRAY_ID = 'stray/0';
+/** The request id of a response that belongs to another request. */
+const STRAY_REQUEST_ID = 'stray/0';
 
 /**
  * A call that took effect at the service.
@@ -71,7 +71,7 @@
   idempotencyKey: string | undefined;
   method: string;
   path: string;
-  /** Whether the whole answer was handed to the connection. */
+  /** Whether the whole response was written to the connection. */
   completed: boolean;
 }
 
@@ -81,9 +81,9 @@
 }
 
 /**
- * A plain service's place in tests. A call takes effect when it starts, whatever becomes of its
- * connection, and the service itself forgets no call and recognises none: running a call twice is
- * left for the system to prevent.
+ * Replaces a plain service in tests. A call takes effect when it starts, whatever happens to its
+ * connection. The service records every call and does not detect duplicates: preventing a call from
+ * running twice is up to the system under test.
  *
  * @public
  */
@@ -100,8 +100,8 @@
 
   private lastRun = 0;
 
-  constructor(setup: ServiceStandinSettings = {}) {
-    const { clock = new SystemClock(), onCrash, ...options } = setup;
+  constructor(settings: ServiceStandinSettings = {}) {
+    const { clock = new SystemClock(), onCrash, ...options } = settings;
     this.options = { ...defaultServiceStandinOptions, ...options };
     this.server = new StandinServer(this.options);
     this.queue = new ServiceQueue(clock, this.options);
@@ -115,17 +115,17 @@
     this.addRoutes();
   }
 
-  /** @returns the address, with the port that port 0 became */
+  /** @returns the address, with the selected port if the port option is 0 */
   listen(): Promise<ListenAddress> {
     return this.server.listen();
   }
 
-  /** Every call that took effect, for the oracle of tests. */
+  /** Returns every call that took effect. */
   getRuns(): ServiceRun[] {
     return this.runs.getRuns();
   }
 
-  /** Stops at once, as a crash does: every connection breaks. */
+  /** Stops immediately, as in a crash; every connection breaks. */
   async dispose(): Promise<void> {
     this.faults.apply({ kind: 'unstall' });
     this.queue.dispose();
@@ -142,10 +142,10 @@
       sendJson(response, 200, { runs: this.getRuns() });
     });
     this.server.route('GET', '/load', async (_request, response) => {
-      await this.faults.whenNotStalled();
+      await this.faults.waitWhileStalled();
       sendJson(response, 200, { ...this.getReportedLoad(), leaving: this.faults.isLeaving() });
     });
-    this.server.routeRest((request, response) => this.serveCall(request, response));
+    this.server.setFallbackHandler((request, response) => this.serveCall(request, response));
   }
 
   private getReportedLoad(): ReportedLoad {
@@ -155,8 +155,8 @@
 
   private async serveCall(request: RoutedRequest, response: ServerResponse): Promise<void> {
     const body = await readBody(request);
-    await this.faults.whenNotStalled();
-    // Runs even if the caller has left meanwhile: a call that arrived may take effect late.
+    await this.faults.waitWhileStalled();
+    // Runs even if the caller has disconnected: a call that has arrived may take effect late.
     const refusal = this.getRefusal();
     if (refusal !== undefined) {
       sendRefusal(response, refusal, this.getReportedLoad());
@@ -166,25 +166,25 @@
   }
 
   private runCall(request: RoutedRequest, response: ServerResponse, body: string): void {
-    const isDropped = this.faults.takeDrop() !== undefined;
-    const isStray = this.faults.takeStray();
+    const isDropped = this.faults.consumeDrop() !== undefined;
+    const isStray = this.faults.consumeStrayAnswer();
     let run: ServiceRun | undefined;
     this.queue.submit({
       onStart: () => {
-        run = this.noteRun(request);
+        run = this.recordRun(request);
       },
       onEnd: async () => {
-        await this.faults.whenNotStalled();
+        await this.faults.waitWhileStalled();
         if (isDropped) {
           response.destroy();
         } else if (!response.destroyed) {
-          this.answer(run!, isStray ? STRAY_ID : run!.requestId, response, body);
+          this.sendAnswer(run!, isStray ? STRAY_REQUEST_ID : run!.requestId, response, body);
         }
       },
     });
   }
 
-  private noteRun(request: RoutedRequest): ServiceRun {
+  private recordRun(request: RoutedRequest): ServiceRun {
     this.lastRun += 1;
     return this.runs.add({
       run: this.lastRun,
@@ -196,7 +196,7 @@
     });
   }
 
-  private answer(
+  private sendAnswer(
     run: ServiceRun,
     requestId: string | undefined,
     response: ServerResponse,
@@ -214,7 +214,7 @@
     if (this.faults.isLeaving()) {
       return RefusalReason.Leaving;
     }
-    if (this.faults.takeRefusal()) {
+    if (this.faults.consumeRefusal()) {
       return RefusalReason.Refusing;
     }
     const { running, waiting } = this.queue.getLoad();
@@ -224,7 +224,7 @@
 }
 
 /**
- * Creates a plain service's stand-in in this process.
+ * Creates a stand-in for a plain service in this process.
  *
  * @example
  * ```ts
@@ -233,6 +233,6 @@
  * ```
  * @public
  */
-export function createServiceStandin(setup: ServiceStandinSettings = {}): ServiceStandin {
-  return new ServiceStandin(setup);
+export function createServiceStandin(settings: ServiceStandinSettings = {}): ServiceStandin {
+  return new ServiceStandin(settings);
 }
--- a/packages/standins/src/test/binaries.test.ts
+++ b/packages/standins/src/test/binaries.test.ts
@@ -24,14 +24,14 @@
     ['platform', '/counters'],
     ['engine', '/runs'],
     ['service', '/runs'],
-  ])('%s listens, serves and ends on SIGTERM', async (name, path) => {
+  ])('%s listens, serves requests and exits on SIGTERM', async (name, path) => {
     const { child, url, exited } = await start(name);
     expect((await fetch(`${url}${path}`)).status).toBe(200);
     child.kill('SIGTERM');
     expect(await exited).toEqual([0, null]);
   });
 
-  it.each(['engine', 'service'])('%s exits at once when told to crash', async (name) => {
+  it.each(['engine', 'service'])('%s exits immediately on a crash fault', async (name) => {
     const { url, exited } = await start(name);
     const body = JSON.stringify({ kind: 'crash' });
     await fetch(`${url}/faults`, { method: 'POST', body }).catch(() => undefined);
