--- a/packages/demo/src/lib/makeCall.ts
+++ b/packages/demo/src/lib/makeCall.ts
@@ -1,7 +1,7 @@
 import { createParser } from 'eventsource-parser';
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
-import type { CallShape } from './Calls.js';
+import type { CallShape } from './getClassCalls.js';
 
 /**
  * What one call came to, as its caller saw it.
