--- a/packages/demo/src/bin/apricotrill-demo.ts
+++ b/packages/demo/src/bin/apricotrill-demo.ts
@@ -10,6 +10,6 @@
 cli.register(DemoCommand);
 cli.register(Builtins.HelpCommand);
 const exitCode = await cli.run(process.argv.slice(2), Cli.defaultContext);
-// Links between daemons that both ends close in the same moment stay half closed for minutes, each
-// end waiting for the other. Everything is shown and stopped by now: nothing is left to wait for.
+// Connections between daemons that both ends close at once stay half closed for minutes, since each
+// end waits for the other. All output is written and everything is disposed, so exit now.
 process.exit(exitCode);
--- a/packages/demo/src/lib/Backends.ts
+++ b/packages/demo/src/lib/Backends.ts
@@ -8,25 +8,25 @@
   dispose(): Promise<void>;
 }
 
-/** The API key of a workspace in the demo. */
+/** Returns the API key of a workspace in the demo. */
 export function getDemoKey(workspace: string): string {
   return `demo-key-of-${workspace}`;
 }
 
-function getKeyed(workspace: Workspace): Workspace {
+function addDemoKey(workspace: Workspace): Workspace {
   const hash = createHash('sha256').update(getDemoKey(workspace.name)).digest('hex');
   return { ...workspace, apiKeyHashes: [hash] };
 }
 
 /**
- * Embedded stand-ins for every replica of a configuration.
+ * Embedded stand-ins for all replicas of a configuration.
  *
  * @internal
  */
 export class Backends {
   private readonly standins: Standin[] = [];
 
-  /** Starts them and gives the configuration with their real addresses and keys of the demo. */
+  /** Starts the stand-ins and returns the configuration with their addresses and the demo keys. */
   async start(configuration: Configuration): Promise<Configuration> {
     const { register, rules } = configuration;
     const modelServices = new Set(
@@ -37,7 +37,7 @@
         this.startReplica(replica, modelServices.has(replica.service)),
       ),
     );
-    const workspaces = register.workspaces.map(getKeyed);
+    const workspaces = register.workspaces.map(addDemoKey);
     return { register: { ...register, replicas, workspaces }, rules };
   }
 
--- a/packages/demo/src/lib/ClassSummary.ts
+++ b/packages/demo/src/lib/ClassSummary.ts
@@ -2,7 +2,7 @@
 import type { CallResult } from './makeCall.js';
 
 /**
- * Counts what the callers of one class saw.
+ * Aggregates the results of the calls of one class.
  *
  * @internal
  */
@@ -11,9 +11,9 @@
 
   private calls = 0;
 
-  private whole = 0;
+  private completeCalls = 0;
 
-  private onTarget = 0;
+  private callsOnTarget = 0;
 
   private tokens = 0;
 
@@ -28,22 +28,23 @@
 
   add(result: CallResult): void {
     this.calls += 1;
-    if (!result.whole) {
+    if (!result.isComplete) {
       return;
     }
-    this.whole += 1;
+    this.completeCalls += 1;
     this.tokens += result.tokens;
-    this.onTarget += result.firstToken <= this.target ? 1 : 0;
+    this.callsOnTarget += result.firstToken <= this.target ? 1 : 0;
     this.histogram.recordValue(Math.max(1, Math.round(result.firstToken)));
   }
 
-  /** The row of the table. */
+  /** Returns the table row of this class. */
   getRow(): string[] {
-    const share = this.calls === 0 ? '-' : `${((100 * this.onTarget) / this.calls).toFixed(1)} %`;
+    const share =
+      this.calls === 0 ? '-' : `${((100 * this.callsOnTarget) / this.calls).toFixed(1)} %`;
     return [
       this.className,
       String(this.calls),
-      String(this.whole),
+      String(this.completeCalls),
       share,
       `${this.target} ms`,
       `${this.histogram.getValueAtPercentile(50)} ms`,
@@ -53,10 +54,10 @@
   }
 }
 
-const HEADINGS = ['class', 'calls', 'whole', 'on target', 'target', 'p50', 'p95', 'tokens'];
+const HEADINGS = ['class', 'calls', 'complete', 'on target', 'target', 'p50', 'p95', 'tokens'];
 
 /**
- * Lays rows out in columns.
+ * Formats rows as a table with headings.
  *
  * @example
  * ```ts
@@ -64,7 +65,7 @@
  * ```
  * @internal
  */
-export function getTable(rows: string[][]): string {
+export function formatTable(rows: string[][]): string {
   const all = [HEADINGS, ...rows];
   const widths = HEADINGS.map((_, column) => Math.max(...all.map((row) => row[column]!.length)));
   const lines = all.map((row) =>
--- a/packages/demo/src/lib/Daemons.ts
+++ b/packages/demo/src/lib/Daemons.ts
@@ -6,7 +6,7 @@
 const HOST = '127.0.0.1';
 
 /**
- * Where a daemon of the demo is reached.
+ * The ports of a daemon of the demo.
  *
  * @internal
  */
@@ -16,13 +16,13 @@
   adminPort: number;
 }
 
-/** Another daemon at which a new one joins. */
+/** The mesh address of a running daemon through which a new one joins. */
 interface Seed {
   host: string;
   port: number;
 }
 
-interface JoinedDaemon extends DemoDaemon {
+interface StartedDaemon extends DemoDaemon {
   meshPort: number;
 }
 
@@ -35,17 +35,17 @@
 }
 
 /**
- * Router daemons in this process; they meet one another over the mesh like separate ones.
+ * Router daemons in this process, connected over the mesh like daemons in separate processes.
  *
  * @internal
  */
 export class Daemons {
   private readonly daemons: RouterDaemon[] = [];
 
-  /** Starts one daemon in each of the availability zones. */
+  /** Starts one daemon in each availability zone. */
   async start(platformUrl: string, region: string, zones: string[]): Promise<DemoDaemon[]> {
     const startNext = (index: number, seeds: Seed[]) =>
-      this.startOne({
+      this.startDaemon({
         id: `daemon-${index + 1}`,
         region,
         availabilityZone: zones[index],
@@ -66,7 +66,9 @@
     await Promise.all(this.daemons.map((daemon) => daemon.dispose()));
   }
 
-  private async startOne(values: { id: string } & Record<string, unknown>): Promise<JoinedDaemon> {
+  private async startDaemon(
+    values: { id: string } & Record<string, unknown>,
+  ): Promise<StartedDaemon> {
     const daemon = createRouterDaemon(createSettings(values));
     this.daemons.push(daemon);
     const ports = await daemon.start();
--- a/packages/demo/src/lib/DemoCommand.test.ts
+++ b/packages/demo/src/lib/DemoCommand.test.ts
@@ -5,10 +5,10 @@
 const BINARY = fileURLToPath(new URL('../../dist/bin/apricotrill-demo.js', import.meta.url));
 
 describe('apricotrill-demo', () => {
-  // Symptom: the summary is printed and the command does not end. Sequence: the daemons are stopped
-  // together; links between them are closed by both ends in the same moment. Cause: each end keeps
-  // its half open until the other is closed, and the process waited for that.
-  it('ends by itself once the summary is printed', async () => {
+  // Guards against a command that does not exit after the summary. Daemons that are stopped
+  // together close the connections between them from both ends at once. Each end then waits for the
+  // other, and the process used to wait for both.
+  it('exits once the summary is printed', async () => {
     const child = spawn(process.execPath, [BINARY, '--seconds', '1'], {
       stdio: ['ignore', 'pipe', 'inherit'],
     });
@@ -17,7 +17,7 @@
       shown += bytes.toString();
     });
     const [code] = (await once(child, 'exit')) as [number | null];
-    expect(shown).toContain('answers were not whole');
+    expect(shown).toContain('answers were incomplete');
     expect(code).toBe(0);
   });
 });
--- a/packages/demo/src/lib/DemoCommand.ts
+++ b/packages/demo/src/lib/DemoCommand.ts
@@ -9,7 +9,7 @@
 import { Backends, getDemoKey } from './Backends.js';
 import { getClassCalls } from './getClassCalls.js';
 import type { ClassCall } from './getClassCalls.js';
-import { ClassSummary, getTable } from './ClassSummary.js';
+import { ClassSummary, formatTable } from './ClassSummary.js';
 import { Daemons } from './Daemons.js';
 import type { DemoDaemon } from './Daemons.js';
 import { makeCall } from './makeCall.js';
@@ -17,14 +17,14 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Calls a second over all classes. */
-const CALL_RATE = 25;
+/** The call rate over all classes. */
+const CALLS_PER_SECOND = 25;
 
-/** How often the demo looks whether the configuration is in force. */
-const READY_INTERVAL = 50;
+/** The interval at which the readiness of a daemon is checked. */
+const READY_POLL_INTERVAL_MS = 50;
 
-/** Sends one call of a random workspace to a random daemon. */
-function sendOne(
+/** Sends a call from a random workspace to a random daemon. */
+function sendRandomCall(
   configuration: Configuration,
   call: ClassCall,
   daemons: DemoDaemon[],
@@ -41,7 +41,7 @@
 }
 
 /**
- * Shows the main job on embedded stand-ins.
+ * Shows the routing of calls by class, with embedded stand-ins.
  *
  * @internal
  */
@@ -49,27 +49,34 @@
   static override paths = [Command.Default];
 
   static override usage = Command.Usage({
-    description: 'runs router daemons before embedded stand-ins and shows the answers by class',
+    description: 'run router daemons with embedded stand-ins and show the results by class',
     details: `
       Starts a platform, the backend servers of an example deployment and three daemons in this
-      process, on loopback ports; sends a mix of all classes; prints one answer as it is streamed,
-      then a summary by class. Exits with 1 when an answer was not whole.
+      process, on loopback ports. Prints one streamed answer, sends calls of all classes, and prints
+      a summary by class. Exits with 1 if an answer was incomplete.
     `,
     examples: [
-      ['Ten seconds of the print shops', 'apricotrill-demo'],
-      ['The self-storage businesses', 'apricotrill-demo --example nube-tica --seconds 5'],
+      ['The print shops, for ten seconds', 'apricotrill-demo'],
+      [
+        'The self-storage businesses, for five seconds',
+        'apricotrill-demo --example nube-tica --seconds 5',
+      ],
     ],
   });
 
   example = Option.String('--example', Example.Liitto, { description: 'liitto or nube-tica' });
 
-  seconds = Option.String('--seconds', '10', { description: 'how long calls are sent' });
+  seconds = Option.String('--seconds', '10', {
+    description: 'how long calls are sent, in seconds',
+  });
 
   private readonly clock = new SystemClock();
 
   override async execute(): Promise<number> {
     if (!isExample(this.example) || !(Number(this.seconds) > 0)) {
-      this.context.stderr.write('--example is liitto or nube-tica, --seconds a number above 0\n');
+      this.context.stderr.write(
+        '--example must be liitto or nube-tica, --seconds a number above 0\n',
+      );
       return 2;
     }
     const platform = createPlatformStandin();
@@ -79,8 +86,8 @@
       const { host, port } = await platform.listen();
       const configuration = await backends.start(await readExample(this.example));
       const url = `http://${host}:${port}`;
-      const reached = await this.startDaemons(daemons, configuration, url);
-      return await this.show(configuration, reached);
+      const startedDaemons = await this.startDaemons(daemons, configuration, url);
+      return await this.runCalls(configuration, startedDaemons);
     } finally {
       await daemons.dispose();
       await backends.dispose();
@@ -96,7 +103,7 @@
     const { register } = configuration;
     const zones = [...new Set(register.replicas.map((replica) => replica.availabilityZone))];
     const region = register.services[0]?.region ?? 'demo';
-    const reached = await daemons.start(url, region, zones.slice(0, 3));
+    const startedDaemons = await daemons.start(url, region, zones.slice(0, 3));
     const store = new HttpPlatformStore({ url });
     const outcome = await new ConfigurationStore({ store, clock: this.clock }).apply({
       configuration,
@@ -106,10 +113,12 @@
     });
     await store.dispose();
     this.context.stdout.write(`configuration ${outcome.kind}; waiting until it is in force\n`);
-    await Promise.all(reached.map((daemon) => this.waitUntilReady(daemon)));
-    const ports = reached.map(({ port }) => port).join(', ');
-    this.context.stdout.write(`in force at ${reached.length} daemons, callers' ports ${ports}\n\n`);
-    return reached;
+    await Promise.all(startedDaemons.map((daemon) => this.waitUntilReady(daemon)));
+    const ports = startedDaemons.map(({ port }) => port).join(', ');
+    this.context.stdout.write(
+      `in force at ${startedDaemons.length} daemons, ports for callers: ${ports}\n\n`,
+    );
+    return startedDaemons;
   }
 
   private async waitUntilReady({ adminPort }: DemoDaemon): Promise<void> {
@@ -118,30 +127,30 @@
     if (response.statusCode === 200) {
       return;
     }
-    await this.pause(READY_INTERVAL);
+    await this.delay(READY_POLL_INTERVAL_MS);
     await this.waitUntilReady({ adminPort } as DemoDaemon);
   }
 
-  private async show(configuration: Configuration, daemons: DemoDaemon[]): Promise<number> {
+  private async runCalls(configuration: Configuration, daemons: DemoDaemon[]): Promise<number> {
     const calls = getClassCalls(configuration);
-    await this.showStream(configuration, calls, daemons);
+    await this.printStreamedAnswer(configuration, calls, daemons);
     const summaries = new Map(
       calls.map(({ className, target }) => [className, new ClassSummary(className, target)]),
     );
-    const failed = await this.sendMix(configuration, calls, daemons, summaries);
-    this.context.stdout.write(getTable([...summaries.values()].map((each) => each.getRow())));
-    this.context.stdout.write(`\n${failed} answers were not whole\n`);
+    const failed = await this.sendCalls(configuration, calls, daemons, summaries);
+    this.context.stdout.write(formatTable([...summaries.values()].map((each) => each.getRow())));
+    this.context.stdout.write(`\n${failed} answers were incomplete\n`);
     return failed === 0 ? 0 : 1;
   }
 
-  private async showStream(
+  private async printStreamedAnswer(
     configuration: Configuration,
     calls: ClassCall[],
     [daemon]: DemoDaemon[],
   ): Promise<void> {
     const chat = calls.find(({ shape }) => shape.kind === 'chat');
     const workspace = configuration.register.workspaces[0]!.name;
-    this.context.stdout.write(`a ${chat!.className} of ${workspace}, as it is streamed:\n`);
+    this.context.stdout.write(`a ${chat!.className} of ${workspace}, streamed:\n`);
     await makeCall(chat!.shape, {
       port: daemon!.port,
       apiKey: getDemoKey(workspace),
@@ -151,29 +160,29 @@
     this.context.stdout.write('\n\n');
   }
 
-  private async sendMix(
+  private async sendCalls(
     configuration: Configuration,
     calls: ClassCall[],
     daemons: DemoDaemon[],
     summaries: Map<string, ClassSummary>,
   ): Promise<number> {
     const random = createRandom(1);
-    const count = Math.ceil(Number(this.seconds) * CALL_RATE);
+    const count = Math.ceil(Number(this.seconds) * CALLS_PER_SECOND);
     this.context.stdout.write(`sending ${count} calls of ${calls.length} classes\n`);
     const send = async (index: number): Promise<boolean> => {
-      await this.pause((index * MILLISECONDS_PER_SECOND) / CALL_RATE);
+      await this.delay((index * MILLISECONDS_PER_SECOND) / CALLS_PER_SECOND);
       const call = calls[index % calls.length]!;
-      const result = await sendOne(configuration, call, daemons, random);
+      const result = await sendRandomCall(configuration, call, daemons, random);
       summaries.get(call.className)!.add(result);
-      return result.whole;
+      return result.isComplete;
     };
-    const wholes = await Promise.all(Array.from({ length: count }, (_, index) => send(index)));
-    return wholes.filter((whole) => !whole).length;
+    const completions = await Promise.all(Array.from({ length: count }, (_, index) => send(index)));
+    return completions.filter((isComplete) => !isComplete).length;
   }
 
-  private pause(span: number): Promise<void> {
+  private delay(duration: number): Promise<void> {
     return new Promise((resolve) => {
-      this.clock.setTimer(span, resolve);
+      this.clock.setTimer(duration, resolve);
     });
   }
 }
--- a/packages/demo/src/lib/getClassCalls.ts
+++ b/packages/demo/src/lib/getClassCalls.ts
@@ -1,11 +1,11 @@
 import { ServiceKind } from '@apricotrill/model';
 import type { ClassRule, Configuration } from '@apricotrill/model';
 
-/** Tokens a long draft asks for. */
-const DRAFT_TOKENS = 300;
+/** The `max_tokens` of chat calls whose class rule has no token limit. */
+const DEFAULT_MAX_TOKENS = 300;
 
 /**
- * How a call of a class is made.
+ * The kind and the parameters of a call.
  *
  * @internal
  */
@@ -14,7 +14,7 @@
   | { kind: 'plain'; method: string; path: string; needsKey: boolean };
 
 /**
- * A class and how to call it.
+ * A class and the call that leads to it.
  *
  * @internal
  */
@@ -32,7 +32,9 @@
       kind: 'chat',
       model: service.models[0] ?? '',
       maxTokens:
-        rule.maxTokensAtMost === undefined ? DRAFT_TOKENS : Math.min(60, rule.maxTokensAtMost),
+        rule.maxTokensAtMost === undefined
+          ? DEFAULT_MAX_TOKENS
+          : Math.min(60, rule.maxTokensAtMost),
       wishedClass: rule.wishedClass,
     };
   }
@@ -42,7 +44,7 @@
 }
 
 /**
- * One way to call each class, from the first rule that leads to it.
+ * Returns one call for each class, derived from the first rule that leads to it.
  *
  * @example
  * ```ts
@@ -53,7 +55,7 @@
 export function getClassCalls(configuration: Configuration): ClassCall[] {
   const { classes, classRules } = configuration.rules;
   return classes.flatMap(({ name, tier, target, repeatable }) => {
-    const rule = classRules.find((each) => each.class === name);
+    const rule = classRules.find((candidate) => candidate.class === name);
     return rule === undefined
       ? []
       : [
--- a/packages/demo/src/lib/makeCall.ts
+++ b/packages/demo/src/lib/makeCall.ts
@@ -4,39 +4,43 @@
 import type { CallShape } from './getClassCalls.js';
 
 /**
- * What one call came to, as its caller saw it.
+ * The result of a call, as seen by its caller.
  *
  * @internal
  */
 export interface CallResult {
-  whole: boolean;
+  isComplete: boolean;
   outcome: string;
-  /** Milliseconds to the first token or the plain answer. */
+  /** Milliseconds until the first token, or until the response of a plain call. */
   firstToken: number;
   tokens: number;
 }
 
-interface Target {
+interface CallTarget {
   port: number;
   apiKey: string;
   prompt: string;
   onText?: (text: string) => void;
 }
 
-function refuse(outcome: string): CallResult {
-  return { whole: false, outcome, firstToken: Number.NaN, tokens: 0 };
+function createFailure(outcome: string): CallResult {
+  return { isComplete: false, outcome, firstToken: Number.NaN, tokens: 0 };
 }
 
 async function makeChatCall(
   shape: Extract<CallShape, { kind: 'chat' }>,
-  { port, apiKey, prompt, onText }: Target,
+  { port, apiKey, prompt, onText }: CallTarget,
 ): Promise<CallResult> {
   const start = performance.now();
-  const wish: Record<string, string> =
+  const classHeaders: Record<string, string> =
     shape.wishedClass === undefined ? {} : { 'x-apricotrill-class': shape.wishedClass };
   const response = await request(`http://127.0.0.1:${port}/v1/chat/completions`, {
     method: 'POST',
-    headers: { authorization: `Bearer ${apiKey}`, 'content-type': 'application/json', ...wish },
+    headers: {
+      authorization: `Bearer ${apiKey}`,
+      'content-type': 'application/json',
+      ...classHeaders,
+    },
     body: JSON.stringify({
       model: shape.model,
       messages: [{ role: 'user', content: prompt }],
@@ -46,13 +50,13 @@
   });
   if (response.statusCode !== 200) {
     const problem = (await response.body.json()) as { outcome?: string };
-    return refuse(problem.outcome ?? 'failed');
+    return createFailure(problem.outcome ?? 'failed');
   }
-  const result = { whole: false, outcome: 'unknown', firstToken: Number.NaN, tokens: 0 };
+  const result = { isComplete: false, outcome: 'unknown', firstToken: Number.NaN, tokens: 0 };
   const parser = createParser({
     onEvent: ({ data }) => {
       if (data === '[DONE]') {
-        Object.assign(result, { whole: true, outcome: 'answered' });
+        Object.assign(result, { isComplete: true, outcome: 'answered' });
         return;
       }
       const chunk = JSON.parse(data) as { choices?: { delta: { content?: string } }[] };
@@ -73,23 +77,25 @@
 
 async function makePlainCall(
   shape: Extract<CallShape, { kind: 'plain' }>,
-  { port, apiKey, prompt }: Target,
+  { port, apiKey, prompt }: CallTarget,
 ): Promise<CallResult> {
   const start = performance.now();
-  const key: Record<string, string> = shape.needsKey ? { 'idempotency-key': randomUUID() } : {};
+  const keyHeaders: Record<string, string> = shape.needsKey
+    ? { 'idempotency-key': randomUUID() }
+    : {};
   const response = await request(`http://127.0.0.1:${port}${shape.path}`, {
     method: shape.method as 'GET',
-    headers: { authorization: `Bearer ${apiKey}`, ...key },
+    headers: { authorization: `Bearer ${apiKey}`, ...keyHeaders },
     body: shape.method === 'GET' ? undefined : JSON.stringify({ prompt }),
   });
   const body = (await response.body.json()) as { outcome?: string };
   return response.statusCode === 200
-    ? { whole: true, outcome: 'answered', firstToken: performance.now() - start, tokens: 0 }
-    : refuse(body.outcome ?? 'failed');
+    ? { isComplete: true, outcome: 'answered', firstToken: performance.now() - start, tokens: 0 }
+    : createFailure(body.outcome ?? 'failed');
 }
 
 /**
- * Makes one call and reads its answer to the end.
+ * Makes a call and reads the whole response.
  *
  * @example
  * ```ts
@@ -97,6 +103,6 @@
  * ```
  * @internal
  */
-export function makeCall(shape: CallShape, target: Target): Promise<CallResult> {
+export function makeCall(shape: CallShape, target: CallTarget): Promise<CallResult> {
   return shape.kind === 'chat' ? makeChatCall(shape, target) : makePlainCall(shape, target);
 }
--- a/packages/demo/src/lib/readExample.ts
+++ b/packages/demo/src/lib/readExample.ts
@@ -4,21 +4,21 @@
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 
-/** The example deployments that come with the repository. */
+/** The example deployments in the repository. */
 export enum Example {
   Liitto = 'liitto',
   NubeTica = 'nube-tica',
 }
 
-/** Whether a text names an example. */
+/** Whether a text is the name of an example. */
 export function isExample(text: string): text is Example {
   return Object.values<string>(Example).includes(text);
 }
 
 /**
- * Reads an example deployment, checked like any other configuration.
+ * Reads an example deployment and validates it like any other configuration.
  *
- * @throws StepError naming the line that is wrong
+ * @throws StepError with the first invalid line
  * @example
  * ```ts
  * const configuration = await readExample(Example.NubeTica);
