--- a/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
+++ b/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
@@ -9,7 +9,7 @@
 
 type FetchMembers = OperatorContext['fetchMembers'];
 
-/** Returns the generation that a daemon itself reports, or the known one if it does not answer. */
+/** Returns a member with the generation it reports itself, or unchanged if it does not answer. */
 async function refreshMember(
   fetchMembers: FetchMembers,
   member: MemberView,
