--- a/packages/cli/src/lib/commands/ApplyCommand.ts
+++ b/packages/cli/src/lib/commands/ApplyCommand.ts
@@ -170,12 +170,12 @@
     const { clock } = this.context;
     const callTimeout = Number(this.callTimeout);
     const fetchAnswer = async () => {
-      const asked = await fetchMembersFromAny(this.context, daemons, callTimeout);
-      return refreshLaggingMembers(this.context, asked, generation, callTimeout);
+      const answer = await fetchMembersFromAny(this.context, daemons, callTimeout);
+      return refreshLaggingMembers(this.context, answer, generation, callTimeout);
     };
-    const asked = await waitUntilInForce(clock, fetchAnswer, generation, Number(this.timeout));
+    const answer = await waitUntilInForce(clock, fetchAnswer, generation, Number(this.timeout));
     // If no daemon answered, this last query throws the error.
-    const report = getRolloutReport(asked ?? (await fetchAnswer()), generation);
+    const report = getRolloutReport(answer ?? (await fetchAnswer()), generation);
     return { ...report, value: { accepted: generation, spread: report.value } };
   }
 }
--- a/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
+++ b/packages/cli/src/lib/daemons/refreshLaggingMembers.ts
@@ -47,10 +47,10 @@
   for (let start = 0; start < lagging.length; start += MAX_CONCURRENT_CALLS) {
     const batch = lagging.slice(start, start + MAX_CONCURRENT_CALLS);
     // eslint-disable-next-line no-await-in-loop -- limits the number of concurrent calls
-    const answers = await Promise.all(
+    const results = await Promise.all(
       batch.map((one) => refreshMember(fetchMembers, one, timeout)),
     );
-    answers.forEach((answer) => refreshed.set(answer.id, answer));
+    results.forEach((member) => refreshed.set(member.id, member));
   }
   const members = list.members.map((member) => refreshed.get(member.id) ?? member);
   return { address, list: { ...list, members } };
--- a/packages/cli/src/lib/incident/IncidentSummary.ts
+++ b/packages/cli/src/lib/incident/IncidentSummary.ts
@@ -201,8 +201,8 @@
     .map((measure) => getSymptom(sorted, measure, start, seconds))
     .filter((symptom) => symptom !== undefined)
     .sort((left, right) => left.from - right.from);
-  const earliest = symptoms[0] === undefined ? 0 : symptoms[0].from - LEAD_TIME_MS;
-  const latest = Math.max(0, ...symptoms.map(({ until }) => until));
+  const firstRelevantTime = symptoms[0] === undefined ? 0 : symptoms[0].from - LEAD_TIME_MS;
+  const lastRelevantTime = Math.max(0, ...symptoms.map(({ until }) => until));
   return {
     start,
     end,
@@ -210,7 +210,7 @@
     requests: sorted.filter(({ event }) => event === 'admitted').length,
     symptoms,
     changes: getStateChanges(sorted, start).filter(
-      ({ first, last }) => last >= earliest && first <= latest,
+      ({ first, last }) => last >= firstRelevantTime && first <= lastRelevantTime,
     ),
   };
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,5 +1,5 @@
 export { CertificateAuthority } from './lib/authority/CertificateAuthority.js';
-export type { IssuedKeys } from './lib/authority/CertificateAuthority.js';
+export type { IssuedCertificate } from './lib/authority/CertificateAuthority.js';
 export { BackendFaultInjector } from './lib/backend/BackendFaultInjector.js';
 export type { BackendFault } from './lib/backend/BackendFaultInjector.js';
 export type { CacheEvent } from './lib/engine/CacheEventLog.js';
--- a/packages/standins/src/lib/authority/CertificateAuthority.ts
+++ b/packages/standins/src/lib/authority/CertificateAuthority.ts
@@ -25,7 +25,7 @@
  *
  * @public
  */
-export interface IssuedKeys {
+export interface IssuedCertificate {
   certificate: Buffer;
   privateKey: Buffer;
   caCertificate: Buffer;
@@ -64,7 +64,7 @@
   }
 
   /** Issues a certificate for a daemon, valid for `validFor` milliseconds from now. */
-  async issue(name: string, validFor = HOUR_MS): Promise<IssuedKeys> {
+  async issue(name: string, validFor = HOUR_MS): Promise<IssuedCertificate> {
     const pair = await createKeyPair();
     const certificate = await x509.X509CertificateGenerator.create({
       serialNumber: Buffer.from(webcrypto.getRandomValues(new Uint8Array(8))).toString('hex'),
--- a/packages/standins/src/lib/engine/EngineBatch.ts
+++ b/packages/standins/src/lib/engine/EngineBatch.ts
@@ -192,12 +192,12 @@
 
   /** Distributes the prefill budget of the step to the requests, the more urgent first. */
   private planStep(): StepShare[] {
-    let budget = this.options.prefillPerStep;
+    let remainingBudget = this.options.prefillPerStep;
     return [...this.running.values()]
       .sort((left, right) => left.job.priority - right.job.priority)
       .map((running) => {
-        const prefill = running.getPrefillTokens(budget);
-        budget -= prefill;
+        const prefill = running.getPrefillTokens(remainingBudget);
+        remainingBudget -= prefill;
         return { running, prefill };
       });
   }
--- a/packages/standins/src/lib/engine/EngineOrders.test.ts
+++ b/packages/standins/src/lib/engine/EngineOrders.test.ts
@@ -4,7 +4,7 @@
 
 function setUp(checksFencing: boolean) {
   const clock = new ManualClock();
-  const weights = new WeightStore(clock, { loads: 2, per: 1_000 });
+  const weights = new WeightStore(clock, { maxLoads: 2, period: 1_000 });
   const settings = { clock, weights, checksFencing, loadTime: 100, loaded: ['base@1'] };
   const orders = new EngineOrders(settings);
   const load = (fencingNumber: number, model: string, orderId = model) =>
--- a/packages/standins/src/lib/engine/EngineStandin.ts
+++ b/packages/standins/src/lib/engine/EngineStandin.ts
@@ -105,7 +105,8 @@
 
   private createOrders(clock: Clock, weights: WeightStore | undefined): EngineOrders {
     const { weightLoads, weightSpan, checksFencing, loadTime, loaded } = this.options;
-    const weightStore = weights ?? new WeightStore(clock, { loads: weightLoads, per: weightSpan });
+    const weightStore =
+      weights ?? new WeightStore(clock, { maxLoads: weightLoads, period: weightSpan });
     return new EngineOrders({ clock, weights: weightStore, checksFencing, loadTime, loaded });
   }
 
