--- a/packages/cli/src/lib/trace/readLogLines.ts
+++ b/packages/cli/src/lib/trace/readLogLines.ts
@@ -1,8 +1,8 @@
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { UnreadableFileError } from '../readFiles.js';
-import { parseLogLine } from './RequestStory.js';
-import type { LogLine } from './RequestStory.js';
+import { parseLogLine } from './RequestTrace.js';
+import type { LogLine } from './RequestTrace.js';
 
 async function readFrom(input: NodeJS.ReadableStream, source: string): Promise<LogLine[]> {
   const lines: LogLine[] = [];
@@ -21,7 +21,7 @@
 }
 
 /**
- * Reads log lines of several daemons, from files or, where none is named, from standard input.
+ * Reads log lines of several daemons from files, or from standard input if no file is given.
  *
  * @throws UnreadableFileError
  */
