--- a/packages/e2e/src/lib/answerIntegrity.test.ts
+++ b/packages/e2e/src/lib/answerIntegrity.test.ts
@@ -24,7 +24,7 @@
     await Promise.all(
       Array.from({ length: engineCount }, () => deployment.startBackend('engines', FAST)),
     );
-    const daemon = await deployment.startLoneDaemon();
+    const daemon = await deployment.startStandaloneDaemon();
     return { deployment, daemon };
   }
 
@@ -33,8 +33,8 @@
     deployments.push(deployment);
     engines.push(engine);
     await deployment.prepare();
-    deployment.addBackend('engines', await engine.listen());
-    return deployment.startLoneDaemon();
+    deployment.registerExternalBackend('engines', await engine.listen());
+    return deployment.startStandaloneDaemon();
   }
 
   /** The engine that runs the only request. */
@@ -48,14 +48,14 @@
   // attempt starts anew, or one token off, or the broken stream is taken for the whole answer.
   it('goes on elsewhere at the delivered token when an engine crashes, streamed', async () => {
     const system = await start(2);
-    const { order, expected } = createChat(system.daemon.port, 40);
+    const { chatRequest, expected } = createChat(system.daemon.port, 40);
     let crashed: Promise<void> | undefined;
     const onToken = (count: number) => {
       if (count === 10) {
-        crashed = getRunner(system).then((engine) => engine.fail({ kind: 'crash' }));
+        crashed = getRunner(system).then((engine) => engine.injectFault({ kind: 'crash' }));
       }
     };
-    const answer = await askChat({ ...order, onToken });
+    const answer = await askChat({ ...chatRequest, onToken });
     await crashed?.catch(() => undefined);
     expect(answer).toMatchObject({ status: 200, whole: true, tokens: expected });
     const attempts = getDecisions(system.daemon.process.log, 'choose');
@@ -65,11 +65,11 @@
 
   it('goes on elsewhere when an engine crashes, unstreamed', async () => {
     const system = await start(2);
-    const { order, expected } = createChat(system.daemon.port, 40);
-    const answering = askWholeChat(order);
+    const { chatRequest, expected } = createChat(system.daemon.port, 40);
+    const answering = askWholeChat(chatRequest);
     const engine = await getRunner(system);
     await engine.waitForRuns(([run]) => (run?.tokens ?? 0) >= 10);
-    await engine.fail({ kind: 'crash' }).catch(() => undefined);
+    await engine.injectFault({ kind: 'crash' }).catch(() => undefined);
     const { status, body } = await answering;
     expect(status).toBe(200);
     expect(body.choices[0]?.message.content).toBe(expected.join(''));
@@ -82,14 +82,14 @@
   it('neither repeats nor skips a token wherever the connection breaks', async () => {
     const { deployment, daemon } = await start(1);
     const [engine] = deployment.backends;
-    const { order, expected } = createChat(daemon.port, 12);
+    const { chatRequest, expected } = createChat(daemon.port, 12);
     const cuts = [0, 1, 5, expected.length - 1, expected.length];
     for (const tokens of cuts) {
       // One after another: each cut belongs to one request.
       // eslint-disable-next-line no-await-in-loop
-      await engine!.fail({ kind: 'drop-after', tokens, count: 1 });
+      await engine!.injectFault({ kind: 'drop-after', tokens, count: 1 });
       // eslint-disable-next-line no-await-in-loop
-      const answer = await askChat(order);
+      const answer = await askChat(chatRequest);
       expect(answer).toMatchObject({ status: 200, whole: true, tokens: expected });
     }
     const runs = await engine!.getRuns();
@@ -100,15 +100,19 @@
   // Symptom: a stranger's words in a caller's answer. Sequence: a piece of another request's
   // answer arrives on this one's connection. Cause: whatever comes on the connection is believed.
   it('drops the pieces of other answers', async () => {
-    const engine = new FakeEngine((name, response) => {
+    const engine = new FakeEngine((attemptId, response) => {
       const stray = getTokenEvent('another/1', 1, ' stray');
-      const own = [getTokenEvent(name, 0, 'own'), stray, getTokenEvent(name, 1, ' words')];
-      response.end(`${own.join('')}${getFinishEvent(name)}data: [DONE]\n\n`);
+      const own = [
+        getTokenEvent(attemptId, 0, 'own'),
+        stray,
+        getTokenEvent(attemptId, 1, ' words'),
+      ];
+      response.end(`${own.join('')}${getFinishEvent(attemptId)}data: [DONE]\n\n`);
     });
     const daemon = await startFake(engine);
-    const { order } = createChat(daemon.port, 2);
-    expect((await askChat(order)).tokens).toEqual(['own', ' words']);
-    expect((await askWholeChat(order)).body.choices[0]?.message.content).toBe('own words');
+    const { chatRequest } = createChat(daemon.port, 2);
+    expect((await askChat(chatRequest)).tokens).toEqual(['own', ' words']);
+    expect((await askWholeChat(chatRequest)).body.choices[0]?.message.content).toBe('own words');
     const dropped = getDecisions(daemon.process.log, 'relay').filter((line) => 'dropped' in line);
     expect(dropped).toHaveLength(2);
   });
@@ -116,16 +120,16 @@
   // Symptom: half an answer with an end mark. Sequence: every engine closes its stream properly
   // but before the answer's end. Cause: the end of the stream taken for the end of the answer.
   it('never passes a truncated stream off as whole', async () => {
-    const engine = new FakeEngine((name, response) => {
-      response.end(getTokenEvent(name, 0, 'half'));
+    const engine = new FakeEngine((attemptId, response) => {
+      response.end(getTokenEvent(attemptId, 0, 'half'));
     });
     const daemon = await startFake(engine);
-    const { order } = createChat(daemon.port, 4);
-    const streamed = await askChat(order);
+    const { chatRequest } = createChat(daemon.port, 4);
+    const streamed = await askChat(chatRequest);
     expect(streamed.whole).toBe(false);
     expect(streamed.tokens).toEqual(['half']);
     expect(streamed.problem).toMatchObject({ outcome: 'failed' });
-    const { status, retryAfter, body } = await askWholeChat(order);
+    const { status, retryAfter, body } = await askWholeChat(chatRequest);
     expect(status).toBe(503);
     expect(Number(retryAfter)).toBeGreaterThan(0);
     expect(body.outcome).toBe('failed');
@@ -138,16 +142,16 @@
     const count = 2000;
     const text = 'x'.repeat(16 * 1024);
     let written = 0;
-    const engine = new FakeEngine((name, response) => {
+    const engine = new FakeEngine((attemptId, response) => {
       const write = () => {
         while (written < count) {
           written += 1;
-          if (!response.write(getTokenEvent(name, written - 1, `${written} ${text}`))) {
+          if (!response.write(getTokenEvent(attemptId, written - 1, `${written} ${text}`))) {
             response.once('drain', write);
             return;
           }
         }
-        response.end(`${getFinishEvent(name)}data: [DONE]\n\n`);
+        response.end(`${getFinishEvent(attemptId)}data: [DONE]\n\n`);
       };
       write();
     });
@@ -172,13 +176,13 @@
     const { deployment, daemon } = await start(3);
     await Promise.all(
       deployment.backends.flatMap((engine, place) => [
-        engine.fail({ kind: 'drop-after', tokens: 3 + place, count: 3 }),
-        engine.fail({ kind: 'stray-answers', count: 5 }),
-        engine.fail({ kind: 'refuse', count: 2 }),
+        engine.injectFault({ kind: 'drop-after', tokens: 3 + place, count: 3 }),
+        engine.injectFault({ kind: 'stray-answers', count: 5 }),
+        engine.injectFault({ kind: 'refuse', count: 2 }),
       ]),
     );
     const chats = Array.from({ length: 40 }, (_, index) => createChat(daemon.port, 5 + index));
-    const answers = await Promise.all(chats.map(({ order }) => askChat(order)));
+    const answers = await Promise.all(chats.map(({ chatRequest }) => askChat(chatRequest)));
     answers.forEach((answer, index) => {
       const { expected } = chats[index]!;
       expect(answer.tokens).toEqual(expected.slice(0, answer.tokens.length));
--- a/packages/e2e/src/lib/atMostOnce.test.ts
+++ b/packages/e2e/src/lib/atMostOnce.test.ts
@@ -1,5 +1,5 @@
 import { Fleet } from '../test/Fleet.js';
-import { FleetCaller, UNKNOWN, getWord, isToldForGood } from '../test/FleetCaller.js';
+import { FleetCaller, LOST_CLAIM, describeResult, isFinal } from '../test/FleetCaller.js';
 import type { Backend } from '../test/Backend.js';
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 import { pollUntil } from '../test/pollUntil.js';
@@ -38,8 +38,8 @@
     const keys = Array.from({ length: SHARDS }, (_, shard) => createKey(shard));
     await Promise.all(
       keys.map(async (key) => {
-        await Promise.all(daemons.map((daemon) => caller.hold(daemon, key)));
-        await Promise.all(daemons.map((daemon) => caller.holdUntilAnswered(daemon, key)));
+        await Promise.all(daemons.map((daemon) => caller.placeHold(daemon, key)));
+        await Promise.all(daemons.map((daemon) => caller.placeHoldUntilAnswered(daemon, key)));
         expect(await countRuns(key)).toBe(1);
       }),
     );
@@ -49,15 +49,15 @@
   // the first is running. Cause: a request without an outcome yet is taken for none.
   it('says that it is running to a repeat while it runs', async () => {
     const key = createKey(0);
-    await portal.fail({ kind: 'slow', factor: 100 });
-    const first = caller.hold(daemons[0], key);
+    await portal.injectFault({ kind: 'slow', factor: 100 });
+    const first = caller.placeHold(daemons[0], key);
     await portal.waitForRuns((runs) => runs.some(({ idempotencyKey }) => idempotencyKey === key));
-    const repeat = await caller.hold(daemons[1], key);
-    expect(getWord(repeat)).toBe(RUNNING);
+    const repeat = await caller.placeHold(daemons[1], key);
+    expect(describeResult(repeat)).toBe(RUNNING);
     expect(Number(repeat.retryAfter)).toBeGreaterThan(0);
-    await portal.fail({ kind: 'slow', factor: 1 });
-    expect(getWord(await first)).toBe('answered');
-    await caller.holdUntilAnswered(daemons[2], key);
+    await portal.injectFault({ kind: 'slow', factor: 1 });
+    expect(describeResult(await first)).toBe('answered');
+    await caller.placeHoldUntilAnswered(daemons[2], key);
     expect(await countRuns(key)).toBe(1);
   });
 
@@ -66,10 +66,10 @@
   // request that did not run.
   it('says "unknown" when its connection broke, and to every repeat', async () => {
     const key = createKey(1);
-    await portal.fail({ kind: 'drop-after', tokens: 0, count: 1 });
-    expect(getWord(await caller.hold(daemons[0], key))).toBe('given-up unknown');
-    const repeats = await Promise.all(daemons.map((daemon) => caller.hold(daemon, key)));
-    expect(repeats.map(getWord)).toEqual(daemons.map(() => UNKNOWN));
+    await portal.injectFault({ kind: 'drop-after', tokens: 0, count: 1 });
+    expect(describeResult(await caller.placeHold(daemons[0], key))).toBe('given-up unknown');
+    const repeats = await Promise.all(daemons.map((daemon) => caller.placeHold(daemon, key)));
+    expect(repeats.map(describeResult)).toEqual(daemons.map(() => LOST_CLAIM));
     expect(await countRuns(key)).toBe(1);
   });
 
@@ -78,11 +78,11 @@
   // nothing ran.
   it('may be asked again when it did not run', async () => {
     const key = createKey(2);
-    await portal.fail({ kind: 'leave' });
-    const refused = await caller.hold(daemons[0], key);
-    expect(getWord(refused)).toBe('given-up not-run');
-    await portal.fail({ kind: 'stay' });
-    await caller.holdUntilAnswered(daemons[1], key);
+    await portal.injectFault({ kind: 'leave' });
+    const refused = await caller.placeHold(daemons[0], key);
+    expect(describeResult(refused)).toBe('given-up not-run');
+    await portal.injectFault({ kind: 'stay' });
+    await caller.placeHoldUntilAnswered(daemons[1], key);
     expect(await countRuns(key)).toBe(1);
   });
 
@@ -90,32 +90,32 @@
   // the answers are lost. Cause: a commit without an answer taken for one that did not happen, or
   // one's own commit for somebody else's.
   it('runs once though the store loses its confirmations', async () => {
-    await fleet.platform.fail({ kind: 'lose-answers', count: 40, keyPrefix: 'claims/' });
+    await fleet.platform.injectFault({ kind: 'lose-answers', count: 40, keyPrefix: 'claims/' });
     const keys = Array.from({ length: 2 * SHARDS }, (_, place) => createKey(place % SHARDS));
     await Promise.all(
       keys.map(async (key, place) => {
-        await caller.holdUntilAnswered(daemons[place % 3]!, key);
-        await caller.holdUntilAnswered(daemons[(place + 1) % 3]!, key);
+        await caller.placeHoldUntilAnswered(daemons[place % 3]!, key);
+        await caller.placeHoldUntilAnswered(daemons[(place + 1) % 3]!, key);
         expect(await countRuns(key)).toBe(1);
       }),
     );
-    await fleet.platform.fail({ kind: 'up' });
+    await fleet.platform.injectFault({ kind: 'up' });
   });
 
   // Symptom: now and then, under load, one of the above. Cause: any of them in combination.
   it('runs at most once while services refuse, break and answer crosswise', async () => {
     await Promise.all([
-      portal.fail({ kind: 'refuse', count: 10 }),
-      portal.fail({ kind: 'drop-after', tokens: 0, count: 10 }),
-      portal.fail({ kind: 'stray-answers', count: 10 }),
-      fleet.platform.fail({ kind: 'lose-answers', count: 20, keyPrefix: 'claims/' }),
+      portal.injectFault({ kind: 'refuse', count: 10 }),
+      portal.injectFault({ kind: 'drop-after', tokens: 0, count: 10 }),
+      portal.injectFault({ kind: 'stray-answers', count: 10 }),
+      fleet.platform.injectFault({ kind: 'lose-answers', count: 20, keyPrefix: 'claims/' }),
     ]);
     const keys = Array.from({ length: 60 }, (_, place) => createKey(place % SHARDS));
     await Promise.all(
       keys.map(async (key) => {
-        await Promise.all(daemons.map((daemon) => caller.hold(daemon, key)));
-        const told = await pollUntil(() => caller.hold(daemons[0], key), isToldForGood);
-        const word = getWord(told);
+        await Promise.all(daemons.map((daemon) => caller.placeHold(daemon, key)));
+        const told = await pollUntil(() => caller.placeHold(daemons[0], key), isFinal);
+        const word = describeResult(told);
         expect(word === 'answered' ? await countRuns(key) : 1).toBe(1);
       }),
     );
--- a/packages/e2e/src/lib/callerDisconnect.test.ts
+++ b/packages/e2e/src/lib/callerDisconnect.test.ts
@@ -24,13 +24,13 @@
   // has ended.
   it.each(['streamed', 'unstreamed'])('ends the work on its answer, %s', async (form) => {
     const engine = await deployment.startBackend('engines', ONE_SLOT);
-    const daemon = await deployment.startLoneDaemon();
-    const { order, expected } = createChat(daemon.port, 2000);
+    const daemon = await deployment.startStandaloneDaemon();
+    const { chatRequest, expected } = createChat(daemon.port, 2000);
     const leaving = new AbortController();
     const onToken = (count: number) => count === 10 && leaving.abort();
     const { signal } = leaving;
-    const ask = form === 'streamed' ? askChat({ ...order, onToken, signal }) : undefined;
-    const left = ask ?? askWholeChat(order, signal);
+    const ask = form === 'streamed' ? askChat({ ...chatRequest, onToken, signal }) : undefined;
+    const left = ask ?? askWholeChat(chatRequest, signal);
     const rejected = expect(left).rejects.toThrow();
     if (form === 'unstreamed') {
       await engine.waitForRuns(([run]) => (run?.tokens ?? 0) >= 10);
@@ -38,7 +38,7 @@
     }
     await rejected;
     const second = createChat(daemon.port, 3);
-    expect((await askChat(second.order)).tokens).toEqual(second.expected);
+    expect((await askChat(second.chatRequest)).tokens).toEqual(second.expected);
     const [run] = await engine.getRuns();
     expect(run).toMatchObject({ completed: false });
     expect(run!.tokens).toBeLessThan(expected.length);
@@ -50,15 +50,15 @@
   // leaves while its request waits in the daemon's queue. Cause: only running requests were ended.
   it('takes its request out of the queue', async () => {
     const engine = await deployment.startBackend('engines', ONE_SLOT);
-    const daemon = await deployment.startLoneDaemon();
-    const { order } = createChat(daemon.port, 2000);
+    const daemon = await deployment.startStandaloneDaemon();
+    const { chatRequest } = createChat(daemon.port, 2000);
     const staying = new AbortController();
     const leaving = new AbortController();
     const ask = ({ signal }: AbortController) =>
-      askChat({ ...order, signal }).catch(() => undefined);
-    const countWaiting = async (isIt: (count: number) => boolean) => {
+      askChat({ ...chatRequest, signal }).catch(() => undefined);
+    const countWaiting = async (matches: (count: number) => boolean) => {
       const count = ({ waiting }: { waiting: Record<string, number> }) => waiting.draft ?? 0;
-      return count(await waitForService(daemon, 'engines', (service) => isIt(count(service))));
+      return count(await waitForService(daemon, 'engines', (service) => matches(count(service))));
     };
     const { log } = daemon.process;
     const haveCome = (count: number) =>
@@ -80,7 +80,7 @@
     staying.abort();
     await Promise.all(asked);
     const second = createChat(daemon.port, 3);
-    expect((await askChat(second.order)).tokens).toEqual(second.expected);
+    expect((await askChat(second.chatRequest)).tokens).toEqual(second.expected);
     const ran = (await engine.getRuns()).map(({ requestId }) => requestId.split('/')[0]);
     expect(ran.length).toBeGreaterThan(0);
     expect(ran).not.toContain(left.request);
--- a/packages/e2e/src/lib/callerInput.test.ts
+++ b/packages/e2e/src/lib/callerInput.test.ts
@@ -109,10 +109,10 @@
 describe('input of all kinds, while a healthy answer is on its way', () => {
   const deployment = new Deployment();
   const callers: RawCaller[] = [];
-  let running: { name: string; response: ServerResponse };
+  let running: { attemptId: string; response: ServerResponse };
   let onRunning = () => {};
-  const engine = new FakeEngine((name, response) => {
-    running = { name, response };
+  const engine = new FakeEngine((attemptId, response) => {
+    running = { attemptId, response };
     onRunning();
   });
   let daemon: Daemon;
@@ -121,19 +121,19 @@
 
   beforeAll(async () => {
     await deployment.prepare();
-    deployment.addBackend('engines', await engine.listen());
+    deployment.registerExternalBackend('engines', await engine.listen());
     await deployment.startBackend('portal');
-    daemon = await deployment.startLoneDaemon(LIMITS);
+    daemon = await deployment.startStandaloneDaemon(LIMITS);
     const started = new Promise<void>((resolve) => {
       onRunning = resolve;
     });
-    healthy = askChat(createChat(daemon.port, 10, 1000).order);
+    healthy = askChat(createChat(daemon.port, 10, 1000).chatRequest);
     await started;
   });
 
   afterEach(() => {
     callers.splice(0).forEach(({ socket }) => socket.destroy());
-    running.response.write(getTokenEvent(running.name, tokens, `token ${tokens}`));
+    running.response.write(getTokenEvent(running.attemptId, tokens, `token ${tokens}`));
     tokens += 1;
   });
 
@@ -196,8 +196,8 @@
   });
 
   it('has left the healthy answer and the daemon alone', async () => {
-    const { name, response } = running;
-    response.end(`${getFinishEvent(name)}data: [DONE]\n\n`);
+    const { attemptId, response } = running;
+    response.end(`${getFinishEvent(attemptId)}data: [DONE]\n\n`);
     const answer = await healthy;
     expect(answer.whole).toBe(true);
     expect(answer.tokens).toEqual(Array.from({ length: tokens }, (_, index) => `token ${index}`));
--- a/packages/e2e/src/lib/claimOwnerLoss.test.ts
+++ b/packages/e2e/src/lib/claimOwnerLoss.test.ts
@@ -1,13 +1,13 @@
 import type { Backend } from '../test/Backend.js';
 import { Fleet } from '../test/Fleet.js';
-import { FleetCaller, UNKNOWN, getWord, isToldForGood } from '../test/FleetCaller.js';
+import { FleetCaller, LOST_CLAIM, describeResult, isFinal } from '../test/FleetCaller.js';
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 import { pollUntil } from '../test/pollUntil.js';
 import { createKey, startShards } from '../test/shards.js';
 import type { OwnedShard } from '../test/shards.js';
 
 /** A daemon is declared dead some seconds after its end, and its shards are taken after that. */
-const LONG = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 const RUNNING = 'idempotency-key-in-progress unknown';
 
@@ -21,12 +21,12 @@
     await fleet.prepare();
     portal = await fleet.backends.startBackend('portal');
     await fleet.start(8);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   beforeEach(async () => {
     await fleet.waitUntilJoined();
     shards = await startShards(fleet.daemons, caller);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterEach(async () => {
     expect(await fleet.checkHistory(caller.calls)).toEqual([]);
@@ -50,16 +50,16 @@
 
   /** Places a hold that takes long, and resolves once it runs. */
   async function startHold(entry: FleetDaemon, key: string) {
-    await portal.fail({ kind: 'slow', factor: 200 });
-    const answer = caller.hold(entry, key);
+    await portal.injectFault({ kind: 'slow', factor: 200 });
+    const answer = caller.placeHold(entry, key);
     await portal.waitForRuns((runs) => runs.some(({ idempotencyKey }) => idempotencyKey === key));
-    await portal.fail({ kind: 'slow', factor: 1 });
+    await portal.injectFault({ kind: 'slow', factor: 1 });
     return { answer };
   }
 
   /** Asks in turn until it is said for good what became of the key. */
   async function askForFate(entry: FleetDaemon, key: string): Promise<string> {
-    return getWord(await pollUntil(() => caller.hold(entry, key), isToldForGood));
+    return describeResult(await pollUntil(() => caller.placeHold(entry, key), isFinal));
   }
 
   // Symptom: a hold is placed twice. Sequence: its entry daemon is killed after it sent the hold on;
@@ -70,13 +70,13 @@
       const { shard, entry, other } = getRoles();
       const key = createKey(shard);
       const { answer } = await startHold(entry, key);
-      await fleet.lose(entry);
-      expect(getWord(await answer)).toBe('cut');
-      expect([RUNNING, UNKNOWN]).toContain(getWord(await caller.hold(other, key)));
-      expect(await askForFate(other, key)).toBe(UNKNOWN);
+      await fleet.killAndRemove(entry);
+      expect(describeResult(await answer)).toBe('cut');
+      expect([RUNNING, LOST_CLAIM]).toContain(describeResult(await caller.placeHold(other, key)));
+      expect(await askForFate(other, key)).toBe(LOST_CLAIM);
       expect(await countRuns(key)).toBe(1);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: a hold that was answered runs again, or its answer is lost. Sequence: the owner of its
@@ -87,16 +87,16 @@
     async () => {
       const { shard, owner, entry, other } = getRoles();
       const [done, running, later] = [createKey(shard), createKey(shard), createKey(shard)];
-      await caller.holdUntilAnswered(entry, done);
+      await caller.placeHoldUntilAnswered(entry, done);
       const { answer } = await startHold(entry, running);
-      await fleet.lose(owner);
-      expect(getWord(await answer)).toBe('answered');
+      await fleet.killAndRemove(owner);
+      expect(describeResult(await answer)).toBe('answered');
       expect(await askForFate(other, done)).toBe('answered');
       expect(await askForFate(other, running)).toBe('answered');
-      await caller.holdUntilAnswered(other, later);
+      await caller.placeHoldUntilAnswered(other, later);
       expect(await Promise.all([done, running, later].map(countRuns))).toEqual([1, 1, 1]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: two daemons grant the same key. Sequence: the owner is frozen, another one takes its
@@ -108,16 +108,16 @@
       const { shard, owner, entry, other } = getRoles();
       const [key, next] = [createKey(shard), createKey(shard)];
       owner.freeze();
-      const asleep = caller.hold(owner, key);
-      await caller.holdUntilAnswered(entry, key);
-      owner.wake();
+      const asleep = caller.placeHold(owner, key);
+      await caller.placeHoldUntilAnswered(entry, key);
+      owner.resume();
       await asleep;
-      await caller.holdUntilAnswered(owner, key);
-      await Promise.all([entry, owner, other].map((daemon) => caller.hold(daemon, next)));
-      await caller.holdUntilAnswered(owner, next);
+      await caller.placeHoldUntilAnswered(owner, key);
+      await Promise.all([entry, owner, other].map((daemon) => caller.placeHold(daemon, next)));
+      await caller.placeHoldUntilAnswered(owner, next);
       expect(await Promise.all([key, next].map(countRuns))).toEqual([1, 1]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: a hold granted during an outage runs again after it. Sequence: the store is down, the
@@ -128,18 +128,18 @@
     async () => {
       const { shard, owner, entry, other } = getRoles();
       const [done, running] = [createKey(shard), createKey(shard)];
-      await fleet.platform.fail({ kind: 'down' });
-      await caller.holdUntilAnswered(entry, done);
+      await fleet.platform.injectFault({ kind: 'down' });
+      await caller.placeHoldUntilAnswered(entry, done);
       const { answer } = await startHold(entry, running);
-      await fleet.lose(owner);
-      expect(getWord(await answer)).toBe('answered');
-      await caller.hold(other, done);
-      await fleet.platform.fail({ kind: 'up' });
+      await fleet.killAndRemove(owner);
+      expect(describeResult(await answer)).toBe('answered');
+      await caller.placeHold(other, done);
+      await fleet.platform.injectFault({ kind: 'up' });
       expect(await askForFate(other, done)).toBe('answered');
       expect(await askForFate(other, running)).toBe('answered');
       expect(await Promise.all([done, running].map(countRuns))).toEqual([1, 1]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: as above. Sequence: as above, and the witness is killed too, so that nobody is left who
@@ -149,13 +149,13 @@
     async () => {
       const { shard, owner, second, other } = getRoles();
       const key = createKey(shard);
-      await fleet.platform.fail({ kind: 'down' });
-      await caller.holdUntilAnswered(owner, key);
-      await Promise.all([owner, second].map((daemon) => fleet.lose(daemon)));
-      await fleet.platform.fail({ kind: 'up' });
-      expect(await askForFate(other, key)).toBe(UNKNOWN);
+      await fleet.platform.injectFault({ kind: 'down' });
+      await caller.placeHoldUntilAnswered(owner, key);
+      await Promise.all([owner, second].map((daemon) => fleet.killAndRemove(daemon)));
+      await fleet.platform.injectFault({ kind: 'up' });
+      expect(await askForFate(other, key)).toBe(LOST_CLAIM);
       expect(await countRuns(key)).toBe(1);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/packages/e2e/src/lib/configurationChanges.test.ts
+++ b/packages/e2e/src/lib/configurationChanges.test.ts
@@ -1,10 +1,10 @@
 import { ExitCode } from '@apricotrill/cli';
 import { Fleet } from '../test/Fleet.js';
-import type { Files } from '../test/Fleet.js';
+import type { ConfigurationFiles } from '../test/Fleet.js';
 import { runOperator } from '../test/runOperator.js';
 
 /** An edit that touches one workspace and nothing else. */
-function setWeight({ register }: Files, weight: number): void {
+function setWeight({ register }: ConfigurationFiles, weight: number): void {
   Object.assign(register.workspaces[0]!, { weight });
 }
 
@@ -21,7 +21,7 @@
 
   /** The accepted generation, by the operators' command line. */
   async function getAccepted(): Promise<number> {
-    const { output } = await fleet.operate('history', '--json');
+    const { output } = await fleet.runCommand('history', '--json');
     const { changes } = JSON.parse(output) as { changes: { generation: number }[] };
     return changes[0]!.generation;
   }
@@ -36,12 +36,12 @@
     const base = await getAccepted();
     const daemons = fleet.getDaemonOptions();
     const edit = await writeEdit(2);
-    const different = await fleet.operate('diff', ...edit);
+    const different = await fleet.runCommand('diff', ...edit);
     expect(different.code).toBe(ExitCode.Different);
     expect(different.output).toContain('workspaces painotalo');
     expect(different.output).toContain(`apply --base ${base}`);
 
-    const applied = await fleet.operate(
+    const applied = await fleet.runCommand(
       'apply',
       '--base',
       String(base),
@@ -53,8 +53,8 @@
     expect(applied.code).toBe(ExitCode.Done);
     await Promise.all(fleet.daemons.map((daemon) => daemon.waitForGeneration(base + 1)));
 
-    expect((await fleet.operate('diff', ...edit)).code).toBe(ExitCode.Done);
-    const status = await fleet.operate('status', ...daemons);
+    expect((await fleet.runCommand('diff', ...edit)).code).toBe(ExitCode.Done);
+    const status = await fleet.runCommand('status', ...daemons);
     expect(status).toMatchObject({ code: ExitCode.Done });
     expect(status.output).toContain('in force at 3 of 3 live daemons');
     const members = await runOperator(['members', ...daemons]);
@@ -70,8 +70,8 @@
     const base = String(await getAccepted());
     const [ana, bo] = [await writeEdit(3), await writeEdit(4)];
     const results = await Promise.all([
-      fleet.operate('apply', '--base', base, '--author', 'ana', ...ana),
-      fleet.operate('apply', '--base', base, '--author', 'bo', ...bo),
+      fleet.runCommand('apply', '--base', base, '--author', 'ana', ...ana),
+      fleet.runCommand('apply', '--base', base, '--author', 'bo', ...bo),
     ]);
     expect(results.map(({ code }) => code).sort()).toEqual([ExitCode.Done, ExitCode.Conflict]);
     const winner = results[0].code === ExitCode.Done ? 'ana' : 'bo';
@@ -82,7 +82,7 @@
       new RegExp(`theirs, since the base:.*weight.*${theirs}.*yours, since.*weight.*${mine}`, 's'),
     );
     expect(loser.output).toContain('touched by both: workspaces painotalo');
-    const shown = await fleet.operate('show', 'register');
+    const shown = await fleet.runCommand('show', 'register');
     expect(JSON.parse(shown.output)).toMatchObject({ workspaces: [{ weight: theirs }] });
     expect(await getAccepted()).toBe(Number(base) + 1);
   });
@@ -95,12 +95,12 @@
     const base = await getAccepted();
     const edit = await writeEdit(5);
     const lost = { kind: 'lose-answers', count: 1, keyPrefix: 'config/manifest' } as const;
-    await fleet.platform.fail(lost);
+    await fleet.platform.injectFault(lost);
     const wait = ['--wait', ...fleet.getDaemonOptions()];
-    const applied = await fleet.operate('apply', '--base', String(base), ...wait, ...edit);
+    const applied = await fleet.runCommand('apply', '--base', String(base), ...wait, ...edit);
     expect(applied.code).toBe(ExitCode.Done);
     expect(await getAccepted()).toBe(base + 1);
-    const again = await fleet.operate('apply', '--base', String(base), ...edit);
+    const again = await fleet.runCommand('apply', '--base', String(base), ...edit);
     expect(again.code).toBe(ExitCode.Done);
     expect(await getAccepted()).toBe(base + 1);
   });
--- a/packages/e2e/src/lib/monotonicVersions.test.ts
+++ b/packages/e2e/src/lib/monotonicVersions.test.ts
@@ -2,7 +2,7 @@
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 
 /** For what has to outlast the patience of membership. */
-const LONG = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 describe('versions at each daemon', () => {
   const fleet = new Fleet();
@@ -12,7 +12,7 @@
     await fleet.prepare();
     await fleet.backends.startBackend('portal');
     await fleet.start(3);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterAll(() => fleet.dispose());
 
@@ -38,7 +38,7 @@
 
       third.freeze();
       await waitForAll([first, second], await change());
-      third.wake();
+      third.resume();
       await third.waitForGeneration(accepted);
 
       // The woken one is the only peer that answers the one that starts, and is behind.
@@ -46,26 +46,26 @@
       await waitForAll([first, second], await change());
       await first.stop();
       second.freeze();
-      await fleet.platform.fail({ kind: 'slow', delayMs: 1500 });
+      await fleet.platform.injectFault({ kind: 'slow', delayMs: 1500 });
       await first.start();
-      third.wake();
+      third.resume();
       await waitForAll([first, third], accepted);
-      second.wake();
-      await fleet.platform.fail({ kind: 'up' });
+      second.resume();
+      await fleet.platform.injectFault({ kind: 'up' });
 
       // In an outage all it can know comes from its peers.
       await waitForAll(fleet.daemons, await change());
-      await fleet.platform.fail({ kind: 'down' });
+      await fleet.platform.injectFault({ kind: 'down' });
       await second.kill();
       await second.start();
       await second.waitUntilReady();
       await second.waitForGeneration(accepted);
-      await fleet.platform.fail({ kind: 'up' });
+      await fleet.platform.injectFault({ kind: 'up' });
 
       await waitForAll(fleet.daemons, await change());
       await fleet.waitUntilJoined();
       expect(await fleet.checkHistory([])).toEqual([]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/packages/e2e/src/lib/replicaDrain.test.ts
+++ b/packages/e2e/src/lib/replicaDrain.test.ts
@@ -36,8 +36,8 @@
 
   /** Asks for short answers, one after another, until the engine has run one. */
   async function askUntilRun(engine: Backend, known: number): Promise<void> {
-    const { order, expected } = createChat(daemon.port, 3);
-    expect((await askChat(order)).tokens).toEqual(expected);
+    const { chatRequest, expected } = createChat(daemon.port, 3);
+    expect((await askChat(chatRequest)).tokens).toEqual(expected);
     if ((await engine.getRuns()).length === known) {
       await askUntilRun(engine, known);
     }
@@ -47,7 +47,7 @@
   // Sequence: it says that it leaves while one answer is on its way; more requests come. Cause:
   // only the lagging list of instances was asked, or leaving was taken for gone.
   it('gets nothing new, ends what it has, and gets work again when it returns', async () => {
-    daemon = await deployment.startLoneDaemon();
+    daemon = await deployment.startStandaloneDaemon();
     const long = createChat(daemon.port, 1500);
     let leaver: Backend | undefined;
     let noticed: Promise<unknown> | undefined;
@@ -55,10 +55,10 @@
       if (count === 10) {
         const { replica } = getDecisions(daemon.process.log, 'choose')[0]!;
         leaver = deployment.backends.find(({ id }) => id === replica)!;
-        noticed = leaver.fail({ kind: 'leave' }).then(() => isLeaving(leaver!));
+        noticed = leaver.injectFault({ kind: 'leave' }).then(() => isLeaving(leaver!));
       }
     };
-    const answering = askChat({ ...long.order, onToken });
+    const answering = askChat({ ...long.chatRequest, onToken });
     await waitForDecision(daemon.process.log, 'choose');
     while (noticed === undefined) {
       // eslint-disable-next-line no-await-in-loop
@@ -66,14 +66,14 @@
     }
     await noticed;
     const before = countDispatches(leaver!);
-    const { order, expected } = createChat(daemon.port, 3);
-    const answers = await Promise.all(Array.from({ length: 8 }, () => askChat(order)));
+    const { chatRequest, expected } = createChat(daemon.port, 3);
+    const answers = await Promise.all(Array.from({ length: 8 }, () => askChat(chatRequest)));
     answers.forEach(({ tokens }) => expect(tokens).toEqual(expected));
     expect(countDispatches(leaver!)).toBe(before);
     expect((await answering).tokens).toEqual(long.expected);
     const runs = await leaver!.getRuns();
     expect(runs.map(({ completed }) => completed)).toEqual([true]);
-    await leaver!.fail({ kind: 'stay' });
+    await leaver!.injectFault({ kind: 'stay' });
     await askUntilRun(leaver!, 1);
   });
 
@@ -82,24 +82,26 @@
   // Cause: its return was noticed only by those who had asked it while it left.
   it('gets work again when nobody saw its leaving but by a refusal', async () => {
     let asked = 0;
-    const engine = new FakeEngine((name, response) => {
+    const engine = new FakeEngine((attemptId, response) => {
       asked += 1;
       if (asked === 1) {
         response.writeHead(503, { 'x-outcome': 'not-run', 'x-leaving': 'true' }).end('{}');
       } else {
-        response.end(`${getTokenEvent(name, 0, 'a')}${getFinishEvent(name)}data: [DONE]\n\n`);
+        response.end(
+          `${getTokenEvent(attemptId, 0, 'a')}${getFinishEvent(attemptId)}data: [DONE]\n\n`,
+        );
       }
     });
     engines.push(engine);
     const port = await engine.listen();
     const [other] = deployment.backends.splice(0);
     deployment.backends.push(other!);
-    deployment.addBackend('engines', port);
-    daemon = await deployment.startLoneDaemon();
+    deployment.registerExternalBackend('engines', port);
+    daemon = await deployment.startStandaloneDaemon();
     for (let turn = 0; asked < 3; turn += 1) {
-      const { order } = createChat(daemon.port, 3, 6, `posters, order ${turn}`);
+      const { chatRequest } = createChat(daemon.port, 3, 6, `posters, order ${turn}`);
       // eslint-disable-next-line no-await-in-loop
-      expect((await askChat(order)).whole).toBe(true);
+      expect((await askChat(chatRequest)).whole).toBe(true);
     }
   });
 });
--- a/packages/e2e/src/lib/requestFailures.test.ts
+++ b/packages/e2e/src/lib/requestFailures.test.ts
@@ -27,7 +27,7 @@
 
   async function startWith(fake: FakeEngine): Promise<void> {
     engine = fake;
-    deployment.addBackend('engines', await fake.listen());
+    deployment.registerExternalBackend('engines', await fake.listen());
     daemon = await LocalDaemon.start(deployment);
   }
 
@@ -56,21 +56,21 @@
   });
 
   it('when every attempt failed before the first token', async () => {
-    await startWith(new FakeEngine((_name, response) => response.destroy()));
-    const { order } = createChat(daemon.port, 2);
-    const answer = await askChat(order);
+    await startWith(new FakeEngine((_attemptId, response) => response.destroy()));
+    const { chatRequest } = createChat(daemon.port, 2);
+    const answer = await askChat(chatRequest);
     expect(answer).toMatchObject({ status: 503, problem: { outcome: 'failed' } });
     expect(Number(answer.retryAfter)).toBeGreaterThan(0);
   });
 
   it('when every attempt failed after the first token', async () => {
     await startWith(
-      new FakeEngine((name, response) => {
-        response.write(getTokenEvent(name, 0, 'half'), () => response.destroy());
+      new FakeEngine((attemptId, response) => {
+        response.write(getTokenEvent(attemptId, 0, 'half'), () => response.destroy());
       }),
     );
-    const { order } = createChat(daemon.port, 2);
-    const answer = await askChat(order);
+    const { chatRequest } = createChat(daemon.port, 2);
+    const answer = await askChat(chatRequest);
     expect(answer).toMatchObject({ status: 200, whole: false, problem: { outcome: 'failed' } });
     expect(answer.problem?.retryAfter).toBeGreaterThan(0);
   });
@@ -78,11 +78,11 @@
   // Asking again would find the same fault: there is no Retry-After.
   it('when the engine finds fault with the request: with its own status', async () => {
     await startWith(
-      new FakeEngine((_name, response) => {
+      new FakeEngine((_attemptId, response) => {
         response.writeHead(422).end('{"error":"too long for this model"}');
       }),
     );
-    const answer = await askWholeChat(createChat(daemon.port, 2).order);
+    const answer = await askWholeChat(createChat(daemon.port, 2).chatRequest);
     expect(answer).toMatchObject({ status: 422, body: { outcome: 'failed' } });
     expect(answer.retryAfter).toBeUndefined();
   });
--- a/packages/e2e/src/lib/requestOutcomes.test.ts
+++ b/packages/e2e/src/lib/requestOutcomes.test.ts
@@ -47,7 +47,7 @@
   it('sends a hold elsewhere whose connection was refused', async () => {
     const [first] = await startPortals(2);
     const { port } = await startDaemon();
-    await first!.fail({ kind: 'crash' }).catch(() => undefined);
+    await first!.injectFault({ kind: 'crash' }).catch(() => undefined);
     await first!.process.exited;
     deployment.backends.splice(deployment.backends.indexOf(first!), 1);
     const keys = ['hold-1', 'hold-2', 'hold-3'];
@@ -62,7 +62,7 @@
   it('proves a hold not run that nobody could be sent', async () => {
     const [portal] = await startPortals(1);
     const { port } = await startDaemon();
-    await portal!.fail({ kind: 'crash' }).catch(() => undefined);
+    await portal!.injectFault({ kind: 'crash' }).catch(() => undefined);
     await portal!.process.exited;
     const answer = await placeHold(port, 'hold-1');
     expect(answer).toMatchObject({ status: 503, body: { outcome: 'not-run' } });
@@ -72,7 +72,7 @@
 
   it('sends a hold elsewhere that was refused by the documented answer', async () => {
     const [first, second] = await startPortals(2);
-    await first!.fail({ kind: 'refuse', count: 1000 });
+    await first!.injectFault({ kind: 'refuse', count: 1000 });
     const { port } = await startDaemon();
     const answers = await Promise.all(['a', 'b', 'c', 'd'].map((key) => placeHold(port, key)));
     expect(getOutcomes(answers)).toEqual([200, 200, 200, 200]);
@@ -81,7 +81,7 @@
 
   it('proves a hold not run that everybody refused', async () => {
     const [portal] = await startPortals(1);
-    await portal!.fail({ kind: 'refuse', count: 1000 });
+    await portal!.injectFault({ kind: 'refuse', count: 1000 });
     const { port } = await startDaemon();
     const answer = await placeHold(port, 'hold-1');
     expect(answer).toMatchObject({ status: 503, body: { outcome: 'not-run' } });
@@ -95,7 +95,7 @@
   it('never sends a hold again whose connection broke', async () => {
     const portals = await startPortals(2);
     await Promise.all(
-      portals.map((portal) => portal.fail({ kind: 'drop-after', tokens: 0, count: 1 })),
+      portals.map((portal) => portal.injectFault({ kind: 'drop-after', tokens: 0, count: 1 })),
     );
     const { log, port } = await startDaemon();
     const answer = await placeHold(port, 'hold-1');
@@ -109,12 +109,12 @@
 
   it('never sends a hold again whose connection went silent', async () => {
     const [portal] = await startPortals(2);
-    await Promise.all(deployment.backends.map((each) => each.fail({ kind: 'stall' })));
+    await Promise.all(deployment.backends.map((each) => each.injectFault({ kind: 'stall' })));
     const { log, port } = await startDaemon();
     const answer = await placeHold(port, 'hold-1', { headers: HASTY_HOLD });
     expect(answer).toMatchObject({ status: 502, body: { outcome: 'unknown' } });
     expect(getDecisions(log, 'choose')).toHaveLength(1);
-    await Promise.all(deployment.backends.map((each) => each.fail({ kind: 'unstall' })));
+    await Promise.all(deployment.backends.map((each) => each.injectFault({ kind: 'unstall' })));
     await portal!.getRuns();
     expect(await countRuns('hold-1')).toBeLessThanOrEqual(1);
   });
@@ -122,10 +122,10 @@
   it('sends a check again whose connection broke, a bounded number of times', async () => {
     const [portal] = await startPortals(1);
     const { log, port } = await startDaemon();
-    await portal!.fail({ kind: 'drop-after', tokens: 0, count: 2 });
+    await portal!.injectFault({ kind: 'drop-after', tokens: 0, count: 2 });
     expect((await checkArtwork(port, '17')).status).toBe(200);
     expect(getDecisions(log, 'choose')).toHaveLength(3);
-    await portal!.fail({ kind: 'drop-after', tokens: 0, count: 1000 });
+    await portal!.injectFault({ kind: 'drop-after', tokens: 0, count: 1000 });
     const answer = await checkArtwork(port, '18');
     expect(answer).toMatchObject({ status: 503, body: { outcome: 'failed' } });
     expect(Number(answer.retryAfter)).toBeGreaterThan(0);
@@ -182,9 +182,9 @@
     const portals = await startPortals(3);
     await Promise.all(
       portals.flatMap((portal) => [
-        portal.fail({ kind: 'drop-after', tokens: 0, count: 3 }),
-        portal.fail({ kind: 'refuse', count: 5 }),
-        portal.fail({ kind: 'stray-answers', count: 6 }),
+        portal.injectFault({ kind: 'drop-after', tokens: 0, count: 3 }),
+        portal.injectFault({ kind: 'refuse', count: 5 }),
+        portal.injectFault({ kind: 'stray-answers', count: 6 }),
       ]),
     );
     const { port } = await startDaemon();
--- a/packages/e2e/src/lib/requestPath.test.ts
+++ b/packages/e2e/src/lib/requestPath.test.ts
@@ -13,15 +13,15 @@
     await deployment.startBackend('engines');
     await deployment.startBackend('engines');
     await deployment.startBackend('portal');
-    daemon = await deployment.startLoneDaemon();
+    daemon = await deployment.startStandaloneDaemon();
   });
 
   afterAll(() => deployment.dispose());
 
   it('streams a chat answer, whole and in order', async () => {
     const prompt = 'Quote 500 posters on matte paper.';
-    const order = { port: daemon.port, apiKey: API_KEY, model: MODEL, prompt, maxTokens: 40 };
-    const answer = await askChat(order);
+    const chatRequest = { port: daemon.port, apiKey: API_KEY, model: MODEL, prompt, maxTokens: 40 };
+    const answer = await askChat(chatRequest);
     expect(answer.status).toBe(200);
     expect(answer.whole).toBe(true);
     expect(answer.tokens).toEqual(getExpectedTokens(MODEL, getMessages(prompt), 40));
--- a/packages/e2e/src/lib/rollingRestart.test.ts
+++ b/packages/e2e/src/lib/rollingRestart.test.ts
@@ -1,21 +1,21 @@
 import { connect } from 'node:net';
 import { Balancer } from '../test/Balancer.js';
 import { Fleet } from '../test/Fleet.js';
-import { FleetCaller, getWord, isAnswered } from '../test/FleetCaller.js';
-import type { Answered } from '../test/FleetCaller.js';
+import { FleetCaller, describeResult, isAnswered } from '../test/FleetCaller.js';
+import type { CallResult } from '../test/FleetCaller.js';
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 import { Binary, Subprocess } from '../test/Subprocess.js';
 import { SHARDS, createKey, startShards } from '../test/shards.js';
 
 /** Nine daemons, each with its notice to the balancer. */
-const LONG = 240_000;
+const TEST_TIMEOUT_MS = 240_000;
 
 const CALLERS = 8;
 
 /** A call of the load, and the daemon it went to. */
 interface SentCall {
   entry: FleetDaemon;
-  answer: Answered;
+  answer: CallResult;
 }
 
 describe('nine daemons that are restarted', () => {
@@ -31,7 +31,7 @@
     await fleet.backends.startBackend('portal');
     await fleet.start(9);
     await startShards(fleet.daemons, caller);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterEach(async () => {
     expect(await fleet.checkHistory(caller.calls)).toEqual([]);
@@ -42,7 +42,7 @@
   /** Calls of every kind, one after the other, until it is told to stop. */
   async function callOn(balancer: Balancer, place: number, load: { isOver: boolean }) {
     const sent: SentCall[] = [];
-    const send = async (call: (entry: FleetDaemon) => Promise<Answered>) => {
+    const send = async (call: (entry: FleetDaemon) => Promise<CallResult>) => {
       const entry = await balancer.pick();
       sent.push({ entry, answer: await call(entry) });
     };
@@ -50,9 +50,9 @@
       const key = createKey((place + sent.length) % SHARDS);
       // One call after the other, as one caller makes them.
       // eslint-disable-next-line no-await-in-loop
-      await send((entry) => caller.hold(entry, key));
+      await send((entry) => caller.placeHold(entry, key));
       // eslint-disable-next-line no-await-in-loop
-      await send((entry) => caller.check(entry, key));
+      await send((entry) => caller.checkArtwork(entry, key));
       // eslint-disable-next-line no-await-in-loop
       await send((entry) => caller.chat(entry, 20));
     }
@@ -89,10 +89,12 @@
       });
       expect(codes).toEqual(fleet.daemons.map(() => 0));
       const failed = sent.filter(({ answer }) => !isAnswered(answer));
-      expect(failed.map(({ entry, answer }) => `${entry.id}: ${getWord(answer)}`)).toEqual([]);
+      expect(failed.map(({ entry, answer }) => `${entry.id}: ${describeResult(answer)}`)).toEqual(
+        [],
+      );
       expect(sent.length).toBeGreaterThan(CALLERS * fleet.daemons.length);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: a long answer ends in the middle at a release. Sequence: a daemon is told to stop while
@@ -111,12 +113,12 @@
           }
         },
       });
-      expect(getWord(answer)).toBe('answered');
+      expect(describeResult(answer)).toBe('answered');
       expect(await stopped).toBe(0);
       await daemon.start();
       await fleet.waitUntilJoined();
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: the crash of one daemon is felt by callers of others. Sequence: one is killed under
@@ -140,7 +142,7 @@
         }),
       );
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: a daemon that could not start stays, is never ready, and is not started again. Sequence:
--- a/packages/e2e/src/lib/shutdown.test.ts
+++ b/packages/e2e/src/lib/shutdown.test.ts
@@ -41,17 +41,17 @@
   let deployment: Deployment;
   let daemon: Daemon;
   let engine: FakeEngine;
-  const answers: { name: string; response: ServerResponse }[] = [];
+  const answers: { attemptId: string; response: ServerResponse }[] = [];
 
   beforeEach(async () => {
     answers.splice(0);
     deployment = new Deployment();
     await deployment.prepare();
-    engine = new FakeEngine((name, response) => {
-      response.write(getTokenEvent(name, 0, 'begun'));
-      answers.push({ name, response });
+    engine = new FakeEngine((attemptId, response) => {
+      response.write(getTokenEvent(attemptId, 0, 'begun'));
+      answers.push({ attemptId, response });
     });
-    deployment.addBackend('engines', await engine.listen());
+    deployment.registerExternalBackend('engines', await engine.listen());
   });
 
   afterEach(async () => {
@@ -60,9 +60,9 @@
   });
 
   const endAnswers = () =>
-    answers.splice(0).forEach(({ name, response }) => {
-      const end = `${getFinishEvent(name)}data: [DONE]\n\n`;
-      response.end(`${getTokenEvent(name, 1, ' ended')}${end}`);
+    answers.splice(0).forEach(({ attemptId, response }) => {
+      const end = `${getFinishEvent(attemptId)}data: [DONE]\n\n`;
+      response.end(`${getTokenEvent(attemptId, 1, ' ended')}${end}`);
     });
 
   const isDraining = () =>
@@ -73,9 +73,9 @@
   // callers keep connections for later. Cause: listening ends before the balancer knows, what is
   // being sent counts for nothing, or idle connections count for something.
   it('turns its readiness first, ends everything in flight, and exits', async () => {
-    daemon = await deployment.startLoneDaemon();
-    const streaming = askChat(createChat(daemon.port, 2).order);
-    await engine.waitForCount(1);
+    daemon = await deployment.startStandaloneDaemon();
+    const streaming = askChat(createChat(daemon.port, 2).chatRequest);
+    await engine.waitForRequestCount(1);
     const idle = new RawCaller(daemon.port).send(LIST_MODELS);
     await idle.getStatus();
     const unused = new RawCaller(daemon.port);
@@ -93,7 +93,7 @@
     await Promise.all([idle.closed, unused.closed]);
     expect(await getReadiness(daemon)).toBe(503);
     sending.send(body.slice(20));
-    await engine.waitForCount(2);
+    await engine.waitForRequestCount(2);
     endAnswers();
     expect(await streaming).toMatchObject({ whole: true, tokens: ['begun', ' ended'] });
     expect(await sending.waitFor('"usage"')).toContain('begun ended');
@@ -101,9 +101,9 @@
   });
 
   it('exits at once on a second signal', async () => {
-    daemon = await deployment.startLoneDaemon();
-    const cut = expect(askChat(createChat(daemon.port, 2).order)).rejects.toThrow();
-    await engine.waitForCount(1);
+    daemon = await deployment.startStandaloneDaemon();
+    const cut = expect(askChat(createChat(daemon.port, 2).chatRequest)).rejects.toThrow();
+    await engine.waitForRequestCount(1);
     daemon.process.signal('SIGTERM');
     await isDraining();
     daemon.process.signal('SIGINT');
--- a/packages/e2e/src/lib/stalledConnections.test.ts
+++ b/packages/e2e/src/lib/stalledConnections.test.ts
@@ -34,18 +34,18 @@
   // taken for the end of a connection. And a second answer on a younger connection to the same
   // engine must not be cut off for it: the path is suspect, not the server.
   it('goes on over a new connection, and leaves its neighbour alone', async () => {
-    const engine = await deployment.startRelayedBackend('engines', FAST);
+    const engine = await deployment.startProxiedBackend('engines', FAST);
     const { log, port } = await startDaemon();
     const silent = createChat(port, 40);
     const neighbour = createChat(port, 2500);
     let neighbouring: ReturnType<typeof askChat> | undefined;
     const onToken = (count: number) => {
       if (count === 10) {
-        engine.relay.silenceConnections();
-        neighbouring = askChat(neighbour.order);
+        engine.proxy.silenceConnections();
+        neighbouring = askChat(neighbour.chatRequest);
       }
     };
-    const answer = await askChat({ ...silent.order, headers: HASTY, onToken });
+    const answer = await askChat({ ...silent.chatRequest, headers: HASTY, onToken });
     expect(answer).toMatchObject({ status: 200, whole: true, tokens: silent.expected });
     expect((await neighbouring)?.tokens).toEqual(neighbour.expected);
     expect(getEnds(log)).toEqual(['broken', 'completed', 'completed']);
@@ -55,15 +55,15 @@
   // three pooled connections go silent while idle, checks are sent on them one by one. Cause: the
   // pool kept the neighbours of a connection that had been found silent.
   it('replaces the whole pool after one silent connection', async () => {
-    const portal = await deployment.startRelayedBackend('portal');
+    const portal = await deployment.startProxiedBackend('portal');
     const { log, port } = await startDaemon();
     const check = () => checkArtwork(port, '17', { headers: HASTY });
-    await portal.fail({ kind: 'stall' });
+    await portal.injectFault({ kind: 'stall' });
     const first = [check(), check(), check()];
-    await portal.relay.waitForCount(3);
-    await portal.fail({ kind: 'unstall' });
+    await portal.proxy.waitForCount(3);
+    await portal.injectFault({ kind: 'unstall' });
     await Promise.all(first);
-    portal.relay.silenceConnections();
+    portal.proxy.silenceConnections();
     expect(await check()).toMatchObject({ status: 200 });
     const later = await Promise.all([check(), check(), check()]);
     expect(later.map(({ status }) => status)).toEqual([200, 200, 200]);
@@ -74,10 +74,10 @@
   // goes silent while idle, and the hold is the first to use it. Cause: what may not be repeated
   // was sent on a connection nobody had proved.
   it('never sends a hold on a connection that was idle', async () => {
-    const portal = await deployment.startRelayedBackend('portal');
+    const portal = await deployment.startProxiedBackend('portal');
     const { log, port } = await startDaemon();
     await checkArtwork(port, '17');
-    portal.relay.silenceConnections();
+    portal.proxy.silenceConnections();
     expect(await placeHold(port, 'hold-1')).toMatchObject({ status: 200 });
     expect(getEnds(log)).toEqual(['completed', 'completed']);
     const runs = await portal.getRuns();
--- a/packages/e2e/src/lib/storeOutage.test.ts
+++ b/packages/e2e/src/lib/storeOutage.test.ts
@@ -5,7 +5,7 @@
 import { placeHolds, startShards } from '../test/shards.js';
 
 /** For what has to outlast leases and the patience of membership. */
-const LONG = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 const DOWN = { kind: 'down' } as const;
 
@@ -23,7 +23,7 @@
     await fleet.start(3);
     await startShards(fleet.daemons, caller);
     holder = await fleet.waitForHolder();
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterAll(() => fleet.dispose());
 
@@ -36,7 +36,7 @@
     'lets everything that runs go on, and a change wait',
     async () => {
       const [first, second, third] = fleet.daemons as [FleetDaemon, FleetDaemon, FleetDaemon];
-      await fleet.platform.fail(DOWN);
+      await fleet.platform.injectFault(DOWN);
 
       const lone = await fleet.addDaemon({ seeds: [] });
       await lone.start();
@@ -45,8 +45,8 @@
       await late.start();
 
       const keys = await placeHolds(caller, first);
-      await Promise.all(keys.map((key) => caller.hold(second, key)));
-      expect((await caller.check(third, '17')).end.kind).toBe('answered');
+      await Promise.all(keys.map((key) => caller.placeHold(second, key)));
+      expect((await caller.checkArtwork(third, '17')).end.kind).toBe('answered');
       expect((await caller.chat(third, 20)).end.kind).toBe('answered');
 
       // It has its configuration from its peers; the lone one has nobody to take one from.
@@ -54,7 +54,7 @@
       expect(await lone.isReady()).toBe(false);
       expect((await caller.chat(late, 20)).end.kind).toBe('answered');
 
-      const status = await fleet.operate('status', ...fleet.getDaemonOptions([first]));
+      const status = await fleet.runCommand('status', ...fleet.getDaemonOptions([first]));
       expect(status.code).toBe(ExitCode.Unavailable);
       expect(status.output).toMatch(/^accepted: unknown.*generation 1 is in force at 4 of 4/s);
 
@@ -66,18 +66,24 @@
       const files = fleet.getFiles();
       Object.assign(files.register.workspaces[0]!, { weight: 2 });
       const edit = await fleet.writeFiles(files);
-      const unheard = await fleet.operate('apply', '--base', '1', '--timeout', '0', ...edit);
+      const unheard = await fleet.runCommand('apply', '--base', '1', '--timeout', '0', ...edit);
       expect(unheard.code).toBe(ExitCode.Unavailable);
       expect(unheard.output).toContain('nothing was applied');
       const wait = ['--base', '1', '--wait', ...fleet.getDaemonOptions([first])];
-      const waiting = fleet.operate('apply', ...wait, '--timeout', String(LONG), ...edit);
-      await fleet.platform.fail(UP);
+      const waiting = fleet.runCommand(
+        'apply',
+        ...wait,
+        '--timeout',
+        String(TEST_TIMEOUT_MS),
+        ...edit,
+      );
+      await fleet.platform.injectFault(UP);
       expect((await waiting).code).toBe(ExitCode.Done);
       await Promise.all(fleet.daemons.map((daemon) => daemon.waitForGeneration(2)));
       await lone.waitUntilReady();
       await placeHolds(caller, lone);
       expect(await fleet.checkHistory(caller.calls)).toEqual([]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/packages/e2e/src/lib/unresponsiveClaimOwner.test.ts
+++ b/packages/e2e/src/lib/unresponsiveClaimOwner.test.ts
@@ -1,9 +1,9 @@
 import type { Backend } from '../test/Backend.js';
 import { Fleet } from '../test/Fleet.js';
-import { FleetCaller, getWord, isAnswered } from '../test/FleetCaller.js';
+import { FleetCaller, describeResult, isAnswered } from '../test/FleetCaller.js';
 import { createKey, startShards } from '../test/shards.js';
 
-const LONG = 60_000;
+const TEST_TIMEOUT_MS = 60_000;
 
 // A shop places a hold, its connection breaks, and it asks again at another daemon. The owner of the
 // key's shard gives no answer in time, so that daemon can't look the key up. It told the shop that the
@@ -21,7 +21,7 @@
     await fleet.prepare();
     portal = await fleet.backends.startBackend('portal');
     await fleet.start(3);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterAll(() => fleet.dispose());
 
@@ -32,20 +32,20 @@
       const [shard, { owner }] = [...shards][0]!;
       const [entry, other] = fleet.daemons.filter((daemon) => daemon !== owner);
       const key = createKey(shard);
-      await portal.fail({ kind: 'slow', factor: 200 });
-      const first = caller.hold(entry!, key);
+      await portal.injectFault({ kind: 'slow', factor: 200 });
+      const first = caller.placeHold(entry!, key);
       await portal.waitForRuns((runs) => runs.some(({ idempotencyKey }) => idempotencyKey === key));
       owner.freeze();
-      const again = await caller.hold(other!, key);
-      owner.wake();
-      expect(getWord(again)).toMatch(/ unknown$/);
+      const again = await caller.placeHold(other!, key);
+      owner.resume();
+      expect(describeResult(again)).toMatch(/ unknown$/);
       expect(Number(again.retryAfter)).toBeGreaterThan(0);
       expect(isAnswered(await first)).toBe(true);
-      await caller.holdUntilAnswered(other!, key);
+      await caller.placeHoldUntilAnswered(other!, key);
       const runs = await portal.getRuns();
       expect(runs.filter(({ idempotencyKey }) => idempotencyKey === key)).toHaveLength(1);
       expect(await fleet.checkHistory(caller.calls)).toEqual([]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/packages/e2e/src/lib/unresponsiveStore.test.ts
+++ b/packages/e2e/src/lib/unresponsiveStore.test.ts
@@ -3,7 +3,7 @@
 import { FleetCaller } from '../test/FleetCaller.js';
 import { placeHolds, startShards } from '../test/shards.js';
 
-const LONG = 120_000;
+const TEST_TIMEOUT_MS = 120_000;
 
 describe('a platform that is silent or slow', () => {
   const fleet = new Fleet();
@@ -15,14 +15,14 @@
     await fleet.backends.startBackend('portal');
     await fleet.start(3);
     await startShards(fleet.daemons, caller);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
-  afterEach(() => fleet.platform.fail({ kind: 'up' }));
+  afterEach(() => fleet.platform.injectFault({ kind: 'up' }));
 
   afterAll(() => fleet.dispose());
 
   async function changeUnder(fault: StoreFault): Promise<void> {
-    await fleet.platform.fail(fault);
+    await fleet.platform.injectFault(fault);
     generation = await fleet.apply(generation, ({ register }) => {
       Object.assign(register.workspaces[0]!, { weight: generation + 1 });
     });
@@ -37,7 +37,7 @@
     async () => {
       await changeUnder({ kind: 'silent-watches' });
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // The same, where something in between has lost track of the connections that are open.
@@ -46,7 +46,7 @@
     async () => {
       await changeUnder({ kind: 'silence-connections' });
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 
   // Symptom: holds wait for the store or are refused while it is slow. Sequence: each answer of the
@@ -57,9 +57,9 @@
       await changeUnder({ kind: 'slow', delayMs: 1500 });
       const [first, second] = fleet.daemons;
       const keys = await placeHolds(caller, first!);
-      await Promise.all(keys.map((key) => caller.hold(second!, key)));
+      await Promise.all(keys.map((key) => caller.placeHold(second!, key)));
       expect(await fleet.checkHistory(caller.calls)).toEqual([]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
--- a/packages/e2e/src/test/Backend.ts
+++ b/packages/e2e/src/test/Backend.ts
@@ -2,51 +2,59 @@
 import { request } from 'undici';
 import type { Subprocess } from './Subprocess.js';
 
-/** What ran at a backend server, by its own word: the oracle of the tests. */
+/**
+ * A run of a request as the backend server recorded it. Tests compare what callers saw with these
+ * records.
+ */
 export interface Run {
   requestId: string;
-  /** Engines: the first token of the run, above 0 when it was resumed. */
+  /**
+   * Engines: the index of the first token of the run, above 0 when the run resumed an earlier one.
+   */
   startIndex?: number;
-  /** Engines: the tokens it computed. */
+  /** Engines: the number of computed tokens. */
   tokens?: number;
-  /** Services: the key its caller gave. */
+  /** Services: the Idempotency-Key that the caller sent. */
   idempotencyKey?: string;
   completed: boolean;
 }
 
-/** A running stand-in of a backend server. */
+/** A running stand-in for a backend server. */
 export class Backend {
   readonly id: string;
 
   readonly service: string;
 
-  /** The port the register names. */
+  /** The port in the register. */
   readonly port: number;
 
   readonly process: Subprocess;
 
-  readonly relay: TcpProxy | undefined;
+  readonly proxy: TcpProxy | undefined;
 
   private readonly origin: string;
 
-  /** @param ownPort - where the backend server itself listens, behind any relay */
+  /**
+   * @param ownPort - the port on which the backend server itself listens, behind its proxy if it
+   * has one
+   */
   constructor(
     id: string,
     service: string,
     process: Subprocess,
     ownPort: number,
-    front?: { port: number; relay: TcpProxy },
+    front?: { port: number; proxy: TcpProxy },
   ) {
     this.id = id;
     this.service = service;
     this.process = process;
     this.port = front?.port ?? ownPort;
-    this.relay = front?.relay;
+    this.proxy = front?.proxy;
     this.origin = `http://127.0.0.1:${ownPort}`;
   }
 
-  /** Makes it fail as `POST /faults` of the stand-ins describes. */
-  async fail(fault: { kind: string; [key: string]: unknown }): Promise<void> {
+  /** Injects a fault through `POST /faults` of the stand-in. */
+  async injectFault(fault: { kind: string; [key: string]: unknown }): Promise<void> {
     const body = JSON.stringify(fault);
     const response = await request(`${this.origin}/faults`, { method: 'POST', body });
     await response.body.dump();
@@ -58,9 +66,9 @@
     return runs;
   }
 
-  /** Asks for the runs until they are as wanted. */
-  async waitForRuns(areThey: (runs: Run[]) => boolean): Promise<Run[]> {
+  /** Polls the runs until they match. */
+  async waitForRuns(matches: (runs: Run[]) => boolean): Promise<Run[]> {
     const runs = await this.getRuns();
-    return areThey(runs) ? runs : this.waitForRuns(areThey);
+    return matches(runs) ? runs : this.waitForRuns(matches);
   }
 }
--- a/packages/e2e/src/test/Balancer.ts
+++ b/packages/e2e/src/test/Balancer.ts
@@ -1,6 +1,6 @@
 import type { FleetDaemon } from './FleetDaemon.js';
 
-/** Sends each call to the next daemon that says it is ready, as the platform's balancer does. */
+/** Picks the next ready daemon in turn for each call, as the platform's load balancer does. */
 export class Balancer {
   private next = 0;
 
--- a/packages/e2e/src/test/Deployment.ts
+++ b/packages/e2e/src/test/Deployment.ts
@@ -7,7 +7,7 @@
 import { Backend } from './Backend.js';
 import { Binary, Subprocess } from './Subprocess.js';
 
-/** The key of the only workspace. */
+/** The API key of the only workspace. */
 export const API_KEY = 'key-of-painotalo';
 
 export const MODEL = 'kieli';
@@ -26,7 +26,7 @@
   port: number;
 }
 
-/** A daemon's settings, on ports that the system chooses. */
+/** Returns a daemon's settings, with ports that the operating system assigns. */
 export function getSettings(id: string, limits: Partial<CallerLimits> = {}) {
   return {
     id,
@@ -42,8 +42,8 @@
 }
 
 /**
- * The classes of the tests: an urgent check, a hold, a question and a draft, and hasty ones for
- * tests in which something goes silent.
+ * The request classes of the tests: an urgent check, a hold, a question and a draft, and the `hasty`
+ * classes with short targets for tests in which a connection or a backend server stops responding.
  */
 export const RULES = {
   classes: [
@@ -80,8 +80,8 @@
 };
 
 /**
- * Backend servers and daemons as separate processes, with the files they read. Everything it
- * started ends with {@link Deployment.dispose}.
+ * Backend servers and daemons as separate processes, with their configuration files.
+ * {@link Deployment.dispose} ends every process that was started.
  */
 export class Deployment {
   readonly backends: Backend[] = [];
@@ -90,12 +90,12 @@
 
   private readonly processes: Subprocess[] = [];
 
-  private readonly relays: TcpProxy[] = [];
+  private readonly proxies: TcpProxy[] = [];
 
-  /** Backend servers that a test runs itself. */
-  private readonly ownBackends: Address[] = [];
+  /** Backend servers that the test itself runs. */
+  private readonly externalBackends: Address[] = [];
 
-  private lastStandin = 0;
+  private standinCount = 0;
 
   private directory = '';
 
@@ -111,27 +111,27 @@
     return backend;
   }
 
-  /** The same, with a relay in front that can go silent. */
-  async startRelayedBackend(
+  /** Starts a backend server behind a TCP proxy that can silence its connections. */
+  async startProxiedBackend(
     service: 'engines' | 'portal',
     args: string[] = [],
-  ): Promise<Backend & { relay: TcpProxy }> {
+  ): Promise<Backend & { proxy: TcpProxy }> {
     const { id, process, port } = await this.startStandin(service, args);
-    const relay = new TcpProxy(port);
-    this.relays.push(relay);
-    const front = { port: await relay.listen(), relay };
+    const proxy = new TcpProxy(port);
+    this.proxies.push(proxy);
+    const front = { port: await proxy.listen(), proxy };
     const backend = new Backend(id, service, process, port, front);
     this.backends.push(backend);
-    return Object.assign(backend, { relay });
+    return Object.assign(backend, { proxy });
   }
 
-  /** Registers a backend server that the test runs itself. */
-  addBackend(service: 'engines' | 'portal', port: number): void {
-    this.ownBackends.push({ id: `own-${this.ownBackends.length + 1}`, service, port });
+  /** Adds a backend server that the test itself runs to the register. */
+  registerExternalBackend(service: 'engines' | 'portal', port: number): void {
+    this.externalBackends.push({ id: `own-${this.externalBackends.length + 1}`, service, port });
   }
 
-  /** Starts a daemon that runs alone on the files. */
-  async startLoneDaemon(limits: Partial<CallerLimits> = {}): Promise<Daemon> {
+  /** Starts a daemon without peers or platform, configured from files. */
+  async startStandaloneDaemon(limits: Partial<CallerLimits> = {}): Promise<Daemon> {
     const register = await this.write('register.jsonc', this.getRegister());
     const rules = await this.write('rules.jsonc', RULES);
     const id = `daemon-${this.daemons.length + 1}`;
@@ -144,14 +144,14 @@
     return daemon;
   }
 
-  /** The register of everything that was started. */
+  /** Returns the register with all backend servers added so far. */
   getRegister() {
     return {
       services: [
         { name: 'engines', kind: 'model', region: 'etela-suomi', models: [MODEL] },
         { name: 'portal', kind: 'plain', region: 'etela-suomi' },
       ],
-      replicas: [...this.backends, ...this.ownBackends].map(({ id, service, port }) => ({
+      replicas: [...this.backends, ...this.externalBackends].map(({ id, service, port }) => ({
         id,
         service,
         availabilityZone: 'espoo',
@@ -166,15 +166,15 @@
   }
 
   async dispose(): Promise<void> {
-    this.relays.forEach((relay) => relay.dispose());
+    this.proxies.forEach((proxy) => proxy.dispose());
     await Promise.all(this.processes.map((process) => process.dispose()));
     await rm(this.directory, { recursive: true, force: true });
   }
 
   private async startStandin(service: 'engines' | 'portal', args: string[]) {
     const binary = service === 'engines' ? Binary.Engine : Binary.Service;
-    this.lastStandin += 1;
-    const id = `${service}-${this.lastStandin}`;
+    this.standinCount += 1;
+    const id = `${service}-${this.standinCount}`;
     const process = this.start(binary, ['--port', '0', ...args]);
     const { port } = await process.getListening();
     return { id, process, port: port! };
--- a/packages/e2e/src/test/FakeEngine.ts
+++ b/packages/e2e/src/test/FakeEngine.ts
@@ -3,39 +3,41 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Writes one event of a streamed answer, by the attempt's own name. */
-export function getTokenEvent(name: string, index: number, content: string): string {
+/** Returns one token event of a streamed response, with the given attempt's id. */
+export function getTokenEvent(attemptId: string, index: number, content: string): string {
   const choices = [{ index: 0, delta: { content }, finish_reason: null }];
-  return `id: ${index}\ndata: ${JSON.stringify({ id: name, choices })}\n\n`;
+  return `id: ${index}\ndata: ${JSON.stringify({ id: attemptId, choices })}\n\n`;
 }
 
-/** The closing chunk of a streamed answer. */
-export function getFinishEvent(name: string): string {
+/** Returns the final chunk of a streamed response. */
+export function getFinishEvent(attemptId: string): string {
   const choices = [{ index: 0, delta: {}, finish_reason: 'stop' }];
-  return `data: ${JSON.stringify({ id: name, choices })}\n\n`;
+  return `data: ${JSON.stringify({ id: attemptId, choices })}\n\n`;
 }
 
-/** An engine that answers as a test wants, where the stand-in has no such fault. */
+/**
+ * An engine whose responses the test writes itself, for faults that the stand-in does not support.
+ */
 export class FakeEngine {
   private readonly server: Server;
 
-  private count = 0;
+  private requestCount = 0;
 
-  private readonly called = new ChangeSignal();
+  private readonly requestReceived = new ChangeSignal();
 
-  /** @param answer - writes the answer; told the attempt's name */
-  constructor(answer: (name: string, response: ServerResponse) => void) {
+  /** @param respond - writes the response to the attempt with the given id */
+  constructor(respond: (attemptId: string, response: ServerResponse) => void) {
     this.server = createServer((request: IncomingMessage, response) => {
       request.resume();
       if (request.method === 'GET') {
         response.end(JSON.stringify({ running: 0, waiting: 0, measuredAt: 0, leaving: false }));
         return;
       }
-      const name = String(request.headers['x-request-id']);
+      const attemptId = String(request.headers['x-request-id']);
       request.once('end', () => {
-        answer(name, response);
-        this.count += 1;
-        this.called.notify();
+        respond(attemptId, response);
+        this.requestCount += 1;
+        this.requestReceived.notify();
       });
     });
   }
@@ -47,9 +49,9 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Waits until that many requests have come. */
-  waitForCount(count: number): Promise<void> {
-    return this.called.waitUntil(() => this.count >= count);
+  /** Waits until at least this many requests have been received. */
+  waitForRequestCount(count: number): Promise<void> {
+    return this.requestReceived.waitUntil(() => this.requestCount >= count);
   }
 
   dispose(): void {
--- a/packages/e2e/src/test/Fleet.ts
+++ b/packages/e2e/src/test/Fleet.ts
@@ -16,41 +16,41 @@
 
 const REGION = 'etela-suomi';
 
-/** The availability zones, which daemons are dealt out to in turn. */
+/** The availability zones to which daemons are assigned in turn. */
 const ZONES = ['helsinki-a', 'helsinki-b', 'espoo'];
 
 type Register = ReturnType<Deployment['getRegister']>;
 
-/** The operators' two files. */
-export interface Files {
+/** The contents of the operators' two configuration files. */
+export interface ConfigurationFiles {
   register: Register;
   rules: typeof RULES;
 }
 
-/** How a daemon of a fleet differs from the others. */
+/** Options of one daemon of a fleet. */
 export interface FleetDaemonOptions {
   meshPort?: number;
-  /** Where the others reach its mesh, when that is not where it listens. */
+  /** The mesh port announced to peers, if it differs from the one on which the daemon listens. */
   announcedMeshPort?: number;
-  /** Mesh ports of the daemons it asks first; all of the fleet when absent. */
+  /** Mesh ports of the daemons to contact first. Default: all daemons of the fleet. */
   seeds?: number[];
 }
 
-/** A daemon as the platform lists it. */
-function getInstance({ id, availabilityZone }: FleetDaemon, port: number): Instance {
+/** Creates the entry of a daemon in the platform's instance list. */
+function createInstance({ id, availabilityZone }: FleetDaemon, port: number): Instance {
   const role = InstanceRole.Daemon;
   const state = InstanceState.Live;
   return { id, role, state, availabilityZone, host: '127.0.0.1', port };
 }
 
-function isGain({ kind, service }: Decision, wanted: string): boolean {
+function isLeaseGained({ kind, service }: Decision, wanted: string): boolean {
   return kind === 'lease-gained' && service === wanted;
 }
 
 /**
- * Router daemons in several availability zones as separate processes, joined by the platform's
- * stand-in and by each other, with the configuration that the operators' command line applied.
- * Everything it started ends with {@link Fleet.dispose}.
+ * Router daemons in several availability zones as separate processes, which find each other through
+ * the platform's stand-in and their peers. Their configuration is applied with the operators' command
+ * line. {@link Fleet.dispose} ends every process that was started.
  */
 export class Fleet {
   /** The backend servers. */
@@ -58,16 +58,16 @@
 
   readonly daemons: FleetDaemon[] = [];
 
-  /** Daemons that were killed and will not come back. */
-  private readonly lost: FleetDaemon[] = [];
+  /** Daemons that were killed and removed from the platform's list. */
+  private readonly removedDaemons: FleetDaemon[] = [];
 
   private platformProcess: PlatformProcess | undefined;
 
   private directory = '';
 
-  private written = 0;
+  private fileCount = 0;
 
-  private lastDaemon = 0;
+  private daemonCount = 0;
 
   get platform(): PlatformProcess {
     return this.platformProcess!;
@@ -80,13 +80,13 @@
     this.platformProcess = await PlatformProcess.start(platformArgs);
   }
 
-  /** Applies the first configuration and starts daemons; resolves when all know each other. */
+  /** Applies the first configuration and starts daemons. Resolves when every daemon has joined. */
   async start(count: number): Promise<void> {
     await this.apply(0);
     const meshPorts = await reservePorts(count);
     for (const meshPort of meshPorts) {
       const seeds = meshPorts.filter((port) => port !== meshPort);
-      // One after the other, so that they are numbered in the order of the list.
+      // Sequential, so that daemons are numbered in the order of the list.
       // eslint-disable-next-line no-await-in-loop
       await this.addDaemon({ meshPort, seeds });
     }
@@ -94,11 +94,11 @@
     await this.waitUntilJoined();
   }
 
-  /** Adds a daemon to the fleet and to the platform's list, without starting it. */
+  /** Adds a daemon to the fleet and to the platform's instance list without starting it. */
   async addDaemon(options: FleetDaemonOptions = {}): Promise<FleetDaemon> {
-    this.lastDaemon += 1;
-    const id = `daemon-${this.lastDaemon}`;
-    const zone = ZONES[(this.lastDaemon - 1) % ZONES.length]!;
+    this.daemonCount += 1;
+    const id = `daemon-${this.daemonCount}`;
+    const zone = ZONES[(this.daemonCount - 1) % ZONES.length]!;
     const seeds = options.seeds ?? this.daemons.map((daemon) => daemon.meshPort);
     const meshPort = options.meshPort ?? (await reservePorts(1))[0]!;
     const settings = await this.write(id, {
@@ -113,22 +113,26 @@
       seeds: seeds.map((port) => ({ host: '127.0.0.1', port })),
     });
     const announced = options.announcedMeshPort;
-    const announcing = announced === undefined ? [] : ['--announced-mesh-port', String(announced)];
-    const daemon = new FleetDaemon(id, zone, meshPort, ['--settings', settings, ...announcing]);
+    const announceArgs =
+      announced === undefined ? [] : ['--announced-mesh-port', String(announced)];
+    const daemon = new FleetDaemon(id, zone, meshPort, ['--settings', settings, ...announceArgs]);
     this.daemons.push(daemon);
-    await this.platform.putInstance(getInstance(daemon, announced ?? meshPort));
+    await this.platform.putInstance(createInstance(daemon, announced ?? meshPort));
     return daemon;
   }
 
-  /** Kills a daemon for good; the platform's list drops it with its lag. */
-  async lose(daemon: FleetDaemon): Promise<void> {
+  /**
+   * Kills a daemon and removes it from the platform's instance list, which shows the removal with
+   * its lag.
+   */
+  async killAndRemove(daemon: FleetDaemon): Promise<void> {
     this.daemons.splice(this.daemons.indexOf(daemon), 1);
-    this.lost.push(daemon);
+    this.removedDaemons.push(daemon);
     await daemon.kill();
     await this.platform.deleteInstance(daemon.id);
   }
 
-  /** Waits until every daemon is ready and knows all the others as alive. */
+  /** Waits until every daemon is ready and sees all others as alive. */
   async waitUntilJoined(): Promise<void> {
     const { daemons } = this;
     await Promise.all(
@@ -141,22 +145,30 @@
     );
   }
 
-  /** Waits until a daemon holds the lease on a service's engines. @returns the first that did */
+  /**
+   * Waits until a daemon gains the lease on a service's engines.
+   *
+   * @returns the first that gained it
+   */
   async waitForHolder(service = 'engines'): Promise<FleetDaemon> {
     const gains = this.daemons.map(async (daemon) => {
-      await daemon.waitForDecision('placement', (decision) => isGain(decision, service));
+      await daemon.waitForDecision('placement', (decision) => isLeaseGained(decision, service));
       return daemon;
     });
     return Promise.race(gains);
   }
 
-  /** The operators' files, as everything that was started wants them. */
-  getFiles(): Files {
+  /** Returns the operators' configuration files for all backend servers added so far. */
+  getFiles(): ConfigurationFiles {
     return structuredClone({ register: this.backends.getRegister(), rules: RULES });
   }
 
-  /** Writes the operators' two files. @returns the arguments that name them */
-  async writeFiles({ register, rules }: Files): Promise<string[]> {
+  /**
+   * Writes the operators' two configuration files.
+   *
+   * @returns the command-line arguments that name them
+   */
+  async writeFiles({ register, rules }: ConfigurationFiles): Promise<string[]> {
     return [
       '--register',
       await this.write('register', register),
@@ -165,32 +177,44 @@
     ];
   }
 
-  /** Runs a command of the operators that asks the platform. */
-  operate(command: string, ...args: string[]): Promise<OperatorResult> {
+  /** Runs a command of the operators' command line against the platform. */
+  runCommand(command: string, ...args: string[]): Promise<OperatorResult> {
     return runOperator([command, '--platform', this.platform.url, ...args]);
   }
 
-  /** Has an edit of the files accepted on a base. @throws when it is not accepted */
-  async apply(base: number, edit: (files: Files) => void = () => undefined): Promise<number> {
+  /**
+   * Applies an edit of the configuration files on a base.
+   *
+   * @returns the new generation.
+   * @throws if the edit is not accepted
+   */
+  async apply(
+    base: number,
+    edit: (files: ConfigurationFiles) => void = () => undefined,
+  ): Promise<number> {
     const files = this.getFiles();
     edit(files);
-    const named = await this.writeFiles(files);
-    const result = await this.operate('apply', '--base', String(base), ...named);
+    const fileArgs = await this.writeFiles(files);
+    const result = await this.runCommand('apply', '--base', String(base), ...fileArgs);
     if (result.code !== 0) {
       throw new Error(`apply: ${result.code}\n${result.output}${result.errors.join('\n')}`);
     }
     return base + 1;
   }
 
-  /** The admin addresses of the daemons, as options of the command line. */
+  /** Returns the admin addresses of the daemons as command-line options. */
   getDaemonOptions(daemons: readonly FleetDaemon[] = this.daemons): string[] {
     return daemons.flatMap(({ adminPort }) => ['--daemon', `127.0.0.1:${adminPort}`]);
   }
 
-  /** What was violated so far, by what callers, backend servers and logs say. */
+  /**
+   * Checks everything that callers, backend servers and logs recorded so far.
+   *
+   * @returns the violations
+   */
   async checkHistory(calls: readonly RecordedCall[]): Promise<string[]> {
     const runs = await Promise.all(this.backends.backends.map((backend) => backend.getRuns()));
-    const versions = [...this.daemons, ...this.lost].map(({ id, processes }) => ({
+    const versions = [...this.daemons, ...this.removedDaemons].map(({ id, processes }) => ({
       daemon: id,
       generations: processes.flatMap(({ log }) =>
         getGenerations(getDecisions(log, 'configuration')),
@@ -199,8 +223,8 @@
     return checkHistory({ calls, runs: runs.flat(), versions });
   }
 
-  /** A backend server as the platform lists it. */
-  async listBackend(id: string, state: InstanceState): Promise<void> {
+  /** Sets the entry of a backend server in the platform's instance list. */
+  async putBackendInstance(id: string, state: InstanceState): Promise<void> {
     const { replicas } = this.backends.getRegister();
     const { availabilityZone, host, port } = replicas.find((replica) => replica.id === id)!;
     const role = InstanceRole.BackendServer;
@@ -208,23 +232,23 @@
   }
 
   /**
-   * Ends all. With `FLEET_LOGS` set to a folder, what the daemons logged is kept there: what a run
-   * shows only once can be traced no other way.
+   * Ends all processes. If `FLEET_LOGS` names a folder, the daemons' logs are saved there, since a
+   * failure that does not recur can only be traced from the logs of its run.
    */
   async dispose(): Promise<void> {
-    await Promise.all([...this.daemons, ...this.lost].map((daemon) => daemon.dispose()));
-    await this.keepLogs(process.env.FLEET_LOGS);
+    await Promise.all([...this.daemons, ...this.removedDaemons].map((daemon) => daemon.dispose()));
+    await this.saveLogs(process.env.FLEET_LOGS);
     await this.platformProcess?.process.dispose();
     await this.backends.dispose();
     await rm(this.directory, { recursive: true, force: true });
   }
 
-  private async keepLogs(folder: string | undefined): Promise<void> {
+  private async saveLogs(folder: string | undefined): Promise<void> {
     if (folder === undefined) {
       return;
     }
     await mkdir(folder, { recursive: true });
-    const logs = [...this.daemons, ...this.lost].map(({ id, processes }) => ({
+    const logs = [...this.daemons, ...this.removedDaemons].map(({ id, processes }) => ({
       id,
       lines: processes.flatMap(({ log }) => log.lines),
     }));
@@ -234,8 +258,8 @@
   }
 
   private async write(name: string, value: unknown): Promise<string> {
-    this.written += 1;
-    const path = join(this.directory, `${name}-${this.written}.jsonc`);
+    this.fileCount += 1;
+    const path = join(this.directory, `${name}-${this.fileCount}.jsonc`);
     await writeFile(path, JSON.stringify(value, undefined, 2));
     return path;
   }
--- a/packages/e2e/src/test/FleetCaller.ts
+++ b/packages/e2e/src/test/FleetCaller.ts
@@ -7,27 +7,27 @@
 import type { CallEnd, RecordedCall } from './history.js';
 import { pollUntil } from './pollUntil.js';
 
-/** Where a caller asks. */
-export interface Entry {
+/** The daemon that a caller sends its request to. */
+export interface EntryDaemon {
   port: number;
 }
 
-/** Where a call goes and by which connections. */
+/** Options of a call. */
 export interface CallOptions {
   dispatcher?: Dispatcher;
 }
 
-interface PlainBody {
+interface ServiceBody {
   run?: number;
   echo?: string;
   outcome?: string;
   type?: string;
 }
 
-/** What a caller got, with the problem of a refusal. */
-export type Answered = RecordedCall & { retryAfter?: string };
+/** The result of a call, with the Retry-After header if there was one. */
+export type CallResult = RecordedCall & { retryAfter?: string };
 
-function getEnd(status: number, body: PlainBody, sent: string): CallEnd {
+function getEnd(status: number, body: ServiceBody, sent: string): CallEnd {
   if (status === 200) {
     const echo = createHash('sha256').update(sent).digest('hex');
     return { kind: 'answered', run: body.run, isOwn: body.echo === echo };
@@ -36,74 +36,81 @@
   return { kind: 'refused', status, outcome, type };
 }
 
-/** Whether the whole answer came. */
+/** Returns whether the call was answered. */
 export function isAnswered({ end }: RecordedCall): boolean {
   return end.kind === 'answered';
 }
 
-/** What a caller was told in two words: the reason of a refusal and what became of the request. */
-export function getWord({ end }: RecordedCall): string {
+/**
+ * Describes a result in at most two words: for a refusal, its reason and the outcome of the
+ * request.
+ */
+export function describeResult({ end }: RecordedCall): string {
   return end.kind === 'refused' ? `${end.type.split(':').at(-1)} ${end.outcome}` : end.kind;
 }
 
-/** The request may have run, and nobody will ever tell. */
-export const UNKNOWN = 'claim-unavailable unknown';
+/** The result if the claim was lost: the request may have run, and no daemon knows. */
+export const LOST_CLAIM = 'claim-unavailable unknown';
 
 /**
- * Whether the caller was told for good what became of its key. What passes, such as an owner that
- * gives no answer, has the same word as what nobody will ever know; but it says when to ask again.
+ * Returns whether the result of a key is final. A temporary failure, such as an owner that does not
+ * respond, has the same description as a lost claim, but it carries a Retry-After header.
  */
-export function isToldForGood(answered: Answered): boolean {
-  const isLost = getWord(answered) === UNKNOWN && answered.retryAfter === undefined;
-  return isAnswered(answered) || isLost;
+export function isFinal(answered: CallResult): boolean {
+  const isClaimLost = describeResult(answered) === LOST_CLAIM && answered.retryAfter === undefined;
+  return isAnswered(answered) || isClaimLost;
 }
 
-/** A caller that writes down what it got for each call, for the check of the whole history. */
+/** A caller that records the result of each call for the history check. */
 export class FleetCaller {
   readonly calls: RecordedCall[] = [];
 
-  /** Places a hold, which may not be repeated: once, and whatever comes of it. */
-  hold(entry: Entry, key: string, options: CallOptions = {}): Promise<Answered> {
+  /** Places a hold, which is not repeatable, with a single call. */
+  placeHold(entry: EntryDaemon, key: string, options: CallOptions = {}): Promise<CallResult> {
     const body = JSON.stringify({ hold: key });
     return this.send(entry, { method: 'POST', path: '/holds', key, body }, options);
   }
 
-  /** Asks in turn until there is an answer, as callers do that are told to ask again. */
-  holdUntilAnswered(entry: Entry, key: string): Promise<Answered> {
-    return pollUntil(() => this.hold(entry, key), isAnswered);
+  /** Repeats the call until it is answered, as callers do that receive a Retry-After header. */
+  placeHoldUntilAnswered(entry: EntryDaemon, key: string): Promise<CallResult> {
+    return pollUntil(() => this.placeHold(entry, key), isAnswered);
   }
 
-  /** Checks an artwork's status, which may be repeated. */
-  check(entry: Entry, artwork: string, options: CallOptions = {}): Promise<Answered> {
+  /** Checks an artwork's status, which is repeatable. */
+  checkArtwork(
+    entry: EntryDaemon,
+    artwork: string,
+    options: CallOptions = {},
+  ): Promise<CallResult> {
     return this.send(entry, { method: 'GET', path: `/artwork/${artwork}`, body: '' }, options);
   }
 
-  /** Asks for a streamed chat completion of at least so many tokens. */
+  /** Requests a streamed chat completion of at least this many tokens. */
   async chat(
-    entry: Entry,
-    atLeast: number,
+    entry: EntryDaemon,
+    minTokens: number,
     options: { onToken?: (count: number) => void } = {},
-  ): Promise<Answered> {
-    const { order, expected } = createChat(entry.port, atLeast);
+  ): Promise<CallResult> {
+    const { chatRequest, expected } = createChat(entry.port, minTokens);
     try {
-      const answer = await askChat({ ...order, ...options });
+      const answer = await askChat({ ...chatRequest, ...options });
       const { requestId, status, problem, whole, tokens } = answer;
       if (!whole) {
         const { outcome = 'none', type = 'none' } = problem ?? {};
-        return this.note({ requestId, end: { kind: 'refused', status, outcome, type } });
+        return this.recordCall({ requestId, end: { kind: 'refused', status, outcome, type } });
       }
       const isOwn = tokens.join('') === expected.join('');
-      return this.note({ requestId, end: { kind: 'answered', run: undefined, isOwn } });
+      return this.recordCall({ requestId, end: { kind: 'answered', run: undefined, isOwn } });
     } catch {
-      return this.note({ end: { kind: 'cut' } });
+      return this.recordCall({ end: { kind: 'cut' } });
     }
   }
 
   private async send(
-    { port }: Entry,
+    { port }: EntryDaemon,
     call: { method: 'GET' | 'POST'; path: string; key?: string; body: string },
     { dispatcher }: CallOptions,
-  ): Promise<Answered> {
+  ): Promise<CallResult> {
     const { method, path, key, body } = call;
     const headers = {
       authorization: `Bearer ${API_KEY}`,
@@ -113,16 +120,16 @@
     try {
       const response = await request(`http://127.0.0.1:${port}/services/portal${path}`, options);
       const requestId = response.headers['x-request-id'] as string | undefined;
-      const answer = (await response.body.json()) as PlainBody;
+      const answer = (await response.body.json()) as ServiceBody;
       const retryAfter = response.headers['retry-after'] as string | undefined;
       const end = getEnd(response.statusCode, answer, body);
-      return { ...this.note({ key, requestId, end }), retryAfter };
+      return { ...this.recordCall({ key, requestId, end }), retryAfter };
     } catch {
-      return this.note({ key, end: { kind: 'cut' } });
+      return this.recordCall({ key, end: { kind: 'cut' } });
     }
   }
 
-  private note(call: RecordedCall): RecordedCall {
+  private recordCall(call: RecordedCall): RecordedCall {
     this.calls.push(call);
     return call;
   }
--- a/packages/e2e/src/test/FleetDaemon.ts
+++ b/packages/e2e/src/test/FleetDaemon.ts
@@ -4,32 +4,35 @@
 import { pollUntil } from './pollUntil.js';
 import { Binary, Subprocess } from './Subprocess.js';
 
-/** What a daemon shows of a member. */
-export interface SeenMember {
+/** A member of the mesh in a daemon's admin interface. */
+export interface MemberStatus {
   id: string;
   state: string;
   generation: number;
 }
 
-/** What a daemon shows of itself. */
+/** A daemon's status in its admin interface. */
 export interface DaemonStatus {
   generation: number;
   inFlight: number;
 }
 
-const STATUS_TIMEOUT = 1000;
+const STATUS_TIMEOUT_MS = 1000;
 
-/** A router daemon as a process, which tests stop, kill, freeze and start again. */
+/** A router daemon that tests stop, kill, freeze and restart as a process. */
 export class FleetDaemon {
-  /** Every process that ran under this id, the newest last. */
+  /** All processes that ran under this id, newest last. */
   readonly processes: Subprocess[] = [];
 
   port = 0;
 
   adminPort = 0;
 
-  /** Readiness and status are asked for on connections that no frozen process can hold up. */
-  private readonly agent = new Agent({ connections: 4, headersTimeout: STATUS_TIMEOUT });
+  /**
+   * Separate connections with a timeout, so that a frozen process cannot block readiness and status
+   * requests.
+   */
+  private readonly agent = new Agent({ connections: 4, headersTimeout: STATUS_TIMEOUT_MS });
 
   constructor(
     readonly id: string,
@@ -51,13 +54,13 @@
     this.adminPort = adminPort!;
   }
 
-  /** Shuts it down gracefully. @returns the exit code */
+  /** Shuts the daemon down gracefully. @returns the exit code */
   async stop(): Promise<number | string> {
     this.process.signal('SIGTERM');
     return this.process.exited;
   }
 
-  /** Ends it as a crash does. */
+  /** Kills the process without a shutdown, as in a crash. */
   async kill(): Promise<void> {
     this.process.signal('SIGKILL');
     await this.process.exited;
@@ -67,14 +70,14 @@
     this.process.signal('SIGSTOP');
   }
 
-  wake(): void {
+  resume(): void {
     this.process.signal('SIGCONT');
   }
 
-  /** What the balancer asks. */
+  /** Queries the readiness endpoint that the load balancer uses. */
   async isReady(): Promise<boolean> {
     try {
-      const response = await this.ask('/ready');
+      const response = await this.requestAdmin('/ready');
       await response.body.dump();
       return response.statusCode === 200;
     } catch {
@@ -90,21 +93,21 @@
   }
 
   async getStatus(): Promise<DaemonStatus> {
-    const response = await this.ask('/admin/status');
+    const response = await this.requestAdmin('/admin/status');
     return (await response.body.json()) as DaemonStatus;
   }
 
-  async getMembers(): Promise<SeenMember[]> {
-    const response = await this.ask('/admin/members');
-    const { members } = (await response.body.json()) as { members: SeenMember[] };
+  async getMembers(): Promise<MemberStatus[]> {
+    const response = await this.requestAdmin('/admin/members');
+    const { members } = (await response.body.json()) as { members: MemberStatus[] };
     return members;
   }
 
-  async waitForMembers(areThey: (members: SeenMember[]) => boolean): Promise<SeenMember[]> {
-    return pollUntil(() => this.getMembers(), areThey);
+  async waitForMembers(matches: (members: MemberStatus[]) => boolean): Promise<MemberStatus[]> {
+    return pollUntil(() => this.getMembers(), matches);
   }
 
-  /** Waits until the running process has put this generation, or a higher one, in force. */
+  /** Waits until the running process has put this generation or a later one into force. */
   async waitForGeneration(generation: number): Promise<void> {
     await waitForDecision(
       this.process.log,
@@ -113,14 +116,14 @@
     );
   }
 
-  /** The decisions of the running process so far. */
+  /** Returns the decisions that the running process has logged so far. */
   getDecisions(step: string): Decision[] {
     return getDecisions(this.process.log, step);
   }
 
-  /** Waits for a decision of the running process that has come or will come. */
-  waitForDecision(step: string, isIt?: (decision: Decision) => boolean): Promise<Decision> {
-    return waitForDecision(this.process.log, step, isIt);
+  /** Waits for a matching decision in the running process's log, past or future. */
+  waitForDecision(step: string, matches?: (decision: Decision) => boolean): Promise<Decision> {
+    return waitForDecision(this.process.log, step, matches);
   }
 
   async dispose(): Promise<void> {
@@ -128,7 +131,7 @@
     await this.agent.destroy();
   }
 
-  private ask(path: string) {
+  private requestAdmin(path: string) {
     return request(`http://127.0.0.1:${this.adminPort}${path}`, { dispatcher: this.agent });
   }
 }
--- a/packages/e2e/src/test/LineLog.ts
+++ b/packages/e2e/src/test/LineLog.ts
@@ -1,4 +1,4 @@
-/** Lines as they come, to be waited for. */
+/** Collects log lines and lets tests wait for a matching one. */
 export class LineLog {
   readonly lines: string[] = [];
 
@@ -9,15 +9,15 @@
     [...this.watchers].forEach((watcher) => watcher(line));
   }
 
-  /** Waits for a line that has come or will come. */
-  waitFor(isIt: (line: string) => boolean): Promise<string> {
-    const known = this.lines.find(isIt);
+  /** Waits for a matching line, past or future. */
+  waitFor(matches: (line: string) => boolean): Promise<string> {
+    const known = this.lines.find(matches);
     if (known !== undefined) {
       return Promise.resolve(known);
     }
     return new Promise((resolve) => {
       const watcher = (line: string) => {
-        if (isIt(line)) {
+        if (matches(line)) {
           this.watchers.delete(watcher);
           resolve(line);
         }
--- a/packages/e2e/src/test/LocalDaemon.ts
+++ b/packages/e2e/src/test/LocalDaemon.ts
@@ -9,7 +9,7 @@
 import { MemoryClaims } from './MemoryClaims.js';
 import type { ClaimPort } from './MemoryClaims.js';
 
-/** What a daemon shares when there is nobody to share it with. */
+/** Creates the shared state of a daemon without peers. */
 function createLocalState(deployment: Deployment, claims: ClaimPort): SharedState {
   const start = (listener: SharedStateListener) => {
     const result = parseConfiguration({
@@ -38,7 +38,7 @@
   return shared;
 }
 
-/** A daemon in the test's own process, where the test holds its claims in its hands. */
+/** A daemon inside the test's process, with claims that the test controls. */
 export class LocalDaemon {
   readonly log = new LineLog();
 
--- a/packages/e2e/src/test/MemoryClaims.ts
+++ b/packages/e2e/src/test/MemoryClaims.ts
@@ -1,15 +1,15 @@
 import type { SharedState } from '@apricotrill/router';
 
-/** Where a daemon claims keys. */
+/** The interface through which a daemon claims keys. */
 export type ClaimPort = SharedState['claims'];
 
 type ClaimVerdict = Awaited<ReturnType<ClaimPort['claim']>>;
 type ClaimRequest = Parameters<ClaimPort['claim']>[0];
 type ClaimEnd = Parameters<Extract<ClaimVerdict, { kind: 'granted' }>['end']>[0];
 
-/** Claims kept in memory, as one daemon alone would see them. */
+/** In-memory claims of a single daemon. */
 export class MemoryClaims implements ClaimPort {
-  /** How each key ended; running while it has not. */
+  /** How each claim ended, or `running` if it has not ended yet. */
   readonly ends = new Map<string, ClaimEnd | { kind: 'running' }>();
 
   claim({ key }: ClaimRequest): Promise<ClaimVerdict> {
--- a/packages/e2e/src/test/PlatformProcess.ts
+++ b/packages/e2e/src/test/PlatformProcess.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici';
 import { Binary, Subprocess } from './Subprocess.js';
 
-/** The calls the stand-in has counted. */
+/** The numbers of calls that the stand-in has counted. */
 export interface PlatformCounters {
   reads: number;
   writes: number;
@@ -27,12 +27,12 @@
     return `http://127.0.0.1:${this.port}`;
   }
 
-  /** Makes it fail as `POST /faults` of the stand-in describes. */
-  async fail(fault: StoreFault): Promise<void> {
+  /** Injects a fault through `POST /faults` of the stand-in. */
+  async injectFault(fault: StoreFault): Promise<void> {
     await this.send('POST', '/faults', fault);
   }
 
-  /** Tells it of an instance, which its list shows with its lag. */
+  /** Adds or updates an instance. The instance list shows the change with its lag. */
   async putInstance(instance: Instance): Promise<void> {
     await this.send('PUT', `/instances/${instance.id}`, instance);
   }
@@ -46,7 +46,7 @@
     return (await response.body.json()) as PlatformCounters;
   }
 
-  /** The value of an object; undefined when there is none. */
+  /** Returns the value of an object, or undefined if it does not exist. */
   async getValue(key: string): Promise<string | undefined> {
     const response = await request(`${this.url}/objects/${key}`);
     const text = await response.body.text();
--- a/packages/e2e/src/test/Subprocess.ts
+++ b/packages/e2e/src/test/Subprocess.ts
@@ -6,7 +6,7 @@
 
 const PACKAGES = fileURLToPath(new URL('../../../', import.meta.url));
 
-/** Where each binary lies under `packages/`. */
+/** The path of each binary under `packages/`. */
 export enum Binary {
   Router = 'router/dist/bin/apricotrill-router.js',
   Platform = 'standins/dist/bin/apricotrill-standin-platform.js',
@@ -15,11 +15,11 @@
   Operator = 'cli/dist/bin/apricotrill.js',
 }
 
-/** One of our processes, started by a test and ended by its id. */
+/** A process of one of our binaries that a test starts and ends. */
 export class Subprocess {
   readonly child: ChildProcess;
 
-  /** Resolves with the exit code, or the signal's name. */
+  /** Resolves with the exit code or the name of the signal. */
   readonly exited: Promise<number | string>;
 
   readonly log = new LineLog();
@@ -36,7 +36,10 @@
     createInterface({ input: this.child.stderr! }).on('line', (line) => this.log.add(line));
   }
 
-  /** The first line on standard output, as JSON: where the process listens. */
+  /**
+   * Reads the ports on which the process listens, from the JSON in its first line on standard
+   * output.
+   */
   async getListening(): Promise<Record<string, number>> {
     const lines = createInterface({ input: this.child.stdout! });
     const line = await Promise.race([
@@ -50,9 +53,9 @@
     return (JSON.parse(line) as { listening: Record<string, number> }).listening;
   }
 
-  /** Waits for a log line that has come or will come. */
-  waitForLog(isIt: (line: string) => boolean): Promise<string> {
-    return this.log.waitFor(isIt);
+  /** Waits for a matching log line, past or future. */
+  waitForLog(matches: (line: string) => boolean): Promise<string> {
+    return this.log.waitFor(matches);
   }
 
   signal(signal: NodeJS.Signals): void {
--- a/packages/e2e/src/test/admin.ts
+++ b/packages/e2e/src/test/admin.ts
@@ -4,7 +4,7 @@
   adminPort: number;
 }
 
-/** What the admin port shows of a service. */
+/** A service in the status of the admin interface. */
 interface ServiceStatus {
   service: string;
   waiting: Record<string, number>;
@@ -12,38 +12,38 @@
   replicas: { id: string; leaving: boolean; running: number }[];
 }
 
-/** What the admin port shows of a daemon. */
+/** The status of a daemon in its admin interface. */
 interface DaemonStatus {
   inFlight: number;
   stopping: boolean;
   scheduler: { services: ServiceStatus[] };
 }
 
-/** The status of a daemon as operators see it. */
+/** Requests the status of a daemon from its admin interface. */
 export async function getStatus({ adminPort }: Daemon): Promise<DaemonStatus> {
   const response = await request(`http://127.0.0.1:${adminPort}/admin/status`);
   return (await response.body.json()) as DaemonStatus;
 }
 
-/** Asks for the status of a service until it is as wanted. */
+/** Polls the status of a service until it matches. */
 export async function waitForService(
   daemon: Daemon,
   name: string,
-  isIt: (service: ServiceStatus) => boolean,
+  matches: (service: ServiceStatus) => boolean,
 ): Promise<ServiceStatus> {
   const { scheduler } = await getStatus(daemon);
   const service = scheduler.services.find((each) => each.service === name)!;
-  return isIt(service) ? service : waitForService(daemon, name, isIt);
+  return matches(service) ? service : waitForService(daemon, name, matches);
 }
 
-/** The status of the readiness answer. */
+/** Returns the HTTP status of the readiness endpoint. */
 export async function getReadiness({ adminPort }: Daemon): Promise<number> {
   const response = await request(`http://127.0.0.1:${adminPort}/ready`);
   await response.body.dump();
   return response.statusCode;
 }
 
-/** The value of one series of the metrics; 0 when there is none. */
+/** Returns the value of one metric series, or 0 if the series does not exist. */
 export async function getMetric({ adminPort }: Daemon, series: string): Promise<number> {
   const response = await request(`http://127.0.0.1:${adminPort}/metrics`);
   const lines = (await response.body.text()).split('\n');
--- a/packages/e2e/src/test/calls.ts
+++ b/packages/e2e/src/test/calls.ts
@@ -5,7 +5,7 @@
 import type { ChatAnswer } from './chat.js';
 import { API_KEY, MODEL } from './Deployment.js';
 
-/** The answer to a plain call, or to an unstreamed chat. */
+/** The response to a plain call or to a chat completion without streaming. */
 export interface CallAnswer<Body> {
   status: number;
   retryAfter?: string;
@@ -14,23 +14,26 @@
 
 export type Problem = NonNullable<ChatAnswer['problem']>;
 
-/** A chat whose answer has at least that many tokens, and the answer it must get. */
+/**
+ * Creates a chat request whose answer has at least this many tokens, and returns it with the
+ * expected answer.
+ */
 export function createChat(
   port: number,
-  atLeast: number,
-  maxTokens = 2 * atLeast,
+  minTokens: number,
+  maxTokens = 2 * minTokens,
   topic = 'posters on matte paper',
 ) {
   for (let turn = 0; ; turn += 1) {
     const prompt = `Quote ${turn} ${topic}.`;
     const expected = getExpectedTokens(MODEL, getMessages(prompt), maxTokens);
-    if (expected.length >= atLeast) {
-      return { order: { port, apiKey: API_KEY, model: MODEL, prompt, maxTokens }, expected };
+    if (expected.length >= minTokens) {
+      return { chatRequest: { port, apiKey: API_KEY, model: MODEL, prompt, maxTokens }, expected };
     }
   }
 }
 
-type ChatOrder = ReturnType<typeof createChat>['order'];
+type ChatRequest = ReturnType<typeof createChat>['chatRequest'];
 
 async function send<Body>(
   url: string,
@@ -50,9 +53,9 @@
   };
 }
 
-/** Asks for a chat completion in one piece. */
-export function askWholeChat(order: ChatOrder, signal?: AbortSignal) {
-  const { port, model, prompt, maxTokens } = order;
+/** Requests a chat completion without streaming. */
+export function askWholeChat(chatRequest: ChatRequest, signal?: AbortSignal) {
+  const { port, model, prompt, maxTokens } = chatRequest;
   const body = { model, messages: getMessages(prompt), max_tokens: maxTokens };
   return send<{ choices: { message: { content: string } }[] } & Partial<Problem>>(
     `http://127.0.0.1:${port}/v1/chat/completions`,
@@ -60,10 +63,10 @@
   );
 }
 
-/** What the stand-in of a plain service answers, or the problem there was. */
+/** The response body of the plain service's stand-in, or a problem. */
 type PortalBody = { run?: number; echo?: string; requestId?: string } & Partial<Problem>;
 
-/** The header by which a test asks for a hasty class. */
+/** The header that requests the `hasty` class. */
 export const HASTY = { 'x-apricotrill-class': 'hasty' };
 
 interface CallOptions {
@@ -71,13 +74,13 @@
   headers?: Record<string, string>;
 }
 
-/** Checks an artwork's status: may be repeated. */
+/** Checks an artwork's status, which is repeatable. */
 export function checkArtwork(port: number, artwork: string, options: CallOptions = {}) {
   const url = `http://127.0.0.1:${port}/services/portal/artwork/${artwork}`;
   return send<PortalBody>(url, { method: 'GET', ...options });
 }
 
-/** Places a hold: may not be repeated. */
+/** Places a hold, which is not repeatable. */
 export function placeHold(port: number, key: string, options: CallOptions = {}) {
   const headers = { 'idempotency-key': key, ...options.headers };
   return send<PortalBody>(`http://127.0.0.1:${port}/services/portal/holds`, {
--- a/packages/e2e/src/test/chat.ts
+++ b/packages/e2e/src/test/chat.ts
@@ -1,7 +1,7 @@
 import { createParser } from 'eventsource-parser';
 import { request } from 'undici';
 
-/** What a caller of the chat interface got. */
+/** The answer to a chat completion request as the caller received it. */
 export interface ChatAnswer {
   status: number;
   requestId?: string;
@@ -11,19 +11,21 @@
   retryAfter?: string;
 }
 
-interface ChatOrder {
+interface ChatRequest {
   port: number;
   apiKey: string;
   model: string;
   prompt: string;
   maxTokens: number;
-  /** Called on each token, so that a test can act in the middle of the answer. */
+  /**
+   * Called on each token with the number of tokens so far, so that a test can act in mid-answer.
+   */
   onToken?: (count: number) => void;
   signal?: AbortSignal;
   headers?: Record<string, string>;
 }
 
-/** The messages a prompt is sent as. */
+/** Returns the messages in which a prompt is sent. */
 export function getMessages(prompt: string) {
   return [{ role: 'user', content: prompt }];
 }
@@ -33,7 +35,7 @@
   choices?: { delta: { content?: string } }[];
 }
 
-/** Collects the events of one answer. */
+/** Collects the events of one streamed answer. */
 class AnswerReader {
   readonly tokens: string[] = [];
 
@@ -41,13 +43,13 @@
 
   problem: ChatAnswer['problem'];
 
-  private readonly onToken: ChatOrder['onToken'];
+  private readonly onToken: ChatRequest['onToken'];
 
-  constructor(onToken: ChatOrder['onToken']) {
+  constructor(onToken: ChatRequest['onToken']) {
     this.onToken = onToken;
   }
 
-  take(data: string): void {
+  handleEvent(data: string): void {
     if (data === '[DONE]') {
       this.whole = true;
       return;
@@ -62,22 +64,22 @@
   }
 }
 
-/** Asks for a streamed chat completion and reads it to its end. */
-export async function askChat(order: ChatOrder): Promise<ChatAnswer> {
-  const response = await request(`http://127.0.0.1:${order.port}/v1/chat/completions`, {
+/** Requests a streamed chat completion and reads the answer to its end. */
+export async function askChat(chatRequest: ChatRequest): Promise<ChatAnswer> {
+  const response = await request(`http://127.0.0.1:${chatRequest.port}/v1/chat/completions`, {
     method: 'POST',
     headers: {
       'content-type': 'application/json',
-      authorization: `Bearer ${order.apiKey}`,
-      ...order.headers,
+      authorization: `Bearer ${chatRequest.apiKey}`,
+      ...chatRequest.headers,
     },
     body: JSON.stringify({
-      model: order.model,
-      messages: getMessages(order.prompt),
-      max_tokens: order.maxTokens,
+      model: chatRequest.model,
+      messages: getMessages(chatRequest.prompt),
+      max_tokens: chatRequest.maxTokens,
       stream: true,
     }),
-    signal: order.signal,
+    signal: chatRequest.signal,
     headersTimeout: 0,
     bodyTimeout: 0,
   });
@@ -88,8 +90,8 @@
     const problem = (await response.body.json()) as ChatAnswer['problem'];
     return { status, requestId, tokens: [], whole: false, problem, retryAfter };
   }
-  const reader = new AnswerReader(order.onToken);
-  const parser = createParser({ onEvent: ({ data }) => reader.take(data) });
+  const reader = new AnswerReader(chatRequest.onToken);
+  const parser = createParser({ onEvent: ({ data }) => reader.handleEvent(data) });
   const decoder = new TextDecoder();
   for await (const bytes of response.body) {
     parser.feed(decoder.decode(bytes as Uint8Array, { stream: true }));
--- a/packages/e2e/src/test/decisions.ts
+++ b/packages/e2e/src/test/decisions.ts
@@ -1,6 +1,6 @@
 import type { LineLog } from './LineLog.js';
 
-/** A decision log line, read. */
+/** A parsed line of the decision log. */
 export interface Decision {
   step: string;
   request?: string;
@@ -9,29 +9,29 @@
   [field: string]: unknown;
 }
 
-const LINE = /apricotrill:(\w+) (\{.*\})/;
+const DECISION_LINE = /apricotrill:(\w+) (\{.*\})/;
 
 function parse(line: string): Decision | undefined {
-  const match = LINE.exec(line);
+  const match = DECISION_LINE.exec(line);
   return match === null
     ? undefined
     : { step: match[1]!, ...(JSON.parse(match[2]!) as Record<string, unknown>) };
 }
 
-/** The decisions of a daemon so far, of one step. */
+/** Returns the decisions of one step that a daemon has logged so far. */
 export function getDecisions(log: LineLog, step: string): Decision[] {
   return log.lines.map(parse).filter((decision): decision is Decision => decision?.step === step);
 }
 
-/** Waits for a decision that has come or will come. */
+/** Waits for a matching decision of one step, past or future. */
 export async function waitForDecision(
   log: LineLog,
   step: string,
-  isIt: (decision: Decision) => boolean = () => true,
+  matches: (decision: Decision) => boolean = () => true,
 ): Promise<Decision> {
   const line = await log.waitFor((text) => {
     const decision = parse(text);
-    return decision?.step === step && isIt(decision);
+    return decision?.step === step && matches(decision);
   });
   return parse(line)!;
 }
--- a/packages/e2e/src/test/history.test.ts
+++ b/packages/e2e/src/test/history.test.ts
@@ -1,7 +1,7 @@
 import { checkHistory } from './history.js';
 import type { History } from './history.js';
 
-const FINE: History = {
+const VALID_HISTORY: History = {
   calls: [
     { key: 'hold-1', requestId: 'a', end: { kind: 'answered', run: 1, isOwn: true } },
     { key: 'hold-1', requestId: 'b', end: { kind: 'answered', run: 1, isOwn: true } },
@@ -23,19 +23,19 @@
 };
 
 describe('checkHistory', () => {
-  it('accepts a history in which all promises held', () => {
-    expect(checkHistory(FINE)).toEqual([]);
+  it('accepts a history without violations', () => {
+    expect(checkHistory(VALID_HISTORY)).toEqual([]);
   });
 
-  // Symptom: a broken promise goes unnoticed in every test. Cause: a checker that accepts anything.
+  // Guards against a checker that accepts anything, which would hide violations in every test.
   it.each<[string, Partial<History>, string]>([
     [
       'an answer of another request',
       { calls: [{ requestId: 'a', end: { kind: 'answered', run: 1, isOwn: false } }] },
-      'a: the answer is not its own or not whole',
+      'a: the answer belongs to another request or is incomplete',
     ],
     [
-      'two answers to one key',
+      'answers of different runs to one key',
       {
         calls: [
           { key: 'hold-1', end: { kind: 'answered', run: 1, isOwn: true } },
@@ -45,21 +45,26 @@
       'hold-1: answers of the runs 1 and 3',
     ],
     [
-      'a second run',
-      { runs: [...FINE.runs, { requestId: 'f/1', idempotencyKey: 'hold-1', completed: false }] },
+      'a second run of one key',
+      {
+        runs: [
+          ...VALID_HISTORY.runs,
+          { requestId: 'f/1', idempotencyKey: 'hold-1', completed: false },
+        ],
+      },
       'hold-1: ran 2 times',
     ],
     [
-      'a run of what was told not to have run',
-      { runs: [...FINE.runs, { requestId: 'c/1', completed: false }] },
-      'hold-2: answered "not run", and it ran',
+      'a run of a request that was reported as not run',
+      { runs: [...VALID_HISTORY.runs, { requestId: 'c/1', completed: false }] },
+      'hold-2: reported as not run, but it ran',
     ],
     [
       'an older version after a newer one',
       { versions: [{ daemon: 'daemon-1', generations: [2, 1] }] },
       'daemon-1: generation 1 after 2',
     ],
-  ])('finds %s', (_what, change, violation) => {
-    expect(checkHistory({ ...FINE, ...change })).toEqual([violation]);
+  ])('finds %s', (_title, change, violation) => {
+    expect(checkHistory({ ...VALID_HISTORY, ...change })).toEqual([violation]);
   });
 });
--- a/packages/e2e/src/test/history.ts
+++ b/packages/e2e/src/test/history.ts
@@ -3,31 +3,31 @@
 
 /** How a call ended for its caller. */
 export type CallEnd =
-  /** `isOwn` says whether the answer is the one to this very request, and whole. */
+  /** `isOwn` is true if the answer belongs to this request and is complete. */
   | { kind: 'answered'; run: number | undefined; isOwn: boolean }
   | { kind: 'refused'; status: number; outcome: string; type: string }
-  /** The connection broke, or there was none. */
+  /** The connection broke or could not be opened. */
   | { kind: 'cut' };
 
-/** One call as its caller saw it. */
+/** A call as its caller saw it. */
 export interface RecordedCall {
-  /** The Idempotency-Key, of calls that have one. */
+  /** The Idempotency-Key, if the call has one. */
   key?: string;
-  /** As the daemon named the request; absent when nothing came back. */
+  /** The request id that the daemon assigned, or undefined if no response arrived. */
   requestId?: string;
   end: CallEnd;
 }
 
-/** The generations a daemon put in force, over all its processes, in order. */
+/** The generations that a daemon put into force, in order, over all its processes. */
 export interface RecordedVersions {
   daemon: string;
   generations: number[];
 }
 
-/** Everything that is known of a run of the system. */
+/** All records of a test run. */
 export interface History {
   calls: readonly RecordedCall[];
-  /** What ran, by the backend servers' own word. */
+  /** The runs that the backend servers recorded. */
   runs: readonly Run[];
   versions: readonly RecordedVersions[];
 }
@@ -36,14 +36,14 @@
   return key ?? requestId ?? 'unnamed call';
 }
 
-/** Answers that belong to another request or are not whole. */
-function checkAnswers(calls: readonly RecordedCall[]): string[] {
+/** Finds answers that belong to another request or are incomplete. */
+function checkAnswersComplete(calls: readonly RecordedCall[]): string[] {
   return calls
     .filter(({ end }) => end.kind === 'answered' && !end.isOwn)
-    .map((call) => `${getName(call)}: the answer is not its own or not whole`);
+    .map((call) => `${getName(call)}: the answer belongs to another request or is incomplete`);
 }
 
-/** Keys that ran more than once. */
+/** Finds keys that ran more than once. */
 function checkRunsOfKeys(runs: readonly Run[]): string[] {
   const counts = new Map<string, number>();
   runs.forEach(({ idempotencyKey: key }) => {
@@ -56,17 +56,17 @@
     .map(([key, count]) => `${key}: ran ${count} times`);
 }
 
-/** Requests that ran although their caller was told they did not. */
-function checkNotRun({ calls, runs }: History): string[] {
+/** Finds requests that ran although their caller was told that they did not. */
+function checkNotRunOutcomes({ calls, runs }: History): string[] {
   const ran = new Set(runs.map(({ requestId }) => requestId.split('/')[0]));
   return calls
     .filter(({ end }) => end.kind === 'refused' && end.outcome === 'not-run')
     .filter(({ requestId }) => requestId !== undefined && ran.has(requestId))
-    .map((call) => `${getName(call)}: answered "not run", and it ran`);
+    .map((call) => `${getName(call)}: reported as not run, but it ran`);
 }
 
-/** Callers of one key that were given answers of different runs. */
-function checkSameAnswers(calls: readonly RecordedCall[]): string[] {
+/** Finds keys whose callers received answers of different runs. */
+function checkAnswersOfKeys(calls: readonly RecordedCall[]): string[] {
   const first = new Map<string, number | undefined>();
   return calls.flatMap(({ key, end }) => {
     if (key === undefined || end.kind !== 'answered') {
@@ -78,7 +78,7 @@
   });
 }
 
-/** Daemons at which an older version came into force after a newer one. */
+/** Finds daemons at which an older version came into force after a newer one. */
 function checkVersions(versions: readonly RecordedVersions[]): string[] {
   return versions.flatMap(({ daemon, generations }) =>
     generations
@@ -88,7 +88,7 @@
   );
 }
 
-/** The generations that log lines of one process say came into force. */
+/** Returns the generations that one process put into force, from its log. */
 export function getGenerations(decisions: readonly Decision[]): number[] {
   return decisions
     .filter(({ event }) => event === 'in-force')
@@ -96,17 +96,18 @@
 }
 
 /**
- * Checks a run of the system: whole answers of their own, at most one run a key and one answer for
- * all who ask with it, "not run" only for what did not run, versions that never go back.
+ * Checks the records of a test run: every answer is complete and belongs to its request, each key runs
+ * at most once, all callers of a key receive the same answer, only requests that did not run are
+ * reported as not run, and no daemon returns to an older version.
  *
- * @returns what was violated, a line each
+ * @returns the violations, one line each
  */
 export function checkHistory(history: History): string[] {
   return [
-    ...checkAnswers(history.calls),
-    ...checkSameAnswers(history.calls),
+    ...checkAnswersComplete(history.calls),
+    ...checkAnswersOfKeys(history.calls),
     ...checkRunsOfKeys(history.runs),
-    ...checkNotRun(history),
+    ...checkNotRunOutcomes(history),
     ...checkVersions(history.versions),
   ];
 }
--- a/packages/e2e/src/test/pollUntil.ts
+++ b/packages/e2e/src/test/pollUntil.ts
@@ -1,22 +1,22 @@
 import { setTimeout } from 'node:timers/promises';
 
-/** Between two questions, so that asking does not load the daemons; no verdict hangs on it. */
-const POLL_INTERVAL = 20;
+/** Limits the load that polling puts on the daemons. No test result depends on the value. */
+const POLL_INTERVAL_MS = 20;
 
-/** Asks until the answer is as wanted; the test's own time limit ends it otherwise. */
+/** Polls until the answer matches. There is no limit other than the test's own timeout. */
 export async function pollUntil<Answer>(
   ask: () => Promise<Answer>,
-  isIt: (answer: Answer) => boolean,
+  matches: (answer: Answer) => boolean,
 ): Promise<Answer> {
   for (;;) {
-    // Each question follows the answer before.
+    // Each poll starts after the previous answer.
     // eslint-disable-next-line no-await-in-loop
     const answer = await ask();
-    if (isIt(answer)) {
+    if (matches(answer)) {
       return answer;
     }
-    // Without a reference, so that what never comes does not keep the process alive.
+    // Unreferenced, so that a poll that never matches does not keep the process alive.
     // eslint-disable-next-line no-await-in-loop
-    await setTimeout(POLL_INTERVAL, undefined, { ref: false });
+    await setTimeout(POLL_INTERVAL_MS, undefined, { ref: false });
   }
 }
--- a/packages/e2e/src/test/shards.ts
+++ b/packages/e2e/src/test/shards.ts
@@ -1,6 +1,6 @@
 import { defaultClaimOptions, getClaimName, getClaimShard } from '@apricotrill/claims';
 import type { FleetDaemon } from './FleetDaemon.js';
-import type { Entry, FleetCaller } from './FleetCaller.js';
+import type { EntryDaemon, FleetCaller } from './FleetCaller.js';
 import { pollUntil } from './pollUntil.js';
 
 /** The only workspace of the tests. */
@@ -8,7 +8,7 @@
 
 export const SHARDS = defaultClaimOptions.shards;
 
-/** A shard of claims as its owner's log tells. */
+/** A shard of claims according to its owner's log. */
 export interface OwnedShard {
   owner: FleetDaemon;
   witness?: string;
@@ -17,7 +17,7 @@
 
 let lastKey = 0;
 
-/** A key never used before, of this shard. */
+/** Creates a new key that belongs to this shard. */
 export function createKey(shard: number): string {
   for (;;) {
     lastKey += 1;
@@ -28,8 +28,8 @@
   }
 }
 
-/** The shards that a daemon's running process owns. */
-function getOwned(daemon: FleetDaemon): Map<number, OwnedShard> {
+/** Returns the shards that a daemon's running process owns. */
+function getOwnedShards(daemon: FleetDaemon): Map<number, OwnedShard> {
   const owned = new Map<number, OwnedShard>();
   daemon.getDecisions('claim').forEach(({ kind, shard, witness, epoch }) => {
     if (kind === 'shard-taken' || kind === 'witness-changed') {
@@ -43,33 +43,38 @@
 }
 
 /**
- * Which of these daemons owns each shard: the one of the newest epoch. As a fleet starts, several may
- * have taken a shard one after the other, and the first doesn't know until it is asked.
+ * Returns the owner of each shard among these daemons, which is the one with the newest epoch. While a
+ * fleet starts, several daemons may take the same shard in turn, and an earlier owner does not notice
+ * this until it is queried.
  */
 export function getShards(daemons: readonly FleetDaemon[]): Map<number, OwnedShard> {
-  const byEpoch = daemons.flatMap((daemon) => [...getOwned(daemon)]);
+  const byEpoch = daemons.flatMap((daemon) => [...getOwnedShards(daemon)]);
   byEpoch.sort(([, left], [, right]) => left.epoch - right.epoch);
   return new Map(byEpoch);
 }
 
-/** Places a hold in each shard, and is answered at once. @returns the keys, by shard */
-export async function placeHolds(caller: FleetCaller, entry: Entry): Promise<string[]> {
+/**
+ * Places a hold in each shard and expects all to be answered on the first call.
+ *
+ * @returns the keys, by shard
+ */
+export async function placeHolds(caller: FleetCaller, entry: EntryDaemon): Promise<string[]> {
   const keys = Array.from({ length: SHARDS }, (_, shard) => createKey(shard));
-  const answers = await Promise.all(keys.map((key) => caller.hold(entry, key)));
+  const answers = await Promise.all(keys.map((key) => caller.placeHold(entry, key)));
   expect(answers.map(({ end }) => end.kind)).toEqual(keys.map(() => 'answered'));
   return keys;
 }
 
 /**
- * Has the first callers' holds bring every shard an owner among these daemons, and waits until each
- * has a witness among them too.
+ * Places holds until every shard has an owner among these daemons, and waits until every shard has a
+ * witness among them too.
  */
 export async function startShards(
   daemons: readonly FleetDaemon[],
   caller: FleetCaller,
 ): Promise<ReadonlyMap<number, OwnedShard>> {
   const keys = Array.from({ length: SHARDS }, (_, shard) => createKey(shard));
-  await Promise.all(keys.map((key) => caller.holdUntilAnswered(daemons[0]!, key)));
+  await Promise.all(keys.map((key) => caller.placeHoldUntilAnswered(daemons[0]!, key)));
   const ids = daemons.map(({ id }) => id);
   return pollUntil(
     () => Promise.resolve(getShards(daemons)),
