--- a/packages/e2e/src/lib/answerIntegrity.test.ts
+++ b/packages/e2e/src/lib/answerIntegrity.test.ts
@@ -8,7 +8,7 @@
 
 const FAST = ['--step-base', '2', '--step-per-request', '0', '--prefill-per-token', '0'];
 
-describe('whole answers', () => {
+describe('integrity of answers', () => {
   const deployments: Deployment[] = [];
   const engines: FakeEngine[] = [];
 
@@ -37,22 +37,28 @@
     return deployment.startStandaloneDaemon();
   }
 
-  /** The engine that runs the only request. */
-  async function getRunner({ deployment, daemon }: { deployment: Deployment; daemon: Daemon }) {
+  /** Returns the engine that runs the only request. */
+  async function getRunningEngine({
+    deployment,
+    daemon,
+  }: {
+    deployment: Deployment;
+    daemon: Daemon;
+  }) {
     const { replica } = await waitForDecision(daemon.process.log, 'choose');
     return deployment.backends.find(({ id }) => id === replica)!;
   }
 
-  // Symptom: a draft ends in the middle, or repeats a sentence where its engine died. Sequence:
-  // the engine crashes after some tokens, the request goes to another replica. Cause: the second
-  // attempt starts anew, or one token off, or the broken stream is taken for the whole answer.
-  it('goes on elsewhere at the delivered token when an engine crashes, streamed', async () => {
+  // Guards against a draft that ends in mid-answer or repeats a sentence after its engine crashes.
+  // The second attempt must resume at the right token, and a broken stream must not be taken for a
+  // complete answer.
+  it('resumes a streamed answer on another replica after the last delivered token when an engine crashes', async () => {
     const system = await start(2);
     const { chatRequest, expected } = createChat(system.daemon.port, 40);
     let crashed: Promise<void> | undefined;
     const onToken = (count: number) => {
       if (count === 10) {
-        crashed = getRunner(system).then((engine) => engine.injectFault({ kind: 'crash' }));
+        crashed = getRunningEngine(system).then((engine) => engine.injectFault({ kind: 'crash' }));
       }
     };
     const answer = await askChat({ ...chatRequest, onToken });
@@ -63,11 +69,11 @@
     expect(attempts[1]?.resumeAt).toBeGreaterThanOrEqual(10);
   });
 
-  it('goes on elsewhere when an engine crashes, unstreamed', async () => {
+  it('completes an answer without streaming on another replica when an engine crashes', async () => {
     const system = await start(2);
     const { chatRequest, expected } = createChat(system.daemon.port, 40);
     const answering = askWholeChat(chatRequest);
-    const engine = await getRunner(system);
+    const engine = await getRunningEngine(system);
     await engine.waitForRuns(([run]) => (run?.tokens ?? 0) >= 10);
     await engine.injectFault({ kind: 'crash' }).catch(() => undefined);
     const { status, body } = await answering;
@@ -76,16 +82,16 @@
     expect(getDecisions(system.daemon.process.log, 'choose')).toHaveLength(2);
   });
 
-  // Symptom: a token twice or one missing right where a connection broke. Sequence: the connection
-  // breaks before the first token, in the middle, and between the last token and the closing chunk.
-  // Cause: the place of the cut counted one off.
+  // Guards against an off-by-one error in the resume position, which repeats or skips a token. The
+  // connection breaks before the first token, in the middle, and between the last token and the
+  // final chunk.
   it('neither repeats nor skips a token wherever the connection breaks', async () => {
     const { deployment, daemon } = await start(1);
     const [engine] = deployment.backends;
     const { chatRequest, expected } = createChat(daemon.port, 12);
     const cuts = [0, 1, 5, expected.length - 1, expected.length];
     for (const tokens of cuts) {
-      // One after another: each cut belongs to one request.
+      // Sequential, since each fault belongs to one request.
       // eslint-disable-next-line no-await-in-loop
       await engine!.injectFault({ kind: 'drop-after', tokens, count: 1 });
       // eslint-disable-next-line no-await-in-loop
@@ -97,9 +103,9 @@
     expect(runs.filter(({ startIndex }) => startIndex !== 0)).toHaveLength(cuts.length - 1);
   });
 
-  // Symptom: a stranger's words in a caller's answer. Sequence: a piece of another request's
-  // answer arrives on this one's connection. Cause: whatever comes on the connection is believed.
-  it('drops the pieces of other answers', async () => {
+  // Guards against text of another request in a caller's answer. It appears if the daemon accepts
+  // every event that arrives on the connection without checking its id.
+  it('drops events of other answers', async () => {
     const engine = new FakeEngine((attemptId, response) => {
       const stray = getTokenEvent('another/1', 1, ' stray');
       const own = [
@@ -117,9 +123,9 @@
     expect(dropped).toHaveLength(2);
   });
 
-  // Symptom: half an answer with an end mark. Sequence: every engine closes its stream properly
-  // but before the answer's end. Cause: the end of the stream taken for the end of the answer.
-  it('never passes a truncated stream off as whole', async () => {
+  // Guards against a truncated answer that is marked as complete. Every engine closes its stream
+  // cleanly before the end of the answer.
+  it('never reports a truncated stream as complete', async () => {
     const engine = new FakeEngine((attemptId, response) => {
       response.end(getTokenEvent(attemptId, 0, 'half'));
     });
@@ -135,10 +141,10 @@
     expect(body.outcome).toBe('failed');
   });
 
-  // Symptom: the daemon's memory grows with every caller on a slow line, or the answer of such a
-  // caller is cut. Sequence: the engine writes faster than the caller reads, for long. Cause: the
-  // daemon reads on whatever its caller does, or takes its own waiting for a silent engine.
-  it('makes the engine wait for a slow caller, and loses nothing', async () => {
+  // Guards against unbounded memory growth for callers that read slowly, and against answers cut
+  // off for them. The engine writes faster than the caller reads. The daemon must stop reading
+  // meanwhile, and must not take its own pause for a silent engine.
+  it('applies backpressure to the engine for a slow caller and loses no token', async () => {
     const count = 2000;
     const text = 'x'.repeat(16 * 1024);
     let written = 0;
@@ -169,10 +175,9 @@
     expect(lines.at(-1)).toBe('data: [DONE]');
   });
 
-  // Symptom: now and then, under load, an answer that is not its own or not whole. Sequence: many
-  // answers at once while engines drop connections, refuse, and cross answers. Cause: any of the
-  // above in combination.
-  it('keeps many answers apart under faults', async () => {
+  // Guards against answers that are mixed up or incomplete when many requests run at once while
+  // engines drop connections, refuse requests and send events of other answers.
+  it('keeps concurrent answers separate under faults', async () => {
     const { deployment, daemon } = await start(3);
     await Promise.all(
       deployment.backends.flatMap((engine, place) => [
--- a/packages/e2e/src/lib/atMostOnce.test.ts
+++ b/packages/e2e/src/lib/atMostOnce.test.ts
@@ -5,9 +5,9 @@
 import { pollUntil } from '../test/pollUntil.js';
 import { SHARDS, createKey, startShards } from '../test/shards.js';
 
-const RUNNING = 'idempotency-key-in-progress unknown';
+const IN_PROGRESS = 'idempotency-key-in-progress unknown';
 
-describe('a request that may not be repeated', () => {
+describe('a request that is not repeatable', () => {
   const fleet = new Fleet();
   const caller = new FleetCaller();
   let portal: Backend;
@@ -32,9 +32,10 @@
     return runs.filter(({ idempotencyKey }) => idempotencyKey === key).length;
   }
 
-  // Symptom: an order frozen twice. Sequence: an impatient caller asks two daemons at once, or asks
-  // another one after it had its answer. Cause: each daemon knows only its own requests.
-  it('runs once when daemons are asked at once, and all callers get its answer', async () => {
+  // Guards against a hold that is placed twice because each daemon knows only its own requests. An
+  // impatient caller sends the request to several daemons at once, or to another daemon after it
+  // has been answered.
+  it('runs once when several daemons receive it at once, and all callers get its answer', async () => {
     const keys = Array.from({ length: SHARDS }, (_, shard) => createKey(shard));
     await Promise.all(
       keys.map(async (key) => {
@@ -45,15 +46,15 @@
     );
   });
 
-  // Symptom: a second run of a hold that took long. Sequence: the caller asks again elsewhere while
-  // the first is running. Cause: a request without an outcome yet is taken for none.
-  it('says that it is running to a repeat while it runs', async () => {
+  // Guards against a second run of a slow hold. The caller repeats the request at another daemon
+  // while the first is still running and has no outcome yet.
+  it('is reported as in progress to a repeated call while it runs', async () => {
     const key = createKey(0);
     await portal.injectFault({ kind: 'slow', factor: 100 });
     const first = caller.placeHold(daemons[0], key);
     await portal.waitForRuns((runs) => runs.some(({ idempotencyKey }) => idempotencyKey === key));
     const repeat = await caller.placeHold(daemons[1], key);
-    expect(describeResult(repeat)).toBe(RUNNING);
+    expect(describeResult(repeat)).toBe(IN_PROGRESS);
     expect(Number(repeat.retryAfter)).toBeGreaterThan(0);
     await portal.injectFault({ kind: 'slow', factor: 1 });
     expect(describeResult(await first)).toBe('answered');
@@ -61,10 +62,9 @@
     expect(await countRuns(key)).toBe(1);
   });
 
-  // Symptom: a charge that went through is made again. Sequence: the connection to the service
-  // breaks after the request left; the caller asks again. Cause: a broken connection taken for a
-  // request that did not run.
-  it('says "unknown" when its connection broke, and to every repeat', async () => {
+  // Guards against repeating a charge that went through. The connection to the service breaks after
+  // the request was sent, which does not prove that the request did not run.
+  it('is reported as unknown when its connection broke, also to every repeated call', async () => {
     const key = createKey(1);
     await portal.injectFault({ kind: 'drop-after', tokens: 0, count: 1 });
     expect(describeResult(await caller.placeHold(daemons[0], key))).toBe('given-up unknown');
@@ -73,10 +73,9 @@
     expect(await countRuns(key)).toBe(1);
   });
 
-  // Symptom: the key of a hold that never ran is lost for good. Sequence: the service refuses by a
-  // documented answer; the caller asks again elsewhere. Cause: the claim stays after the proof that
-  // nothing ran.
-  it('may be asked again when it did not run', async () => {
+  // Guards against a key that stays claimed although its hold never ran. The service refuses with
+  // the documented response, and the caller repeats the request at another daemon.
+  it('can be repeated if it did not run', async () => {
     const key = createKey(2);
     await portal.injectFault({ kind: 'leave' });
     const refused = await caller.placeHold(daemons[0], key);
@@ -86,10 +85,10 @@
     expect(await countRuns(key)).toBe(1);
   });
 
-  // Symptom: a second run, or holds refused for no reason. Sequence: the store takes the claims and
-  // the answers are lost. Cause: a commit without an answer taken for one that did not happen, or
-  // one's own commit for somebody else's.
-  it('runs once though the store loses its confirmations', async () => {
+  // Guards against second runs and unjustified refusals when the store commits claims but its
+  // responses are lost. A commit without a response may have happened, and a conflict may be with
+  // the daemon's own commit.
+  it('runs once although responses of the store are lost', async () => {
     await fleet.platform.injectFault({ kind: 'lose-answers', count: 40, keyPrefix: 'claims/' });
     const keys = Array.from({ length: 2 * SHARDS }, (_, place) => createKey(place % SHARDS));
     await Promise.all(
@@ -102,8 +101,8 @@
     await fleet.platform.injectFault({ kind: 'up' });
   });
 
-  // Symptom: now and then, under load, one of the above. Cause: any of them in combination.
-  it('runs at most once while services refuse, break and answer crosswise', async () => {
+  // Guards against the failures above in combination and under load.
+  it('runs at most once while services refuse, drop connections and send answers of other requests', async () => {
     await Promise.all([
       portal.injectFault({ kind: 'refuse', count: 10 }),
       portal.injectFault({ kind: 'drop-after', tokens: 0, count: 10 }),
@@ -114,8 +113,8 @@
     await Promise.all(
       keys.map(async (key) => {
         await Promise.all(daemons.map((daemon) => caller.placeHold(daemon, key)));
-        const told = await pollUntil(() => caller.placeHold(daemons[0], key), isFinal);
-        const word = describeResult(told);
+        const result = await pollUntil(() => caller.placeHold(daemons[0], key), isFinal);
+        const word = describeResult(result);
         expect(word === 'answered' ? await countRuns(key) : 1).toBe(1);
       }),
     );
--- a/packages/e2e/src/lib/callerDisconnect.test.ts
+++ b/packages/e2e/src/lib/callerDisconnect.test.ts
@@ -8,7 +8,7 @@
 
 const ONE_SLOT = ['--slots', '1', '--step-base', '2', '--step-per-request', '0'];
 
-describe('a caller that leaves', () => {
+describe('a caller that disconnects', () => {
   let deployment: Deployment;
 
   beforeEach(async () => {
@@ -18,11 +18,10 @@
 
   afterEach(() => deployment.dispose());
 
-  // Symptom: engines are busy with answers nobody reads. Sequence: the caller closes its
-  // connection in the middle of a long answer. Cause: its leaving was noticed at the end, or not
-  // told to the engine. The engine has one slot: the second answer comes when the first one's work
-  // has ended.
-  it.each(['streamed', 'unstreamed'])('ends the work on its answer, %s', async (form) => {
+  // Guards against engines that compute answers nobody reads. The caller closes its connection in
+  // the middle of a long answer, and the engine must be told at once. The engine has one slot, so
+  // the second answer arrives only after the work on the first has ended.
+  it.each(['streamed', 'unstreamed'])('cancels the work on its %s answer', async (form) => {
     const engine = await deployment.startBackend('engines', ONE_SLOT);
     const daemon = await deployment.startStandaloneDaemon();
     const { chatRequest, expected } = createChat(daemon.port, 2000);
@@ -46,9 +45,9 @@
     expect(await getMetric(daemon, wasted)).toBeGreaterThanOrEqual(10);
   });
 
-  // Symptom: an engine computes answers for callers that gave up long before. Sequence: the caller
-  // leaves while its request waits in the daemon's queue. Cause: only running requests were ended.
-  it('takes its request out of the queue', async () => {
+  // Guards against engines that compute answers for callers that disconnected earlier. The caller
+  // disconnects while its request waits in the daemon's queue.
+  it('removes its request from the queue', async () => {
     const engine = await deployment.startBackend('engines', ONE_SLOT);
     const daemon = await deployment.startStandaloneDaemon();
     const { chatRequest } = createChat(daemon.port, 2000);
@@ -61,17 +60,17 @@
       return count(await waitForService(daemon, 'engines', (service) => matches(count(service))));
     };
     const { log } = daemon.process;
-    const haveCome = (count: number) =>
+    const waitForIdentified = (count: number) =>
       waitForDecision(log, 'identify', () => getDecisions(log, 'identify').length >= count);
     const asked = [ask(staying)];
     // eslint-disable-next-line no-await-in-loop
     while ((await countWaiting(() => true)) === 0) {
       asked.push(ask(staying));
     }
-    await haveCome(asked.length);
+    await waitForIdentified(asked.length);
     const before = await countWaiting(() => true);
     asked.push(ask(leaving));
-    await haveCome(asked.length);
+    await waitForIdentified(asked.length);
     const { request } = getDecisions(log, 'identify').at(-1)!;
     leaving.abort();
     const left = await waitForDecision(log, 'settle', (settled) => settled.request === request);
@@ -86,9 +85,9 @@
     expect(ran).not.toContain(left.request);
   });
 
-  // Symptom: a hold nobody knows the end of. Sequence: the caller leaves while its hold runs, and
-  // asks again with its key. Cause: the hold was cut off like any other work.
-  it('does not end a hold', async () => {
+  // Guards against a hold whose outcome nobody knows. The caller disconnects while its hold runs
+  // and repeats the request with the same key. A hold must not be cancelled like other work.
+  it('does not cancel a hold', async () => {
     const portal = await deployment.startBackend('portal', ['--delay', '200']);
     const claims = new MemoryClaims();
     const daemon = await LocalDaemon.start(deployment, claims);
--- a/packages/e2e/src/lib/callerInput.test.ts
+++ b/packages/e2e/src/lib/callerInput.test.ts
@@ -10,9 +10,9 @@
 const LIMITS = { maxBodyBytes: MAX_BODY, bodyTimeoutMs: 1000, headersTimeoutMs: 1000 };
 
 const CHAT = '/v1/chat/completions';
-const KEY = `authorization: Bearer ${API_KEY}`;
+const AUTHORIZATION = `authorization: Bearer ${API_KEY}`;
 
-/** The head of a request, with its framing. */
+/** Returns the request line and headers of a request. */
 function getHead(method: string, path: string, ...headers: string[]): string {
   return `${[`${method} ${path} HTTP/1.1`, 'host: daemon', ...headers].join('\r\n')}\r\n\r\n`;
 }
@@ -23,90 +23,100 @@
 
 const getChunk = (size: number) => `${size.toString(16)}\r\n${'x'.repeat(size)}\r\n`;
 
-const ASK = { model: MODEL, messages: getMessages('all') };
+const CHAT_BODY = { model: MODEL, messages: getMessages('all') };
 
-const askWith = (change: object) => getRequest(CHAT, JSON.stringify({ ...ASK, ...change }), KEY);
+const getChatRequest = (change: object) =>
+  getRequest(CHAT, JSON.stringify({ ...CHAT_BODY, ...change }), AUTHORIZATION);
 
-/** What callers send, the status they get, and the reason. */
+/** Test title, bytes that the caller sends, expected status and expected reason. */
 const CASES: [string, string, number, string][] = [
   [
-    'a body that says it is too large',
-    getHead('POST', CHAT, KEY, 'content-length: 100001'),
+    'a body whose declared length is too large',
+    getHead('POST', CHAT, AUTHORIZATION, 'content-length: 100001'),
     413,
     'too-large',
   ],
   [
-    'a body that turns out to be too large',
-    `${getHead('POST', CHAT, KEY, 'transfer-encoding: chunked')}${getChunk(60_000)}${getChunk(60_000)}`,
+    'a chunked body that is too large',
+    `${getHead('POST', CHAT, AUTHORIZATION, 'transfer-encoding: chunked')}${getChunk(60_000)}${getChunk(60_000)}`,
     413,
     'too-large',
   ],
   [
-    'a body that stops',
-    `${getHead('POST', CHAT, KEY, 'content-length: 100')}{"model"`,
+    'an incomplete body',
+    `${getHead('POST', CHAT, AUTHORIZATION, 'content-length: 100')}{"model"`,
     408,
     'slow-body',
   ],
-  ['a head that stops', `POST ${CHAT} HTTP/1.1\r\nhost: d`, 408, 'slow-body'],
+  ['incomplete headers', `POST ${CHAT} HTTP/1.1\r\nhost: d`, 408, 'slow-body'],
   [
-    'a head that is too large',
+    'headers that are too large',
     getHead('GET', '/', `x-large: ${'x'.repeat(20_000)}`),
     431,
     'too-large',
   ],
   ['bytes that are not HTTP', 'Good morning!\r\n\r\n', 400, 'malformed'],
-  ['the start of TLS', '\u0016\u0003\u0001\u0002\u0000\u0001\u0000\u0001', 400, 'malformed'],
+  ['a TLS handshake', '\u0016\u0003\u0001\u0002\u0000\u0001\u0000\u0001', 400, 'malformed'],
   [
-    'two lengths of one body',
-    `${getHead('POST', CHAT, KEY, 'content-length: 5', 'transfer-encoding: chunked')}0\r\n\r\n`,
+    'a body with both a content length and chunked encoding',
+    `${getHead('POST', CHAT, AUTHORIZATION, 'content-length: 5', 'transfer-encoding: chunked')}0\r\n\r\n`,
     400,
     'malformed',
   ],
-  ['a body that is not JSON', getRequest(CHAT, '{"model":', KEY), 400, 'malformed'],
-  ['a body that is no object', getRequest(CHAT, '[]', KEY), 400, 'malformed'],
+  ['a body that is not JSON', getRequest(CHAT, '{"model":', AUTHORIZATION), 400, 'malformed'],
+  ['a body that is not an object', getRequest(CHAT, '[]', AUTHORIZATION), 400, 'malformed'],
   [
-    'brackets in brackets',
+    'deeply nested brackets',
     getRequest(
       CHAT,
       `{"model":"${MODEL}","messages":[{"role":"user","content":${'['.repeat(40_000)}${']'.repeat(40_000)}}]}`,
-      KEY,
+      AUTHORIZATION,
     ),
     400,
     'malformed',
   ],
-  ['messages that are none', askWith({ messages: 'all' }), 400, 'malformed'],
-  ['a wrong limit', askWith({ max_completion_tokens: '7' }), 400, 'malformed'],
-  ['a wish for two answers', askWith({ n: 2 }), 400, 'malformed'],
-  ['a wrong key', getRequest(CHAT, '{}', 'authorization: Bearer wrong'), 401, 'wrong-key'],
-  ['no key', getRequest(CHAT, '{}'), 401, 'wrong-key'],
-  ['an unknown model', askWith({ model: 'unknown' }), 404, 'unknown-model'],
-  ['an unknown service', getHead('GET', '/services/unknown/x', KEY), 404, 'unknown-service'],
-  ['an unknown path', getHead('GET', '/v2/chat', KEY), 404, 'unknown-service'],
+  ['messages that are not a list', getChatRequest({ messages: 'all' }), 400, 'malformed'],
+  ['an invalid token limit', getChatRequest({ max_completion_tokens: '7' }), 400, 'malformed'],
+  ['a request for two answers', getChatRequest({ n: 2 }), 400, 'malformed'],
+  ['a wrong API key', getRequest(CHAT, '{}', 'authorization: Bearer wrong'), 401, 'wrong-key'],
+  ['no API key', getRequest(CHAT, '{}'), 401, 'wrong-key'],
+  ['an unknown model', getChatRequest({ model: 'unknown' }), 404, 'unknown-model'],
   [
-    'a whole URL as path',
-    getHead('GET', 'http://daemon/services/portal', KEY),
+    'an unknown service',
+    getHead('GET', '/services/unknown/x', AUTHORIZATION),
     404,
     'unknown-service',
   ],
-  ['no path', getHead('OPTIONS', '*', KEY), 404, 'unknown-service'],
+  ['an unknown path', getHead('GET', '/v2/chat', AUTHORIZATION), 404, 'unknown-service'],
   [
-    'a hold without a key',
-    getRequest('/services/portal/holds', '{}', KEY),
+    'an absolute URL as path',
+    getHead('GET', 'http://daemon/services/portal', AUTHORIZATION),
+    404,
+    'unknown-service',
+  ],
+  ['no path', getHead('OPTIONS', '*', AUTHORIZATION), 404, 'unknown-service'],
+  [
+    'a hold without an idempotency key',
+    getRequest('/services/portal/holds', '{}', AUTHORIZATION),
     400,
     'idempotency-key-missing',
   ],
   [
-    'a hold with too long a key',
-    getRequest('/services/portal/holds', '{}', KEY, `idempotency-key: ${'k'.repeat(300)}`),
+    'a hold whose idempotency key is too long',
+    getRequest(
+      '/services/portal/holds',
+      '{}',
+      AUTHORIZATION,
+      `idempotency-key: ${'k'.repeat(300)}`,
+    ),
     400,
     'idempotency-key-missing',
   ],
 ];
 
-// Symptom: one caller's mistake takes the daemon down, hangs, or spoils another one's answer.
-// Sequence: each of these arrives while somebody else's answer is on its way. Cause: input taken
-// for what it says it is.
-describe('input of all kinds, while a healthy answer is on its way', () => {
+// Guards against a caller's invalid input that crashes or blocks the daemon or corrupts another
+// caller's answer. Each input arrives while a valid answer is being streamed.
+describe('invalid input while a valid answer is being streamed', () => {
   const deployment = new Deployment();
   const callers: RawCaller[] = [];
   let running: { attemptId: string; response: ServerResponse };
@@ -116,7 +126,7 @@
     onRunning();
   });
   let daemon: Daemon;
-  let healthy: ReturnType<typeof askChat>;
+  let validAnswer: ReturnType<typeof askChat>;
   let tokens = 0;
 
   beforeAll(async () => {
@@ -127,7 +137,7 @@
     const started = new Promise<void>((resolve) => {
       onRunning = resolve;
     });
-    healthy = askChat(createChat(daemon.port, 10, 1000).chatRequest);
+    validAnswer = askChat(createChat(daemon.port, 10, 1000).chatRequest);
     await started;
   });
 
@@ -148,15 +158,15 @@
     return caller;
   }
 
-  it.each(CASES)('refuses %s', async (_what, bytes, status, reason) => {
+  it.each(CASES)('refuses %s', async (_title, bytes, status, reason) => {
     const caller = call(Buffer.from(bytes, 'latin1'));
     expect(await caller.getStatus()).toBe(status);
     const type = `urn:apricotrill:problem:${reason}`;
     expect(await caller.getProblem()).toMatchObject({ type, outcome: 'not-run' });
   });
 
-  it('refuses a body that is cut off', async () => {
-    const caller = call(`${getHead('POST', CHAT, KEY, 'content-length: 100')}{"model"`);
+  it('refuses a body that ends early', async () => {
+    const caller = call(`${getHead('POST', CHAT, AUTHORIZATION, 'content-length: 100')}{"model"`);
     caller.socket.end();
     expect(await caller.getStatus()).toBe(400);
   });
@@ -164,41 +174,43 @@
   it.each(['/services/portal/%zz', '/services/portal/a%2', '/services/portal/%00%ff'])(
     'survives the path %s',
     async (path) => {
-      expect(await call(getHead('GET', path, KEY)).getStatus()).toBeLessThan(500);
+      expect(await call(getHead('GET', path, AUTHORIZATION)).getStatus()).toBeLessThan(500);
     },
   );
 
-  // Symptom: a caller sees its connection reset in place of the 413. Sequence: it goes on sending
-  // after the daemon has answered and closed. Cause: closing with unread bytes resets the
-  // connection, and the reset overtakes the answer.
-  it('lets an upload end that goes on after its refusal, and keeps the connection', async () => {
+  // Guards against a connection reset in place of the 413 response. The caller keeps sending after
+  // the daemon has answered. Closing a connection with unread bytes resets it, and the reset can
+  // overtake the response.
+  it('reads the rest of a refused upload and keeps the connection', async () => {
     const body = 'x'.repeat(8 * 1024 * 1024);
-    const caller = call(getRequest(CHAT, body, KEY)).send(getHead('GET', '/v1/models', KEY));
+    const caller = call(getRequest(CHAT, body, AUTHORIZATION)).send(
+      getHead('GET', '/v1/models', AUTHORIZATION),
+    );
     expect(await caller.getStatus()).toBe(413);
     expect(await caller.waitFor(MODEL)).toContain(MODEL);
   });
 
-  it('cuts an upload off that never ends', async () => {
-    const caller = call(getHead('POST', CHAT, KEY, 'transfer-encoding: chunked'));
+  it('closes the connection of an upload that never ends', async () => {
+    const caller = call(getHead('POST', CHAT, AUTHORIZATION, 'transfer-encoding: chunked'));
     caller.sendUntilClosed(Buffer.from(getChunk(30_000)));
     expect(await caller.getStatus()).toBe(413);
     await caller.closed;
   });
 
-  // Symptom: an answer with `HTTP/1.1 400` in its middle, or a hold that runs and is said not to
-  // have run. Sequence: a caller counts its body's length wrong, and the rest arrives as a second
-  // request. Cause: the refusal of the rest written where the first one's answer belongs.
-  it('keeps an answer clean of what follows its request', async () => {
-    const hold = getRequest('/services/portal/artwork/7', '{}', KEY);
+  // Guards against `HTTP/1.1 400` in the middle of an answer, and against a hold that runs but is
+  // reported as not run. The caller sends a wrong content length, and the remaining bytes arrive as
+  // a second request. The error response to them must not be written into the first response.
+  it('does not mix an answer with the bytes that follow its request', async () => {
+    const hold = getRequest('/services/portal/artwork/7', '{}', AUTHORIZATION);
     const caller = call(`${hold.replace('POST', 'GET')} and more\r\n\r\n`);
     expect(await caller.waitFor('"run"')).toMatch(/^HTTP\/1\.1 200 OK/);
     expect(caller.received).not.toContain('400');
   });
 
-  it('has left the healthy answer and the daemon alone', async () => {
+  it('has not affected the valid answer or the daemon', async () => {
     const { attemptId, response } = running;
     response.end(`${getFinishEvent(attemptId)}data: [DONE]\n\n`);
-    const answer = await healthy;
+    const answer = await validAnswer;
     expect(answer.whole).toBe(true);
     expect(answer.tokens).toEqual(Array.from({ length: tokens }, (_, index) => `token ${index}`));
     expect(daemon.process.child.exitCode).toBeNull();
--- a/packages/e2e/src/lib/claimOwnerLoss.test.ts
+++ b/packages/e2e/src/lib/claimOwnerLoss.test.ts
@@ -6,12 +6,14 @@
 import { createKey, startShards } from '../test/shards.js';
 import type { OwnedShard } from '../test/shards.js';
 
-/** A daemon is declared dead some seconds after its end, and its shards are taken after that. */
+/**
+ * A daemon is declared dead some seconds after it ends, and its shards are taken over after that.
+ */
 const TEST_TIMEOUT_MS = 120_000;
 
-const RUNNING = 'idempotency-key-in-progress unknown';
+const IN_PROGRESS = 'idempotency-key-in-progress unknown';
 
-describe('a request that may not be repeated, when daemons are lost', () => {
+describe('a request that is not repeatable, when daemons are lost', () => {
   const fleet = new Fleet();
   const caller = new FleetCaller();
   let portal: Backend;
@@ -34,13 +36,13 @@
 
   afterAll(() => fleet.dispose());
 
-  /** The owner of a shard, and two daemons beside it that are neither its owner nor its witness. */
+  /** Returns a shard with its owner, its witness and two daemons that are neither. */
   function getRoles() {
-    const [shard, { owner, witness }] = [...shards][0]!;
-    const rest = fleet.daemons.filter((daemon) => daemon !== owner && daemon.id !== witness);
+    const [shard, { owner, witness: witnessId }] = [...shards][0]!;
+    const rest = fleet.daemons.filter((daemon) => daemon !== owner && daemon.id !== witnessId);
     const [entry, other] = rest as [FleetDaemon, FleetDaemon];
-    const second = fleet.daemons.find(({ id }) => id === witness)!;
-    return { shard, owner, entry, other, second };
+    const witness = fleet.daemons.find(({ id }) => id === witnessId)!;
+    return { shard, owner, entry, other, witness };
   }
 
   async function countRuns(key: string): Promise<number> {
@@ -48,7 +50,7 @@
     return runs.filter(({ idempotencyKey }) => idempotencyKey === key).length;
   }
 
-  /** Places a hold that takes long, and resolves once it runs. */
+  /** Places a slow hold and resolves once it runs. */
   async function startHold(entry: FleetDaemon, key: string) {
     await portal.injectFault({ kind: 'slow', factor: 200 });
     const answer = caller.placeHold(entry, key);
@@ -57,13 +59,14 @@
     return { answer };
   }
 
-  /** Asks in turn until it is said for good what became of the key. */
-  async function askForFate(entry: FleetDaemon, key: string): Promise<string> {
+  /** Repeats the call until the result of the key is final. */
+  async function waitForFinalResult(entry: FleetDaemon, key: string): Promise<string> {
     return describeResult(await pollUntil(() => caller.placeHold(entry, key), isFinal));
   }
 
-  // Symptom: a hold is placed twice. Sequence: its entry daemon is killed after it sent the hold on;
-  // the caller, cut off, asks another daemon. Cause: the claim dies with the daemon that held it.
+  // Guards against a hold that is placed twice because its claim is lost with its entry daemon. The
+  // daemon is killed after it sent the hold to the service, and the disconnected caller repeats the
+  // request at another daemon.
   it(
     'is never run again when its entry daemon was killed after dispatch',
     async () => {
@@ -72,16 +75,18 @@
       const { answer } = await startHold(entry, key);
       await fleet.killAndRemove(entry);
       expect(describeResult(await answer)).toBe('cut');
-      expect([RUNNING, LOST_CLAIM]).toContain(describeResult(await caller.placeHold(other, key)));
-      expect(await askForFate(other, key)).toBe(LOST_CLAIM);
+      expect([IN_PROGRESS, LOST_CLAIM]).toContain(
+        describeResult(await caller.placeHold(other, key)),
+      );
+      expect(await waitForFinalResult(other, key)).toBe(LOST_CLAIM);
       expect(await countRuns(key)).toBe(1);
     },
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: a hold that was answered runs again, or its answer is lost. Sequence: the owner of its
-  // shard is killed, once after the answer and once while it runs. Cause: the next owner starts with
-  // what the store has, though the last one granted or heard more.
+  // Guards against a second run or a lost answer when the owner of a shard is killed, with one hold
+  // already answered and another running. The store may not contain everything that the previous
+  // owner granted or recorded.
   it(
     'keeps its answer when the owner of its shard was killed',
     async () => {
@@ -91,27 +96,27 @@
       const { answer } = await startHold(entry, running);
       await fleet.killAndRemove(owner);
       expect(describeResult(await answer)).toBe('answered');
-      expect(await askForFate(other, done)).toBe('answered');
-      expect(await askForFate(other, running)).toBe('answered');
+      expect(await waitForFinalResult(other, done)).toBe('answered');
+      expect(await waitForFinalResult(other, running)).toBe('answered');
       await caller.placeHoldUntilAnswered(other, later);
       expect(await Promise.all([done, running, later].map(countRuns))).toEqual([1, 1, 1]);
     },
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: two daemons grant the same key. Sequence: the owner is frozen, another one takes its
-  // shard and grants; the frozen one wakes with a caller's request for the same key before it. Cause:
-  // it still believes that it owns the shard and looks in its own memory only.
+  // Guards against two daemons that grant the same key. The owner is frozen while another daemon
+  // takes over its shard and grants the key. When it resumes with a request for the same key, it
+  // still believes that it owns the shard.
   it(
-    'is not granted by an owner that was frozen and wakes',
+    'is not granted by an owner that was frozen and resumes',
     async () => {
       const { shard, owner, entry, other } = getRoles();
       const [key, next] = [createKey(shard), createKey(shard)];
       owner.freeze();
-      const asleep = caller.placeHold(owner, key);
+      const pending = caller.placeHold(owner, key);
       await caller.placeHoldUntilAnswered(entry, key);
       owner.resume();
-      await asleep;
+      await pending;
       await caller.placeHoldUntilAnswered(owner, key);
       await Promise.all([entry, owner, other].map((daemon) => caller.placeHold(daemon, next)));
       await caller.placeHoldUntilAnswered(owner, next);
@@ -120,11 +125,11 @@
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: a hold granted during an outage runs again after it. Sequence: the store is down, the
-  // owner grants on its witness's word and is killed; the store comes back. Cause: the next owner
-  // takes what the store remembers for all there was.
+  // Guards against a second run, after an outage of the store, of a hold that was granted during
+  // it. The owner granted the key with only its witness, then was killed. The next owner must not
+  // rely on the store alone.
   it(
-    'is never run again when the owner was killed in an outage of the store',
+    'is never run again when the owner was killed during an outage of the store',
     async () => {
       const { shard, owner, entry, other } = getRoles();
       const [done, running] = [createKey(shard), createKey(shard)];
@@ -135,25 +140,25 @@
       expect(describeResult(await answer)).toBe('answered');
       await caller.placeHold(other, done);
       await fleet.platform.injectFault({ kind: 'up' });
-      expect(await askForFate(other, done)).toBe('answered');
-      expect(await askForFate(other, running)).toBe('answered');
+      expect(await waitForFinalResult(other, done)).toBe('answered');
+      expect(await waitForFinalResult(other, running)).toBe('answered');
       expect(await Promise.all([done, running].map(countRuns))).toEqual([1, 1]);
     },
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: as above. Sequence: as above, and the witness is killed too, so that nobody is left who
-  // knows of the grant. Cause: a key that nobody remembers is taken for a new one.
+  // Guards against the same failure when the witness is killed too, so that no daemon knows of the
+  // grant. An unknown key must not be taken for a new one.
   it(
-    'is refused as unknown when nobody is left who would know',
+    'is reported as unknown when neither owner nor witness is left',
     async () => {
-      const { shard, owner, second, other } = getRoles();
+      const { shard, owner, witness, other } = getRoles();
       const key = createKey(shard);
       await fleet.platform.injectFault({ kind: 'down' });
       await caller.placeHoldUntilAnswered(owner, key);
-      await Promise.all([owner, second].map((daemon) => fleet.killAndRemove(daemon)));
+      await Promise.all([owner, witness].map((daemon) => fleet.killAndRemove(daemon)));
       await fleet.platform.injectFault({ kind: 'up' });
-      expect(await askForFate(other, key)).toBe(LOST_CLAIM);
+      expect(await waitForFinalResult(other, key)).toBe(LOST_CLAIM);
       expect(await countRuns(key)).toBe(1);
     },
     TEST_TIMEOUT_MS,
--- a/packages/e2e/src/lib/configurationChanges.test.ts
+++ b/packages/e2e/src/lib/configurationChanges.test.ts
@@ -3,12 +3,12 @@
 import type { ConfigurationFiles } from '../test/Fleet.js';
 import { runOperator } from '../test/runOperator.js';
 
-/** An edit that touches one workspace and nothing else. */
+/** Makes an edit that changes only one workspace. */
 function setWeight({ register }: ConfigurationFiles, weight: number): void {
   Object.assign(register.workspaces[0]!, { weight });
 }
 
-describe('changes that operators make, with real daemons', () => {
+describe('configuration changes by operators, with real daemons', () => {
   const fleet = new Fleet();
 
   beforeAll(async () => {
@@ -19,7 +19,7 @@
 
   afterAll(() => fleet.dispose());
 
-  /** The accepted generation, by the operators' command line. */
+  /** Returns the accepted generation according to the operators' command line. */
   async function getAccepted(): Promise<number> {
     const { output } = await fleet.runCommand('history', '--json');
     const { changes } = JSON.parse(output) as { changes: { generation: number }[] };
@@ -32,7 +32,7 @@
     return fleet.writeFiles(files);
   }
 
-  it('puts an accepted change in force at all daemons, as apply, status and members tell', async () => {
+  it('puts an accepted change into force at all daemons, as apply, status and members report', async () => {
     const base = await getAccepted();
     const daemons = fleet.getDaemonOptions();
     const edit = await writeEdit(2);
@@ -64,9 +64,9 @@
     });
   });
 
-  // Symptom: an operator's edit is gone. Sequence: two operators edit the same generation and apply
-  // at the same moment. Cause: the later one writes over the earlier one.
-  it('lets one of two racing operators win and shows the other both sides', async () => {
+  // Guards against an edit that is silently overwritten. Two operators edit the same generation and
+  // apply their edits at the same moment.
+  it('accepts one of two concurrent changes and shows both to the operator whose change is refused', async () => {
     const base = String(await getAccepted());
     const [ana, bo] = [await writeEdit(3), await writeEdit(4)];
     const results = await Promise.all([
@@ -87,11 +87,10 @@
     expect(await getAccepted()).toBe(Number(base) + 1);
   });
 
-  // Symptom: a change is reported as refused or lost although it is in force, or is accepted twice.
-  // Sequence: the store takes the update of the manifest and the connection breaks before the
-  // answer; the client asks again and meets its own update. Cause: a conflict with one's own change
-  // taken for somebody else's.
-  it('finds its own change when the confirmation was lost', async () => {
+  // Guards against a change that is in force but reported as refused or lost, or that is accepted
+  // twice. The store commits the update of the manifest, and the connection breaks before the
+  // response. The client retries and must recognize its own update in the conflict.
+  it('recognizes its own change when the response was lost', async () => {
     const base = await getAccepted();
     const edit = await writeEdit(5);
     const lost = { kind: 'lose-answers', count: 1, keyPrefix: 'config/manifest' } as const;
--- a/packages/e2e/src/lib/monotonicVersions.test.ts
+++ b/packages/e2e/src/lib/monotonicVersions.test.ts
@@ -1,10 +1,10 @@
 import { Fleet } from '../test/Fleet.js';
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 
-/** For what has to outlast the patience of membership. */
+/** Long enough for the mesh to declare frozen daemons dead. */
 const TEST_TIMEOUT_MS = 120_000;
 
-describe('versions at each daemon', () => {
+describe('configuration versions at each daemon', () => {
   const fleet = new Fleet();
   let accepted = 1;
 
@@ -27,12 +27,11 @@
     return Promise.all(daemons.map((daemon) => daemon.waitForGeneration(generation)));
   }
 
-  // Symptom: callers of one daemon see an older version after a newer one. Sequence: a daemon is
-  // frozen while changes are accepted and wakes with an old view; others start again next to it,
-  // with the store slow and then down, so that it is the first to answer them. Cause: whatever a
-  // peer brings is put in force, or the first configuration that comes to a daemon that starts.
+  // Guards against an older version that comes into force after a newer one. A daemon is frozen
+  // while changes are accepted and resumes with an old version. Other daemons start while the store
+  // is slow or down, so that this daemon is the first to answer them.
   it(
-    'never go back, whoever sleeps, wakes or starts again',
+    'never go back when daemons are frozen, resumed or restarted',
     async () => {
       const [first, second, third] = fleet.daemons as [FleetDaemon, FleetDaemon, FleetDaemon];
 
@@ -41,7 +40,7 @@
       third.resume();
       await third.waitForGeneration(accepted);
 
-      // The woken one is the only peer that answers the one that starts, and is behind.
+      // The resumed daemon is the only peer that answers the starting one, and its version is old.
       third.freeze();
       await waitForAll([first, second], await change());
       await first.stop();
@@ -53,7 +52,7 @@
       second.resume();
       await fleet.platform.injectFault({ kind: 'up' });
 
-      // In an outage all it can know comes from its peers.
+      // During an outage, the daemon can only get its configuration from its peers.
       await waitForAll(fleet.daemons, await change());
       await fleet.platform.injectFault({ kind: 'down' });
       await second.kill();
--- a/packages/e2e/src/lib/replicaDrain.test.ts
+++ b/packages/e2e/src/lib/replicaDrain.test.ts
@@ -9,7 +9,7 @@
 
 const FAST = ['--step-base', '2', '--step-per-request', '0', '--prefill-per-token', '0'];
 
-describe('a replica that leaves and returns', () => {
+describe('a replica that drains and returns', () => {
   let deployment: Deployment;
   let daemon: Daemon;
   const engines: FakeEngine[] = [];
@@ -26,7 +26,7 @@
     await deployment.dispose();
   });
 
-  const isLeaving = (engine: Backend) =>
+  const waitUntilLeaving = (engine: Backend) =>
     waitForService(daemon, 'engines', ({ replicas }) =>
       replicas.some(({ id, leaving }) => id === engine.id && leaving),
     );
@@ -34,28 +34,30 @@
   const countDispatches = ({ id }: Backend) =>
     getDecisions(daemon.process.log, 'choose').filter(({ replica }) => replica === id).length;
 
-  /** Asks for short answers, one after another, until the engine has run one. */
-  async function askUntilRun(engine: Backend, known: number): Promise<void> {
+  /** Requests short answers one after another until the engine has run one. */
+  async function sendUntilRun(engine: Backend, runCount: number): Promise<void> {
     const { chatRequest, expected } = createChat(daemon.port, 3);
     expect((await askChat(chatRequest)).tokens).toEqual(expected);
-    if ((await engine.getRuns()).length === known) {
-      await askUntilRun(engine, known);
+    if ((await engine.getRuns()).length === runCount) {
+      await sendUntilRun(engine, runCount);
     }
   }
 
-  // Symptom: an engine that shuts down is sent new work, or the answers it still gives are cut.
-  // Sequence: it says that it leaves while one answer is on its way; more requests come. Cause:
-  // only the lagging list of instances was asked, or leaving was taken for gone.
-  it('gets nothing new, ends what it has, and gets work again when it returns', async () => {
+  // Guards against new work for an engine that shuts down, and against cutting off the answers that
+  // it still produces. The engine reports that it is leaving during an answer, while more requests
+  // arrive. The instance list lags, and a leaving engine is not yet gone.
+  it('gets no new work, finishes its answers, and gets work again when it returns', async () => {
     daemon = await deployment.startStandaloneDaemon();
     const long = createChat(daemon.port, 1500);
-    let leaver: Backend | undefined;
+    let leavingEngine: Backend | undefined;
     let noticed: Promise<unknown> | undefined;
     const onToken = (count: number) => {
       if (count === 10) {
         const { replica } = getDecisions(daemon.process.log, 'choose')[0]!;
-        leaver = deployment.backends.find(({ id }) => id === replica)!;
-        noticed = leaver.injectFault({ kind: 'leave' }).then(() => isLeaving(leaver!));
+        leavingEngine = deployment.backends.find(({ id }) => id === replica)!;
+        noticed = leavingEngine
+          .injectFault({ kind: 'leave' })
+          .then(() => waitUntilLeaving(leavingEngine!));
       }
     };
     const answering = askChat({ ...long.chatRequest, onToken });
@@ -65,26 +67,26 @@
       await waitForService(daemon, 'engines', () => true);
     }
     await noticed;
-    const before = countDispatches(leaver!);
+    const before = countDispatches(leavingEngine!);
     const { chatRequest, expected } = createChat(daemon.port, 3);
     const answers = await Promise.all(Array.from({ length: 8 }, () => askChat(chatRequest)));
     answers.forEach(({ tokens }) => expect(tokens).toEqual(expected));
-    expect(countDispatches(leaver!)).toBe(before);
+    expect(countDispatches(leavingEngine!)).toBe(before);
     expect((await answering).tokens).toEqual(long.expected);
-    const runs = await leaver!.getRuns();
+    const runs = await leavingEngine!.getRuns();
     expect(runs.map(({ completed }) => completed)).toEqual([true]);
-    await leaver!.injectFault({ kind: 'stay' });
-    await askUntilRun(leaver!, 1);
+    await leavingEngine!.injectFault({ kind: 'stay' });
+    await sendUntilRun(leavingEngine!, 1);
   });
 
-  // Symptom: an engine that stayed after all never gets work again. Sequence: it refuses one
-  // request with the word that it leaves, and takes work again before anybody asks for its load.
-  // Cause: its return was noticed only by those who had asked it while it left.
-  it('gets work again when nobody saw its leaving but by a refusal', async () => {
-    let asked = 0;
+  // Guards against an engine that never gets work again after it cancels its shutdown. It refuses
+  // one request because it is leaving, and accepts work again before its load is queried. The
+  // daemon never saw a load report of a leaving engine.
+  it('gets work again if only a refusal showed that it was leaving', async () => {
+    let requestCount = 0;
     const engine = new FakeEngine((attemptId, response) => {
-      asked += 1;
-      if (asked === 1) {
+      requestCount += 1;
+      if (requestCount === 1) {
         response.writeHead(503, { 'x-outcome': 'not-run', 'x-leaving': 'true' }).end('{}');
       } else {
         response.end(
@@ -98,7 +100,7 @@
     deployment.backends.push(other!);
     deployment.registerExternalBackend('engines', port);
     daemon = await deployment.startStandaloneDaemon();
-    for (let turn = 0; asked < 3; turn += 1) {
+    for (let turn = 0; requestCount < 3; turn += 1) {
       const { chatRequest } = createChat(daemon.port, 3, 6, `posters, order ${turn}`);
       // eslint-disable-next-line no-await-in-loop
       expect((await askChat(chatRequest)).whole).toBe(true);
--- a/packages/e2e/src/lib/requestFailures.test.ts
+++ b/packages/e2e/src/lib/requestFailures.test.ts
@@ -6,10 +6,9 @@
 
 const HASTY_HOLD = { 'x-apricotrill-class': 'hasty-hold' };
 
-// Symptom: a caller waits for an answer that will never come, or asks again at once. Sequence: its
-// request is given up in the queue, before or after its first token. Cause: the decision to give
-// up and the answer to the caller were two things.
-describe('a request that is given up is answered at once, with Retry-After', () => {
+// Guards against a caller that never gets a response, or gets one without Retry-After and retries
+// at once. Its request is given up in the queue, or before or after the first token of its answer.
+describe('a request that is given up is answered at once with Retry-After', () => {
   let deployment: Deployment;
   let engine: FakeEngine | undefined;
   let daemon: LocalDaemon;
@@ -31,24 +30,24 @@
     daemon = await LocalDaemon.start(deployment);
   }
 
-  it('when it waits in the queue: before what it waited for', async () => {
+  it('when its deadline expires in the queue, before the requests ahead of it complete', async () => {
     const portal = await deployment.startBackend('portal', ['--delay', '4000', '--slots', '1']);
     daemon = await LocalDaemon.start(deployment);
-    const order: string[] = [];
+    const finished: string[] = [];
     const checks = Array.from({ length: 12 }, async () => {
       await checkArtwork(daemon.port, '17');
-      order.push('check');
+      finished.push('check');
     });
     await portal.waitForRuns((runs) => runs.length > 0);
     const held = await placeHold(daemon.port, 'hold-1', { headers: HASTY_HOLD });
-    order.push('hold');
+    finished.push('hold');
     expect(held).toMatchObject({ status: 503, body: { outcome: 'not-run' } });
     expect(Number(held.retryAfter)).toBeGreaterThan(0);
     await Promise.race(checks);
-    expect(order[0]).toBe('hold');
+    expect(finished[0]).toBe('hold');
   });
 
-  it('when no replica is there', async () => {
+  it('when there is no replica', async () => {
     daemon = await LocalDaemon.start(deployment);
     const held = await placeHold(daemon.port, 'hold-1');
     expect(held).toMatchObject({ status: 503, body: { outcome: 'not-run' } });
@@ -75,8 +74,8 @@
     expect(answer.problem?.retryAfter).toBeGreaterThan(0);
   });
 
-  // Asking again would find the same fault: there is no Retry-After.
-  it('when the engine finds fault with the request: with its own status', async () => {
+  // A retry would fail in the same way, so there is no Retry-After.
+  it('with the status of the engine when the engine rejects the request', async () => {
     await startWith(
       new FakeEngine((_attemptId, response) => {
         response.writeHead(422).end('{"error":"too long for this model"}');
--- a/packages/e2e/src/lib/requestOutcomes.test.ts
+++ b/packages/e2e/src/lib/requestOutcomes.test.ts
@@ -7,7 +7,7 @@
 
 const HASTY_HOLD = { 'x-apricotrill-class': 'hasty-hold' };
 
-describe('what a refused or broken call is said to have done', () => {
+describe('reported outcome of refused and broken calls', () => {
   let deployment: Deployment;
   let claims: MemoryClaims;
   const daemons: LocalDaemon[] = [];
@@ -33,7 +33,7 @@
     return Promise.all(Array.from({ length: count }, () => deployment.startBackend('portal')));
   }
 
-  /** How often the holds of a key ran, at all portals together. */
+  /** Returns how often holds with this key ran, over all portals. */
   async function countRuns(key: string): Promise<number> {
     const runs = await Promise.all(deployment.backends.map((portal) => portal.getRuns()));
     return runs.flat().filter(({ idempotencyKey }) => idempotencyKey === key).length;
@@ -42,9 +42,9 @@
   const getOutcomes = (answers: { status: number; body: { outcome?: string } }[]) =>
     answers.map(({ status, body }) => body.outcome ?? status);
 
-  // Symptom: holds fail although a portal is well. Sequence: one replica has crashed and its port
-  // refuses connections. Cause: a refused connection taken for a request that may have run.
-  it('sends a hold elsewhere whose connection was refused', async () => {
+  // Guards against holds that fail although a portal is available. One replica has crashed and its
+  // port refuses connections, which proves that the request did not run there.
+  it('sends a hold to another replica when the connection was refused', async () => {
     const [first] = await startPortals(2);
     const { port } = await startDaemon();
     await first!.injectFault({ kind: 'crash' }).catch(() => undefined);
@@ -56,10 +56,9 @@
     expect(await Promise.all(keys.map(countRuns))).toEqual([1, 1, 1]);
   });
 
-  // Symptom: a shop is told that its hold may have run, and finds no trace of it. Sequence: no
-  // replica can be reached. Cause: the proof was there and was not used. The key must be free
-  // again, since nothing ran under it.
-  it('proves a hold not run that nobody could be sent', async () => {
+  // Guards against reporting that a hold may have run when no replica could be reached, which
+  // proves that it did not. Its key must be released, since nothing ran under it.
+  it('reports a hold as not run when no replica could be reached', async () => {
     const [portal] = await startPortals(1);
     const { port } = await startDaemon();
     await portal!.injectFault({ kind: 'crash' }).catch(() => undefined);
@@ -70,7 +69,7 @@
     expect(claims.ends.get('hold-1')).toEqual({ kind: 'released' });
   });
 
-  it('sends a hold elsewhere that was refused by the documented answer', async () => {
+  it('sends a hold to another replica when it was refused with the documented response', async () => {
     const [first, second] = await startPortals(2);
     await first!.injectFault({ kind: 'refuse', count: 1000 });
     const { port } = await startDaemon();
@@ -79,7 +78,7 @@
     expect(await second!.getRuns()).toHaveLength(4);
   });
 
-  it('proves a hold not run that everybody refused', async () => {
+  it('reports a hold as not run when all replicas refused it', async () => {
     const [portal] = await startPortals(1);
     await portal!.injectFault({ kind: 'refuse', count: 1000 });
     const { port } = await startDaemon();
@@ -89,10 +88,9 @@
     expect(await countRuns('hold-1')).toBe(0);
   });
 
-  // Symptom: an order frozen twice. Sequence: the portal runs the hold, and the connection breaks
-  // before its answer; the daemon or its caller sends the hold again. Cause: a broken connection
-  // taken for a request that did not run.
-  it('never sends a hold again whose connection broke', async () => {
+  // Guards against a hold that is placed twice. The portal runs the hold, and the connection breaks
+  // before the response. A broken connection does not prove that the request did not run.
+  it('never retries a hold whose connection broke', async () => {
     const portals = await startPortals(2);
     await Promise.all(
       portals.map((portal) => portal.injectFault({ kind: 'drop-after', tokens: 0, count: 1 })),
@@ -107,7 +105,7 @@
     expect(await countRuns('hold-1')).toBe(1);
   });
 
-  it('never sends a hold again whose connection went silent', async () => {
+  it('never retries a hold whose connection stopped responding', async () => {
     const [portal] = await startPortals(2);
     await Promise.all(deployment.backends.map((each) => each.injectFault({ kind: 'stall' })));
     const { log, port } = await startDaemon();
@@ -119,7 +117,7 @@
     expect(await countRuns('hold-1')).toBeLessThanOrEqual(1);
   });
 
-  it('sends a check again whose connection broke, a bounded number of times', async () => {
+  it('retries a check whose connection broke a limited number of times', async () => {
     const [portal] = await startPortals(1);
     const { log, port } = await startDaemon();
     await portal!.injectFault({ kind: 'drop-after', tokens: 0, count: 2 });
@@ -132,11 +130,10 @@
     expect(getDecisions(log, 'choose').length).toBeLessThanOrEqual(3 + 5);
   });
 
-  // Symptom: a hold neither runs nor is refused, or is called "not run" while an earlier one of its
-  // key runs. Sequence: whoever keeps the claims does not answer, or answers after the caller was
-  // told. Cause: a wait without a bound; a key granted late that nobody gives back; and no run of
-  // this request taken for no run of its key, which nobody has looked up.
-  it('refuses a hold whose key can not be claimed in time, and gives a late grant back', async () => {
+  // Guards against a hold that waits without a limit, a late grant that is never released, and a
+  // hold that is reported as not run while an earlier one with its key runs. The claim owner
+  // answers late or never, so nobody has looked up the key.
+  it('refuses a hold whose key cannot be claimed in time and releases a late grant', async () => {
     const [portal] = await startPortals(1);
     let ended: { kind: string } | undefined;
     let grant = () => {};
@@ -160,9 +157,9 @@
     ]);
   });
 
-  // Symptom: a hold is called "not run" while it runs. Sequence: its caller asks again after its API
-  // key was replaced, or at a daemon that can't keep claims. Cause: as above.
-  it('says of no key what it did not look up', async () => {
+  // Guards against a running hold that is reported as not run. Its caller repeats the request after
+  // its API key was replaced, or at a daemon that cannot claim keys, so the key is not looked up.
+  it('reports the outcome as unknown if the key was not looked up', async () => {
     await startPortals(1);
     const failing = await startDaemon({ claim: () => Promise.reject(new Error('lost')) });
     const other = await startDaemon();
@@ -175,10 +172,10 @@
     expect(getDecisions(failing.log, 'claim')).toMatchObject([{ event: 'failed' }]);
   });
 
-  // Symptom: now and then, under faults, a hold ran twice, or one said not to have run has run.
-  // Sequence: many holds at once, repeated by their callers, while portals refuse, drop and cross
-  // answers. Cause: any of the above in combination.
-  it('keeps its word for many holds under faults', async () => {
+  // Guards against second runs and wrong outcomes under load. Many holds run at once and are
+  // repeated by their callers, while portals refuse requests, drop connections and send answers of
+  // other requests.
+  it('reports correct outcomes for many holds under faults', async () => {
     const portals = await startPortals(3);
     await Promise.all(
       portals.flatMap((portal) => [
@@ -196,13 +193,13 @@
     expect(answered.filter(({ body }) => body.requestId === 'stray/0')).toEqual([]);
     const runs = await Promise.all(keys.map(countRuns));
     keys.forEach((key, index) => {
-      const said = getOutcomes(answers.slice(2 * index, 2 * index + 2));
-      const least = said.includes(200) ? 1 : 0;
-      const most = said.every((outcome) => outcome === 'not-run') ? 0 : 1;
-      expect({ key, said, runs: runs[index] }).toEqual({
+      const reported = getOutcomes(answers.slice(2 * index, 2 * index + 2));
+      const minRuns = reported.includes(200) ? 1 : 0;
+      const maxRuns = reported.every((outcome) => outcome === 'not-run') ? 0 : 1;
+      expect({ key, reported, runs: runs[index] }).toEqual({
         key,
-        said,
-        runs: Math.min(most, Math.max(least, runs[index]!)),
+        reported,
+        runs: Math.min(maxRuns, Math.max(minRuns, runs[index]!)),
       });
     });
     expect(runs.filter((count) => count === 1).length).toBeGreaterThan(30);
--- a/packages/e2e/src/lib/requestPath.test.ts
+++ b/packages/e2e/src/lib/requestPath.test.ts
@@ -4,7 +4,7 @@
 import { API_KEY, Deployment, MODEL } from '../test/Deployment.js';
 import type { Daemon } from '../test/Deployment.js';
 
-describe('the whole path, as separate processes', () => {
+describe('the path of a request through separate processes', () => {
   const deployment = new Deployment();
   let daemon: Daemon;
 
@@ -18,7 +18,7 @@
 
   afterAll(() => deployment.dispose());
 
-  it('streams a chat answer, whole and in order', async () => {
+  it('streams a complete chat answer in order', async () => {
     const prompt = 'Quote 500 posters on matte paper.';
     const chatRequest = { port: daemon.port, apiKey: API_KEY, model: MODEL, prompt, maxTokens: 40 };
     const answer = await askChat(chatRequest);
@@ -27,7 +27,7 @@
     expect(answer.tokens).toEqual(getExpectedTokens(MODEL, getMessages(prompt), 40));
   });
 
-  it('gives the same answer unstreamed', async () => {
+  it('returns the same answer without streaming', async () => {
     const messages = getMessages('Which ink for vinyl?');
     const response = await request(`http://127.0.0.1:${daemon.port}/v1/chat/completions`, {
       method: 'POST',
@@ -48,7 +48,7 @@
   });
 
   it.each([
-    ['a wrong key', { key: 'wrong', body: '{}' }, 401, 'wrong-key'],
+    ['a wrong API key', { key: 'wrong', body: '{}' }, 401, 'wrong-key'],
     ['a malformed body', { key: API_KEY, body: '{"model":' }, 400, 'malformed'],
     [
       'an unknown model',
@@ -56,7 +56,7 @@
       404,
       'unknown-model',
     ],
-  ])('refuses %s with a typed problem', async (_what, { key, body }, status, reason) => {
+  ])('refuses %s with a typed problem', async (_title, { key, body }, status, reason) => {
     const response = await request(`http://127.0.0.1:${daemon.port}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${key}` },
--- a/packages/e2e/src/lib/rollingRestart.test.ts
+++ b/packages/e2e/src/lib/rollingRestart.test.ts
@@ -7,24 +7,24 @@
 import { Binary, Subprocess } from '../test/Subprocess.js';
 import { SHARDS, createKey, startShards } from '../test/shards.js';
 
-/** Nine daemons, each with its notice to the balancer. */
+/** Long enough for nine daemons, each with its notice to the load balancer. */
 const TEST_TIMEOUT_MS = 240_000;
 
 const CALLERS = 8;
 
-/** A call of the load, and the daemon it went to. */
+/** A call of the load and the daemon that received it. */
 interface SentCall {
   entry: FleetDaemon;
   answer: CallResult;
 }
 
-describe('nine daemons that are restarted', () => {
+describe('restarts of nine daemons', () => {
   const fleet = new Fleet();
   const caller = new FleetCaller();
 
   beforeAll(async () => {
     await fleet.prepare();
-    // Slow enough for streams that last through the notice to the balancer.
+    // Slow enough for streams that outlast the notice to the load balancer.
     const engine = ['--step-base', '40', '--step-per-request', '0', '--slots', '32'];
     await fleet.backends.startBackend('engines', engine);
     await fleet.backends.startBackend('engines', engine);
@@ -39,8 +39,8 @@
 
   afterAll(() => fleet.dispose());
 
-  /** Calls of every kind, one after the other, until it is told to stop. */
-  async function callOn(balancer: Balancer, place: number, load: { isOver: boolean }) {
+  /** Sends calls of every kind, one after another, until the load is over. */
+  async function sendCalls(balancer: Balancer, place: number, load: { isOver: boolean }) {
     const sent: SentCall[] = [];
     const send = async (call: (entry: FleetDaemon) => Promise<CallResult>) => {
       const entry = await balancer.pick();
@@ -48,7 +48,7 @@
     };
     while (!load.isOver) {
       const key = createKey((place + sent.length) % SHARDS);
-      // One call after the other, as one caller makes them.
+      // Sequential, since each caller has one call at a time.
       // eslint-disable-next-line no-await-in-loop
       await send((entry) => caller.placeHold(entry, key));
       // eslint-disable-next-line no-await-in-loop
@@ -59,26 +59,26 @@
     return sent;
   }
 
-  /** Puts the fleet under load for as long as the work takes. @returns all calls of the load */
-  async function underLoad(work: () => Promise<void>): Promise<SentCall[]> {
+  /** Keeps the fleet under load until the work is done. @returns all calls of the load */
+  async function runUnderLoad(work: () => Promise<void>): Promise<SentCall[]> {
     const balancer = new Balancer(fleet.daemons);
     const load = { isOver: false };
-    const callers = Array.from({ length: CALLERS }, (_, place) => callOn(balancer, place, load));
+    const callers = Array.from({ length: CALLERS }, (_, place) => sendCalls(balancer, place, load));
     await work();
     load.isOver = true;
     return (await Promise.all(callers)).flat();
   }
 
-  // Symptom: at each release callers lose their streams, or holds are refused or doubled. Sequence:
-  // all daemons are restarted in turn under load. Cause: a daemon that stops before its balancer
-  // knows, cuts what is in flight, or leaves its shards to be taken over as after a crash.
+  // Guards against callers that lose streams, and holds that are refused or run twice, at each
+  // release. All daemons are restarted in turn under load. A daemon must not stop before the load
+  // balancer knows, cut off requests in flight, or leave its shards to a takeover as after a crash.
   it(
-    'lose, double and cut nothing when all are restarted in turn under load',
+    'do not lose, repeat or cut off any call when all daemons restart in turn under load',
     async () => {
       const codes: (number | string)[] = [];
-      const sent = await underLoad(async () => {
+      const sent = await runUnderLoad(async () => {
         for (const daemon of fleet.daemons) {
-          // One after the other, as operators do it.
+          // Sequential, as in a rolling restart by operators.
           // eslint-disable-next-line no-await-in-loop
           codes.push(await daemon.stop());
           // eslint-disable-next-line no-await-in-loop
@@ -97,10 +97,10 @@
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: a long answer ends in the middle at a release. Sequence: a daemon is told to stop while
-  // it streams for longer than its notice to the balancer. Cause: it waits for its notice only.
+  // Guards against a long answer that is cut off at a release. The daemon is told to stop during a
+  // stream that lasts longer than its notice to the load balancer.
   it(
-    'end only after their longest answer, and after callers that send nothing',
+    'wait for the longest answer, but not for idle connections',
     async () => {
       const [daemon] = fleet.daemons as [FleetDaemon];
       const idle = connect(daemon.port, '127.0.0.1');
@@ -121,13 +121,14 @@
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: the crash of one daemon is felt by callers of others. Sequence: one is killed under
-  // load; whoever was cut off asks again. Cause: shared state that only the dead one could give on.
+  // Guards against the crash of one daemon affecting callers of others. One daemon is killed under
+  // load, and disconnected callers repeat their requests. No shared state may depend on the killed
+  // daemon alone.
   it(
-    'are cut off from nobody but the callers of the one that is killed',
+    'disconnect only callers of the daemon that is killed',
     async () => {
       const [daemon] = fleet.daemons as [FleetDaemon];
-      const sent = await underLoad(async () => {
+      const sent = await runUnderLoad(async () => {
         await daemon.waitForDecision('choose');
         await daemon.kill();
         await daemon.start();
@@ -145,9 +146,9 @@
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: a daemon that could not start stays, is never ready, and is not started again. Sequence:
-  // its mesh port is taken. Cause: the ports it has open keep the process alive.
-  it('end when they cannot start', async () => {
+  // Guards against a daemon that cannot start but does not exit, so that it is never ready and
+  // never restarted. Its mesh port is taken, and its other open ports would keep the process alive.
+  it('end the process if the daemon cannot start', async () => {
     const taken = fleet.daemons[0]!;
     const second = new Subprocess(Binary.Router, taken.args);
     expect(await second.exited).toBe(1);
--- a/packages/e2e/src/lib/shutdown.test.ts
+++ b/packages/e2e/src/lib/shutdown.test.ts
@@ -11,11 +11,11 @@
 import { LocalDaemon } from '../test/LocalDaemon.js';
 import { MemoryClaims } from '../test/MemoryClaims.js';
 
-const FORCED = 130;
+const FORCED_EXIT_CODE = 130;
 
 const LIST_MODELS = 'GET /v1/models HTTP/1.1\r\nhost: daemon\r\n\r\n';
 
-/** Connects again and again, until nobody listens any more. */
+/** Connects repeatedly until the port refuses connections. */
 async function waitUntilRefused(port: number): Promise<void> {
   const isRefused = await new Promise<boolean>((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -30,7 +30,7 @@
   }
 }
 
-/** Asks for the status until a request is in flight. */
+/** Polls the status until a request is in flight. */
 async function waitUntilInFlight(daemon: { adminPort: number }): Promise<void> {
   if ((await getStatus(daemon)).inFlight === 0) {
     await waitUntilInFlight(daemon);
@@ -59,20 +59,20 @@
     await deployment.dispose();
   });
 
-  const endAnswers = () =>
+  const completeAnswers = () =>
     answers.splice(0).forEach(({ attemptId, response }) => {
       const end = `${getFinishEvent(attemptId)}data: [DONE]\n\n`;
       response.end(`${getTokenEvent(attemptId, 1, ' ended')}${end}`);
     });
 
-  const isDraining = () =>
+  const waitUntilDraining = () =>
     waitForDecision(daemon.process.log, 'daemon', ({ event }) => event === 'draining');
 
-  // Symptom: answers are cut, callers see resets, or the process has to be killed. Sequence: the
-  // platform replaces the instance while a stream is on its way, a request is half sent, and
-  // callers keep connections for later. Cause: listening ends before the balancer knows, what is
-  // being sent counts for nothing, or idle connections count for something.
-  it('turns its readiness first, ends everything in flight, and exits', async () => {
+  // Guards against answers that are cut off, connection resets, and a daemon that must be killed.
+  // It is told to stop during a stream, with a request half sent and idle connections open. It must
+  // listen until the load balancer knows, wait for the half-sent request, and not wait for idle
+  // connections.
+  it('first reports that it is not ready, then completes everything in flight, and exits', async () => {
     daemon = await deployment.startStandaloneDaemon();
     const streaming = askChat(createChat(daemon.port, 2).chatRequest);
     await engine.waitForRequestCount(1);
@@ -86,7 +86,7 @@
     sending.send(`${head.join('\r\n')}\r\n\r\n${body.slice(0, 20)}`);
     expect(await getReadiness(daemon)).toBe(200);
     daemon.process.signal('SIGTERM');
-    await isDraining();
+    await waitUntilDraining();
     expect(await getReadiness(daemon)).toBe(503);
     expect(await new RawCaller(daemon.port).send(LIST_MODELS).getStatus()).toBe(200);
     await waitUntilRefused(daemon.port);
@@ -94,7 +94,7 @@
     expect(await getReadiness(daemon)).toBe(503);
     sending.send(body.slice(20));
     await engine.waitForRequestCount(2);
-    endAnswers();
+    completeAnswers();
     expect(await streaming).toMatchObject({ whole: true, tokens: ['begun', ' ended'] });
     expect(await sending.waitFor('"usage"')).toContain('begun ended');
     expect(await daemon.process.exited).toBe(0);
@@ -105,15 +105,15 @@
     const cut = expect(askChat(createChat(daemon.port, 2).chatRequest)).rejects.toThrow();
     await engine.waitForRequestCount(1);
     daemon.process.signal('SIGTERM');
-    await isDraining();
+    await waitUntilDraining();
     daemon.process.signal('SIGINT');
-    expect(await daemon.process.exited).toBe(FORCED);
+    expect(await daemon.process.exited).toBe(FORCED_EXIT_CODE);
     await cut;
   });
 
-  // Symptom: a hold whose end nobody knows. Sequence: the daemon stops while holds run, one of
-  // them left by its caller. Cause: the shutdown waited for callers only.
-  it('ends the holds that run, also those whose callers have left', async () => {
+  // Guards against a hold whose outcome nobody knows. The daemon stops while holds run, and the
+  // caller of one of them has disconnected. The shutdown must not only wait for callers.
+  it('completes running holds, including those whose callers have disconnected', async () => {
     const portal = await deployment.startBackend('portal', ['--delay', '4000']);
     const claims = new MemoryClaims();
     const local = await LocalDaemon.start(deployment, claims);
@@ -131,9 +131,9 @@
     expect([...claims.ends.values()].map(({ kind }) => kind)).toEqual(['answered', 'answered']);
   });
 
-  // Symptom: a key that stays taken for nothing. Sequence: the caller leaves while its key is being
-  // claimed, the daemon stops, the claim is granted. Cause: a request between two filters was in
-  // flight for nobody.
+  // Guards against a key that stays claimed although nothing ran. The caller disconnects while its
+  // key is being claimed, the daemon stops, and then the claim is granted. The request must count
+  // as in flight between two filters.
   it('waits for a hold whose key is still being claimed', async () => {
     await deployment.startBackend('portal');
     const ends: string[] = [];
--- a/packages/e2e/src/lib/stalledConnections.test.ts
+++ b/packages/e2e/src/lib/stalledConnections.test.ts
@@ -9,7 +9,7 @@
 
 const getEnds = (log: LineLog) => getDecisions(log, 'relay').map(({ end }) => end);
 
-describe('connections that go silent while new ones work', () => {
+describe('connections that stop responding while new ones work', () => {
   let deployment: Deployment;
   const daemons: LocalDaemon[] = [];
 
@@ -29,11 +29,10 @@
     return daemon;
   }
 
-  // Symptom: a draft stands still in the middle, for ever. Sequence: something between daemon and
-  // engine loses track of the connection; neither side sees an error. Cause: only errors were
-  // taken for the end of a connection. And a second answer on a younger connection to the same
-  // engine must not be cut off for it: the path is suspect, not the server.
-  it('goes on over a new connection, and leaves its neighbour alone', async () => {
+  // Guards against a draft that stalls forever. A device between daemon and engine loses track of
+  // the connection, and neither side sees an error. A second answer on a newer connection to the
+  // same engine must not be cut off, since the path is suspect and not the server.
+  it('resumes an answer on a new connection without affecting another answer', async () => {
     const engine = await deployment.startProxiedBackend('engines', FAST);
     const { log, port } = await startDaemon();
     const silent = createChat(port, 40);
@@ -51,9 +50,9 @@
     expect(getEnds(log)).toEqual(['broken', 'completed', 'completed']);
   });
 
-  // Symptom: after a path was lost, one check after another runs into its time limit. Sequence:
-  // three pooled connections go silent while idle, checks are sent on them one by one. Cause: the
-  // pool kept the neighbours of a connection that had been found silent.
+  // Guards against one check after another that runs into its timeout after a path was lost. Three
+  // pooled connections stop responding while idle, and checks are sent on them one by one. When one
+  // is found silent, the others in the pool must be replaced too.
   it('replaces the whole pool after one silent connection', async () => {
     const portal = await deployment.startProxiedBackend('portal');
     const { log, port } = await startDaemon();
@@ -70,9 +69,9 @@
     expect(getEnds(log).filter((end) => end === 'broken')).toHaveLength(1);
   });
 
-  // Symptom: a hold ends as `unknown` although the portal is well. Sequence: a pooled connection
-  // goes silent while idle, and the hold is the first to use it. Cause: what may not be repeated
-  // was sent on a connection nobody had proved.
+  // Guards against a hold that ends as `unknown` although the portal is healthy. A pooled
+  // connection stops responding while idle, and the hold is the first request to use it. Requests
+  // that are not repeatable must not use an untested connection.
   it('never sends a hold on a connection that was idle', async () => {
     const portal = await deployment.startProxiedBackend('portal');
     const { log, port } = await startDaemon();
--- a/packages/e2e/src/lib/storeOutage.test.ts
+++ b/packages/e2e/src/lib/storeOutage.test.ts
@@ -4,7 +4,7 @@
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 import { placeHolds, startShards } from '../test/shards.js';
 
-/** For what has to outlast leases and the patience of membership. */
+/** Long enough for leases to expire and for the mesh to declare daemons dead. */
 const TEST_TIMEOUT_MS = 120_000;
 
 const DOWN = { kind: 'down' } as const;
@@ -27,19 +27,18 @@
 
   afterAll(() => fleet.dispose());
 
-  // Symptom: gate checks and holds stop with the store, or a change made meanwhile is lost. Sequence:
-  // the store goes down and stays down until leases have run out; calls of every kind go on, keys
-  // are repeated at other daemons, a daemon joins, and an operator applies a change. Cause: a call
-  // to the store on the path of a request; claims that only the store can grant; a shard given away
-  // when the new owner cannot take it.
+  // Guards against checks and holds that fail with the store, and against lost changes. The store
+  // is down until leases expire, while calls go on, keys are repeated at other daemons, a daemon
+  // joins, and an operator applies a change. Requests must not need the store, and a shard must not
+  // be handed over to a daemon that cannot take it.
   it(
-    'lets everything that runs go on, and a change wait',
+    'does not interrupt requests and delays a change until it ends',
     async () => {
       const [first, second, third] = fleet.daemons as [FleetDaemon, FleetDaemon, FleetDaemon];
       await fleet.platform.injectFault(DOWN);
 
-      const lone = await fleet.addDaemon({ seeds: [] });
-      await lone.start();
+      const isolated = await fleet.addDaemon({ seeds: [] });
+      await isolated.start();
       const seeds = [first.meshPort, second.meshPort];
       const late = await fleet.addDaemon({ seeds });
       await late.start();
@@ -49,16 +48,16 @@
       expect((await caller.checkArtwork(third, '17')).end.kind).toBe('answered');
       expect((await caller.chat(third, 20)).end.kind).toBe('answered');
 
-      // It has its configuration from its peers; the lone one has nobody to take one from.
+      // The late daemon gets its configuration from its peers. The isolated daemon has no peers.
       await late.waitUntilReady();
-      expect(await lone.isReady()).toBe(false);
+      expect(await isolated.isReady()).toBe(false);
       expect((await caller.chat(late, 20)).end.kind).toBe('answered');
 
       const status = await fleet.runCommand('status', ...fleet.getDaemonOptions([first]));
       expect(status.code).toBe(ExitCode.Unavailable);
       expect(status.output).toMatch(/^accepted: unknown.*generation 1 is in force at 4 of 4/s);
 
-      // By then every daemon knows the late one, and what moves for its sake would have moved.
+      // By then, every daemon knows the late one, and any shards that would move to it have moved.
       await holder.waitForDecision('placement', ({ kind }) => kind === 'lease-lost');
       await placeHolds(caller, late);
       await placeHolds(caller, third);
@@ -66,9 +65,9 @@
       const files = fleet.getFiles();
       Object.assign(files.register.workspaces[0]!, { weight: 2 });
       const edit = await fleet.writeFiles(files);
-      const unheard = await fleet.runCommand('apply', '--base', '1', '--timeout', '0', ...edit);
-      expect(unheard.code).toBe(ExitCode.Unavailable);
-      expect(unheard.output).toContain('nothing was applied');
+      const rejected = await fleet.runCommand('apply', '--base', '1', '--timeout', '0', ...edit);
+      expect(rejected.code).toBe(ExitCode.Unavailable);
+      expect(rejected.output).toContain('nothing was applied');
       const wait = ['--base', '1', '--wait', ...fleet.getDaemonOptions([first])];
       const waiting = fleet.runCommand(
         'apply',
@@ -80,8 +79,8 @@
       await fleet.platform.injectFault(UP);
       expect((await waiting).code).toBe(ExitCode.Done);
       await Promise.all(fleet.daemons.map((daemon) => daemon.waitForGeneration(2)));
-      await lone.waitUntilReady();
-      await placeHolds(caller, lone);
+      await isolated.waitUntilReady();
+      await placeHolds(caller, isolated);
       expect(await fleet.checkHistory(caller.calls)).toEqual([]);
     },
     TEST_TIMEOUT_MS,
--- a/packages/e2e/src/lib/unresponsiveClaimOwner.test.ts
+++ b/packages/e2e/src/lib/unresponsiveClaimOwner.test.ts
@@ -5,14 +5,11 @@
 
 const TEST_TIMEOUT_MS = 60_000;
 
-// A shop places a hold, its connection breaks, and it asks again at another daemon. The owner of the
-// key's shard gives no answer in time, so that daemon can't look the key up. It told the shop that the
-// request had not run while the hold of the first call was running; a shop that believes it takes a
-// new key, and the order is frozen twice. "This attempt was not sent" was passed off as "no attempt of
-// this key was sent", which only a grant of the key proves. The log of the daemon that was asked again:
-// `claim-ended answer=unavailable reason=timeout calls=21 spent=1858`, with `none` for the killed
-// owner and `not-owner` for all others, 25 ms before its caller had "claim-unavailable not-run".
-describe('a hold that is asked for again while the owner of its key gives no answer', () => {
+// Guards against a second hold of the same order. A shop loses its connection and repeats the
+// request at another daemon, which gets no answer in time from the owner of the key and cannot look
+// it up. If it reports "not run" while the first hold runs, the shop takes a new key: only a grant
+// of the key proves that no attempt with it was sent.
+describe('a hold that is repeated while the owner of its key does not respond', () => {
   const fleet = new Fleet();
   const caller = new FleetCaller();
   let portal: Backend;
@@ -26,7 +23,7 @@
   afterAll(() => fleet.dispose());
 
   it(
-    'is not called "not run", and its answer is had when the owner is back',
+    'is not reported as not run, and is answered when the owner is back',
     async () => {
       const shards = await startShards(fleet.daemons, caller);
       const [shard, { owner }] = [...shards][0]!;
--- a/packages/e2e/src/lib/unresponsiveStore.test.ts
+++ b/packages/e2e/src/lib/unresponsiveStore.test.ts
@@ -5,7 +5,7 @@
 
 const TEST_TIMEOUT_MS = 120_000;
 
-describe('a platform that is silent or slow', () => {
+describe('a platform that does not respond or is slow', () => {
   const fleet = new Fleet();
   const caller = new FleetCaller();
   let generation = 1;
@@ -29,30 +29,30 @@
     await Promise.all(fleet.daemons.map((daemon) => daemon.waitForGeneration(generation)));
   }
 
-  // Symptom: an accepted change never comes into force, and nothing looks wrong. Sequence: watches
-  // are taken and never answered; a change is accepted. Cause: a watch with nothing to tell and one
-  // that tells nothing look the same, and nobody asks beside it.
+  // Guards against an accepted change that never comes into force, without any error. The store
+  // accepts watches but never answers them, which looks the same as a watch without news. Daemons
+  // must also poll.
   it(
-    'puts a change in force though watches are silent',
+    'puts a change into force although watches are never answered',
     async () => {
       await changeUnder({ kind: 'silent-watches' });
     },
     TEST_TIMEOUT_MS,
   );
 
-  // The same, where something in between has lost track of the connections that are open.
+  // The same when a device between daemon and store loses track of open connections.
   it(
-    'puts a change in force though its connections went silent',
+    'puts a change into force although its connections stopped responding',
     async () => {
       await changeUnder({ kind: 'silence-connections' });
     },
     TEST_TIMEOUT_MS,
   );
 
-  // Symptom: holds wait for the store or are refused while it is slow. Sequence: each answer of the
-  // store takes longer than a hold may. Cause: nobody but the store is asked for the grant.
+  // Guards against holds that wait for a slow store or are refused. Each response of the store
+  // takes longer than a hold may, so the grant must not depend on the store alone.
   it(
-    'puts a change in force and places holds while the store is slow',
+    'puts a change into force and places holds while the store is slow',
     async () => {
       await changeUnder({ kind: 'slow', delayMs: 1500 });
       const [first, second] = fleet.daemons;
