--- a/packages/e2e/src/lib/versionsForward.test.ts
+++ b/packages/e2e/src/lib/monotonicVersions.test.ts
@@ -1,10 +1,10 @@
 import { Fleet } from '../test/Fleet.js';
 import type { FleetDaemon } from '../test/FleetDaemon.js';
 
-/** For what has to outlast the patience of membership. */
-const LONG = 120_000;
+/** Long enough for the mesh to declare frozen daemons dead. */
+const TEST_TIMEOUT_MS = 120_000;
 
-describe('versions at each daemon', () => {
+describe('configuration versions at each daemon', () => {
   const fleet = new Fleet();
   let accepted = 1;
 
@@ -12,7 +12,7 @@
     await fleet.prepare();
     await fleet.backends.startBackend('portal');
     await fleet.start(3);
-  }, LONG);
+  }, TEST_TIMEOUT_MS);
 
   afterAll(() => fleet.dispose());
 
@@ -27,45 +27,44 @@
     return Promise.all(daemons.map((daemon) => daemon.waitForGeneration(generation)));
   }
 
-  // Symptom: callers of one daemon see an older version after a newer one. Sequence: a daemon is
-  // frozen while changes are accepted and wakes with an old view; others start again next to it,
-  // with the store slow and then down, so that it is the first to answer them. Cause: whatever a
-  // peer brings is put in force, or the first configuration that comes to a daemon that starts.
+  // Guards against an older version that comes into force after a newer one. A daemon is frozen
+  // while changes are accepted and resumes with an old version. Other daemons start while the store
+  // is slow or down, so that this daemon is the first to answer them.
   it(
-    'never go back, whoever sleeps, wakes or starts again',
+    'never go back when daemons are frozen, resumed or restarted',
     async () => {
       const [first, second, third] = fleet.daemons as [FleetDaemon, FleetDaemon, FleetDaemon];
 
       third.freeze();
       await waitForAll([first, second], await change());
-      third.wake();
+      third.resume();
       await third.waitForGeneration(accepted);
 
-      // The woken one is the only peer that answers the one that starts, and is behind.
+      // The resumed daemon is the only peer that answers the starting one, and its version is old.
       third.freeze();
       await waitForAll([first, second], await change());
       await first.stop();
       second.freeze();
-      await fleet.platform.fail({ kind: 'slow', delayMs: 1500 });
+      await fleet.platform.injectFault({ kind: 'slow', delayMs: 1500 });
       await first.start();
-      third.wake();
+      third.resume();
       await waitForAll([first, third], accepted);
-      second.wake();
-      await fleet.platform.fail({ kind: 'up' });
+      second.resume();
+      await fleet.platform.injectFault({ kind: 'up' });
 
-      // In an outage all it can know comes from its peers.
+      // During an outage, the daemon can only get its configuration from its peers.
       await waitForAll(fleet.daemons, await change());
-      await fleet.platform.fail({ kind: 'down' });
+      await fleet.platform.injectFault({ kind: 'down' });
       await second.kill();
       await second.start();
       await second.waitUntilReady();
       await second.waitForGeneration(accepted);
-      await fleet.platform.fail({ kind: 'up' });
+      await fleet.platform.injectFault({ kind: 'up' });
 
       await waitForAll(fleet.daemons, await change());
       await fleet.waitUntilJoined();
       expect(await fleet.checkHistory([])).toEqual([]);
     },
-    LONG,
+    TEST_TIMEOUT_MS,
   );
 });
