--- a/packages/experiment/src/lib/simulation/CallRecord.ts
+++ b/packages/experiment/src/lib/simulation/CallRecord.ts
@@ -6,16 +6,16 @@
 export enum CallEnd {
   Open = 'open',
   Completed = 'completed',
-  /** Given up by the router, and by the caller after its last retry. */
+  /** The router gave the call up, and the caller did not retry it any more. */
   GivenUp = 'given-up',
-  /** The caller hung up in the middle of the answer, as it would have with any router. */
+  /** The caller hung up in the middle of the answer, for a reason unrelated to the router. */
   Left = 'left',
-  /** The caller lost patience before the first token. */
+  /** The caller hung up because no first token arrived within its timeout. */
   Impatient = 'impatient',
 }
 
 /**
- * Everything that is measured about one call.
+ * The measurements of one call.
  *
  * @public
  */
@@ -24,21 +24,21 @@
   serviceClass: ServiceClass;
   submissions: number;
   refusals: number;
-  /** Tokens handed to the caller in the submission that counts. */
+  /** Tokens delivered to the caller by its latest submission; 1 for a whole plain answer. */
   delivered: number;
-  /** Those of them that came while callers were still calling. */
+  /** The part of `delivered` that arrived while callers were still calling. */
   deliveredInSpan: number;
   firstTokenAt?: Milliseconds;
   lastTokenAt?: Milliseconds;
   settledAt?: Milliseconds;
   end: CallEnd;
-  /** Tokens, or runs of a plain call, that backend servers computed for it. */
+  /** Tokens, or runs of a plain call, that backend servers computed, delivered or not. */
   computed: number;
-  /** Whole runs at a plain service. */
+  /** Completed runs at a plain service. */
   runs: number;
 }
 
-/** Creates the record of a call that nobody has submitted yet. */
+/** Creates the record of a call that has not been submitted yet. */
 export function createCallRecord(call: Call, serviceClass: ServiceClass): CallRecord {
   return {
     call,
@@ -53,15 +53,15 @@
   };
 }
 
-/** Time until the answer began, or until the call was given up. */
+/** Time from arrival to the first token or, without one, to the end; undefined before either. */
 export function getWait({ call, firstTokenAt, settledAt }: CallRecord): Milliseconds | undefined {
   const until = firstTokenAt ?? settledAt;
   return until === undefined ? undefined : until - call.arrived;
 }
 
 /**
- * Whether a call got what its class promises: the whole answer, its first token in time, and on
- * average no longer a gap between tokens than promised.
+ * Whether a call met the target of its class: the answer is complete, the first token arrived in
+ * time, and the mean gap between tokens is within the target (chat only).
  */
 export function isAttained(record: CallRecord): boolean {
   const { serviceClass, firstTokenAt, lastTokenAt, delivered, call, end } = record;
--- a/packages/experiment/src/lib/simulation/Callers.ts
+++ b/packages/experiment/src/lib/simulation/Callers.ts
@@ -8,23 +8,23 @@
 import type { CallRecord } from './CallRecord.js';
 import type { DaemonModel, SubmissionListener } from './DaemonModel.js';
 
-/** How often a caller asks again after a refusal. */
+/** Maximum number of times a caller resubmits a call that was refused. */
 const MAX_RETRIES = 3;
 
-/** Callers wait this many deadlines for the first token, then hang up. */
-const PATIENCE_IN_DEADLINES = 1.5;
+/** Time that callers wait for the first token before they hang up, in deadlines of the class. */
+const CALLER_TIMEOUT_IN_DEADLINES = 1.5;
 
 const MIN_RETRY_DELAY: Milliseconds = 100;
 
-/** What a run did that no run may do. */
+/** Violations of invariants, counted over a run. */
 export interface Violations {
-  /** An attempt went on at a token that was not the next one. */
+  /** An attempt resumed at a token other than the next one to deliver. */
   wrongResume: number;
-  /** A request was called done before the caller had its whole answer. */
+  /** A request was reported as done, but the tokens delivered are not as many as the answer has. */
   cutAnswers: number;
-  /** A call that may not be repeated ran more than once. */
+  /** A call that is not repeatable ran more than once. */
   doubledRuns: number;
-  /** A call was refused as not run, and it had run. */
+  /** A submission was given up as not run, although a backend server had computed for it. */
   falseNotRun: number;
 }
 
@@ -36,8 +36,8 @@
 }
 
 /**
- * All callers of a run: they submit through the balancer, retry after refusals a bounded number
- * of times, lose patience, and note what they got.
+ * All callers of a run: they submit calls through the load balancer, retry refused ones a bounded
+ * number of times, hang up after a timeout, and record what was delivered.
  *
  * @internal
  */
@@ -51,15 +51,15 @@
     falseNotRun: 0,
   };
 
-  /** Calls that are not settled yet. */
+  /** Number of calls that have not ended yet, including those not submitted yet. */
   open = 0;
 
   private readonly submissions = new Map<string, OpenSubmission>();
 
-  /** Submissions for which a backend server computed something. */
+  /** Submissions for which a backend server has computed output. */
   private readonly started = new Set<string>();
 
-  /** Submissions whose callers were told that nothing ran. */
+  /** Submissions that were given up as not run. */
   private readonly notRun = new Set<string>();
 
   private daemons: DaemonModel[] = [];
@@ -70,12 +70,12 @@
       random: Random;
       classes: ServiceClass[];
       callerDelay: Milliseconds;
-      /** How long callers call. */
+      /** Time during which callers start new calls. */
       span: Milliseconds;
     },
   ) {}
 
-  /** Sets the timers of all calls. */
+  /** Schedules the first submission of each call. */
   start(calls: Call[], daemons: DaemonModel[]): void {
     this.daemons = daemons;
     this.open = calls.length;
@@ -101,7 +101,7 @@
     record.delivered += units;
     record.deliveredInSpan += now <= this.context.span ? units : 0;
     if (record.call.leavesAfter !== undefined && record.delivered >= record.call.leavesAfter) {
-      this.leave(id, CallEnd.Left);
+      this.hangUp(id, CallEnd.Left);
     }
   }
 
@@ -136,9 +136,9 @@
     }
     const mayRepeat = record.serviceClass.repeatable || effect.outcome === ExecutionOutcome.NotRun;
     const delay = Math.max(MIN_RETRY_DELAY, effect.retryAfter) * (1 + this.context.random.next());
-    const inTime =
-      this.context.clock.now() + delay - record.call.arrived < this.getPatience(record);
-    if (!mayRepeat || !inTime || record.submissions > MAX_RETRIES) {
+    const isInTime =
+      this.context.clock.now() + delay - record.call.arrived < this.getCallerTimeout(record);
+    if (!mayRepeat || !isInTime || record.submissions > MAX_RETRIES) {
       this.settle(effect.id, record, CallEnd.GivenUp);
       return;
     }
@@ -146,7 +146,7 @@
     this.context.clock.setTimer(delay, () => this.submit(record));
   }
 
-  /** Counts what a backend server computed, delivered or not. */
+  /** Records output that a backend server computed, whether or not it is delivered. */
   addComputed(key: string, units: number, finished: boolean): void {
     const [call, submission] = key.split('/');
     const record = this.records.get(call!);
@@ -154,7 +154,7 @@
       return;
     }
     record.computed += units;
-    this.noteStarted(`${call}/${submission}`);
+    this.recordStarted(`${call}/${submission}`);
     if (finished && record.call.work.kind === 'plain') {
       record.runs += 1;
       if (record.runs > 1 && !record.serviceClass.repeatable) {
@@ -163,32 +163,32 @@
     }
   }
 
-  private noteStarted(id: string): void {
+  private recordStarted(id: string): void {
     if (!this.started.has(id)) {
       this.started.add(id);
-      // The run may come to light only after the caller was told.
+      // Output may be computed after the caller was told that the call had not run.
       this.violations.falseNotRun += this.notRun.has(id) ? 1 : 0;
     }
   }
 
   // eslint-disable-next-line class-methods-use-this
-  private getPatience({ serviceClass }: CallRecord): Milliseconds {
-    return serviceClass.deadline * PATIENCE_IN_DEADLINES;
+  private getCallerTimeout({ serviceClass }: CallRecord): Milliseconds {
+    return serviceClass.deadline * CALLER_TIMEOUT_IN_DEADLINES;
   }
 
   private submit(record: CallRecord): void {
     const { clock } = this.context;
     const { call, serviceClass } = record;
     const submissions = record.submissions + 1;
-    const fresh = { delivered: 0, deliveredInSpan: 0, firstTokenAt: undefined };
-    Object.assign(record, { submissions, ...fresh });
+    const initialValues = { delivered: 0, deliveredInSpan: 0, firstTokenAt: undefined };
+    Object.assign(record, { submissions, ...initialValues });
     const id = `${call.id}/${submissions}`;
     const daemon = this.daemons[(call.route + submissions) % this.daemons.length]!;
     this.submissions.set(id, { record, daemon });
-    const patience = call.arrived + this.getPatience(record) - clock.now();
-    clock.setTimer(patience, () => {
+    const timeout = call.arrived + this.getCallerTimeout(record) - clock.now();
+    clock.setTimer(timeout, () => {
       if (record.firstTokenAt === undefined) {
-        this.leave(id, CallEnd.Impatient);
+        this.hangUp(id, CallEnd.Impatient);
       }
     });
     daemon.submit(
@@ -207,11 +207,11 @@
     );
   }
 
-  private leave(id: string, end: CallEnd): void {
+  private hangUp(id: string, end: CallEnd): void {
     const submission = this.submissions.get(id);
     if (submission !== undefined) {
       this.settle(id, submission.record, end);
-      submission.daemon.leave(id);
+      submission.daemon.handleCallerLeft(id);
     }
   }
 
--- a/packages/experiment/src/lib/simulation/DaemonModel.ts
+++ b/packages/experiment/src/lib/simulation/DaemonModel.ts
@@ -4,22 +4,22 @@
 import type { Clock, Milliseconds, Random } from '@apricotrill/utils';
 import type { Policy, PolicyFactory } from '../policies/Policy.js';
 import type { JobOutput, Work } from '../replicas/ReplicaModel.js';
-import { Admission } from './Fleet.js';
+import { SubmitResult } from './Fleet.js';
 import type { AttemptOwner, Fleet } from './Fleet.js';
 
-/** When a replica that refuses asks to be tried again. */
+/** The retry-after time of a replica that refuses a job. */
 const REFUSAL_RETRY_AFTER: Milliseconds = 500;
 
-/** How often a daemon asks each replica for its load. */
+/** Interval at which a daemon polls the load reports of all replicas. */
 const REPORT_INTERVAL: Milliseconds = 1000;
 
 type Dispatch = Extract<SchedulerEffect, { kind: 'dispatch' }>;
 type GiveUp = Extract<SchedulerEffect, { kind: 'give-up' }>;
 
-/** What the caller's side of a daemon hears. */
+/** Notified of the progress and the end of submissions, on the caller side of a daemon. */
 export interface SubmissionListener {
   onTokens(id: string, units: number): void;
-  /** @param resumeAt - how many tokens the new attempt takes as delivered */
+  /** @param resumeAt - number of tokens that the new attempt assumes to be delivered already */
   onDispatch(id: string, resumeAt: number): void;
   onDone(id: string): void;
   onGiveUp(effect: GiveUp): void;
@@ -29,24 +29,24 @@
   id: string;
   number: number;
   replica: string;
-  /** Set when the connection it runs on delivers nothing any more. */
+  /** Whether the connection of the attempt has silently stopped delivering. */
   silent: boolean;
   answered: boolean;
   priority: number;
   tokenGapTimeout: Milliseconds;
-  /** When the silence on its connection has lasted too long. */
-  silentAt: Milliseconds;
+  /** Time at which the attempt times out unless output arrives before. */
+  timeoutAt: Milliseconds;
 }
 
 interface Submission {
   request: ScheduledRequest;
   work: Work;
-  /** The attempt whose output is relayed; output of earlier ones is dropped. */
+  /** Key of the attempt whose output is relayed; output of earlier attempts is dropped. */
   current?: string;
 }
 
 /**
- * A router daemon without sockets: its scheduler, and the tasks that would hold the connections.
+ * A model of a daemon without sockets: its scheduler, and simulated connections to the replicas.
  *
  * @example
  * ```ts
@@ -63,10 +63,11 @@
   private readonly attempts = new Map<string, Attempt>();
 
   /**
-   * Replicas whose pooled connections went silent. A new connection works: the daemon opens one
-   * for what may not be repeated, and once an attempt on an old one timed out.
+   * Replicas whose pooled connections have stopped delivering. New connections work: the daemon
+   * opens one for each request that is not repeatable, and after an attempt on a pooled connection
+   * has timed out.
    */
-  private readonly silentPaths = new Set<string>();
+  private readonly silentReplicas = new Set<string>();
 
   constructor(
     private readonly context: {
@@ -88,14 +89,14 @@
     this.policy.handle({ kind: 'submit', request });
   }
 
-  leave(id: string): void {
+  handleCallerLeft(id: string): void {
     this.submissions.delete(id);
     this.policy.handle({ kind: 'caller-left', id });
   }
 
-  /** From now on nothing passes on the connections that exist; attempts on them stay unaware. */
-  silencePath(replica: string): void {
-    this.silentPaths.add(replica);
+  /** Makes the existing connections to a replica stop delivering, without an error to attempts. */
+  silenceConnections(replica: string): void {
+    this.silentReplicas.add(replica);
     this.attempts.forEach((attempt) => {
       if (attempt.replica === replica) {
         Object.assign(attempt, { silent: true });
@@ -112,7 +113,7 @@
     });
   }
 
-  onBroken(key: string): void {
+  onConnectionLost(key: string): void {
     if (this.attempts.get(key)?.silent === false) {
       this.endAttempt(key, AttemptStatus.Broken);
     }
@@ -123,16 +124,16 @@
       Object.assign(attempt, { answered: true });
       this.reportLoad(attempt.replica);
     }
-    Object.assign(attempt, { silentAt: this.context.clock.now() + attempt.tokenGapTimeout });
+    Object.assign(attempt, { timeoutAt: this.context.clock.now() + attempt.tokenGapTimeout });
     if (output.units > 0) {
-      this.progress(attempt, output);
+      this.reportProgress(attempt, output);
     }
     if (output.finished) {
       this.endAttempt(output.key, AttemptStatus.Completed);
     }
   }
 
-  private progress({ id, number }: Attempt, { key, units }: JobOutput): void {
+  private reportProgress({ id, number }: Attempt, { key, units }: JobOutput): void {
     if (this.submissions.get(id)?.current === key) {
       this.context.listener.onTokens(id, units);
     }
@@ -169,7 +170,7 @@
     const { clock, networkDelay, listener } = this.context;
     const { tier, repeatable } = submission.request.serviceClass;
     const key = `${id}/${number}`;
-    const silent = repeatable && this.silentPaths.has(replica.id);
+    const silent = repeatable && this.silentReplicas.has(replica.id);
     submission.current = key;
     const attempt: Attempt = {
       id,
@@ -179,34 +180,34 @@
       answered: false,
       priority: effect.priority ?? tier,
       tokenGapTimeout,
-      silentAt: clock.now() + firstTokenTimeout,
+      timeoutAt: clock.now() + firstTokenTimeout,
     };
     this.attempts.set(key, attempt);
-    this.watch(key, attempt);
+    this.watchForTimeout(key, attempt);
     listener.onDispatch(id, resumeAt);
     if (!silent) {
       clock.setTimer(networkDelay, () => this.send(key, submission, resumeAt));
     }
   }
 
-  /** Bounds the silence on an attempt's connection, as the daemon's sockets do. */
-  private watch(key: string, attempt: Attempt): void {
+  /** Times an attempt out when its connection delivers nothing, as the daemon's sockets do. */
+  private watchForTimeout(key: string, attempt: Attempt): void {
     const { clock } = this.context;
-    clock.setTimer(attempt.silentAt - clock.now(), () => {
+    clock.setTimer(attempt.timeoutAt - clock.now(), () => {
       if (this.attempts.get(key) !== attempt) {
         return;
       }
-      if (clock.now() < attempt.silentAt) {
-        this.watch(key, attempt);
+      if (clock.now() < attempt.timeoutAt) {
+        this.watchForTimeout(key, attempt);
         return;
       }
-      this.endSilent(key, attempt);
+      this.handleTimeout(key, attempt);
     });
   }
 
-  /** The connection is given up, and its pool with it: the next one is new. */
-  private endSilent(key: string, { replica, silent }: Attempt): void {
-    this.silentPaths.delete(replica);
+  /** Ends an attempt and discards the connection pool of its replica, so that the next is new. */
+  private handleTimeout(key: string, { replica, silent }: Attempt): void {
+    this.silentReplicas.delete(replica);
     if (!silent) {
       this.context.fleet.cancel(replica, key);
     }
@@ -219,7 +220,7 @@
     if (attempt === undefined) {
       return;
     }
-    const admission = this.context.fleet.submit(
+    const result = this.context.fleet.submit(
       attempt.replica,
       {
         key,
@@ -228,10 +229,10 @@
       },
       this,
     );
-    if (admission === Admission.Accepted) {
+    if (result === SubmitResult.Accepted) {
       return;
     }
-    const end = admission === Admission.Refused ? AttemptStatus.Refused : AttemptStatus.NotSent;
+    const end = result === SubmitResult.Refused ? AttemptStatus.Refused : AttemptStatus.NotSent;
     this.context.clock.setTimer(this.context.networkDelay, () => this.endAttempt(key, end));
   }
 
@@ -247,7 +248,7 @@
     if (reason === CancelReason.CallerLeft) {
       return;
     }
-    // Not within the scheduler's own turn, as a socket's events would not come either.
+    // Deferred, because socket events do not arrive while the scheduler is handling a message.
     const end = AttemptStatus.Cancelled;
     clock.setTimer(0, () =>
       this.policy.handle({ kind: 'attempt-ended', id, attempt: number, end }),
@@ -273,7 +274,7 @@
 
   private reportLoad(replica: string): void {
     const report = this.context.fleet.getReport(replica);
-    if (report !== undefined && !this.silentPaths.has(replica)) {
+    if (report !== undefined && !this.silentReplicas.has(replica)) {
       this.policy.handle({ kind: 'load-report', report });
     }
   }
--- a/packages/experiment/src/lib/simulation/Fleet.ts
+++ b/packages/experiment/src/lib/simulation/Fleet.ts
@@ -8,16 +8,16 @@
 import type { Job, JobOutput, Load, ReplicaModel } from '../replicas/ReplicaModel.js';
 import { ServiceModel } from '../replicas/ServiceModel/ServiceModel.js';
 
-/** How often a replica writes down its load. */
+/** Interval at which the load of each replica is sampled. */
 const SAMPLE_INTERVAL: Milliseconds = 100;
 
-/** How many samples are kept: enough for a lag of 20 s. */
-const KEPT_SAMPLES = 200;
+/** Maximum number of samples kept for each replica: enough for a report lag of 20 s. */
+const MAX_SAMPLES = 200;
 
-/** The daemon's end of a connection to a replica. */
+/** Receives the outputs of an attempt, or the loss of its connection, on the daemon side. */
 export interface AttemptOwner {
   onOutputs(outputs: JobOutput[]): void;
-  onBroken(key: string): void;
+  onConnectionLost(key: string): void;
 }
 
 interface LoadSample extends Load {
@@ -31,20 +31,22 @@
   samples: LoadSample[];
 }
 
-/** What became of a job at the replica's door. */
-export enum Admission {
+/** The result of submitting a job to a replica. */
+export enum SubmitResult {
   Accepted = 'accepted',
   Refused = 'refused',
-  /** Nobody listens at the address. */
+  /** The connection was refused: no process listens at the address. */
   Unreachable = 'unreachable',
 }
 
 /**
- * All backend servers of a deployment, and the connections that daemons hold to them.
+ * All backend servers of a deployment, and the connections of the daemons to them.
  *
  * @example
  * ```ts
- * const fleet = new Fleet(clock, liitto, (key, units) => recorder.addComputed(key, units));
+ * const fleet = new Fleet(clock, liitto, ({ key, units, finished }) =>
+ *   callers.addComputed(key, units, finished),
+ * );
  * ```
  * @internal
  */
@@ -53,7 +55,7 @@
 
   private readonly owners = new Map<string, AttemptOwner>();
 
-  /** How old each load report is. */
+  /** Minimum age of the load reports that daemons get. */
   private reportLag: Milliseconds = 300;
 
   constructor(
@@ -68,16 +70,16 @@
     this.sample();
   }
 
-  submit(replicaId: string, job: Job, owner: AttemptOwner): Admission {
+  submit(replicaId: string, job: Job, owner: AttemptOwner): SubmitResult {
     const member = this.getMember(replicaId);
     if (!member.alive) {
-      return Admission.Unreachable;
+      return SubmitResult.Unreachable;
     }
     if (!member.model.submit(job)) {
-      return Admission.Refused;
+      return SubmitResult.Refused;
     }
     this.owners.set(job.key, owner);
-    return Admission.Accepted;
+    return SubmitResult.Accepted;
   }
 
   cancel(replicaId: string, key: string): void {
@@ -85,11 +87,11 @@
     this.getMember(replicaId).model.cancel(key);
   }
 
-  /** The newest report that is at least as old as the lag; none from a dead replica. */
+  /** The newest report at least as old as the report lag; undefined for a crashed replica. */
   getReport(replicaId: string): LoadReport | undefined {
     const { alive, samples } = this.getMember(replicaId);
-    const newest = this.clock.now() - this.reportLag;
-    const sample = samples.findLast(({ measuredAt }) => measuredAt <= newest);
+    const latestMeasuredAt = this.clock.now() - this.reportLag;
+    const sample = samples.findLast(({ measuredAt }) => measuredAt <= latestMeasuredAt);
     if (!alive || sample === undefined) {
       return undefined;
     }
@@ -121,7 +123,7 @@
       const owner = this.owners.get(key);
       this.owners.delete(key);
       if (owner !== undefined) {
-        this.clock.setTimer(this.deployment.networkDelay, () => owner.onBroken(key));
+        this.clock.setTimer(this.deployment.networkDelay, () => owner.onConnectionLost(key));
       }
     });
   }
@@ -140,7 +142,7 @@
     return new EngineModel(this.clock, this.deployment.engine, listener);
   }
 
-  /** Hands outputs to the daemons that wait for them, each daemon's together. */
+  /** Delivers outputs to the daemons that own the attempts, in one batch for each daemon. */
   private deliver(outputs: JobOutput[]): void {
     const byOwner = new Map<AttemptOwner, JobOutput[]>();
     outputs.forEach((output) => {
@@ -165,7 +167,7 @@
         return;
       }
       samples.push({ ...model.getLoad(), measuredAt: this.clock.now() });
-      if (samples.length > KEPT_SAMPLES) {
+      if (samples.length > MAX_SAMPLES) {
         samples.shift();
       }
     });
--- a/packages/experiment/src/lib/simulation/runAll.ts
+++ b/packages/experiment/src/lib/simulation/runAll.ts
@@ -1,7 +1,7 @@
 import { Worker } from 'node:worker_threads';
 import type { RunKey, RunResult } from '../report/RunKey.js';
 
-/** Resolves with the next result of a worker. */
+/** Sends a key to a worker and resolves with its result. */
 function runOnWorker(worker: Worker, key: RunKey): Promise<RunResult> {
   return new Promise((resolve, reject) => {
     worker.once('error', reject);
@@ -14,11 +14,11 @@
 }
 
 /**
- * Runs all keys on a few threads of this process.
+ * Runs the simulations of all keys on worker threads.
  *
- * @param keys - the runs
- * @param threads - how many run at once
- * @param onResult - hears each result as it comes, in no fixed order
+ * @param keys - identify the runs
+ * @param threads - the maximum number of concurrent runs
+ * @param onResult - called with each result as it arrives, in no fixed order
  * @returns the results in the order of the keys
  * @throws Error when a run fails
  * @internal
--- a/packages/experiment/src/lib/simulation/runByKey.ts
+++ b/packages/experiment/src/lib/simulation/runByKey.ts
@@ -9,7 +9,7 @@
 const deployments = createDeployments();
 
 /**
- * Runs and sums up the run that a key names.
+ * Runs the simulation that a key identifies and summarises its result.
  *
  * @throws Error when the deployment, the scenario or the policy is unknown
  * @internal
--- a/packages/experiment/src/lib/simulation/runSimulation.test.ts
+++ b/packages/experiment/src/lib/simulation/runSimulation.test.ts
@@ -22,13 +22,16 @@
   return replicas.find(({ service }) => service === name)!.id;
 }
 
-/** Longer than any caller's patience. */
-const NEVER = 300_000;
+/** Longer than any caller waits, so that no silent connection times out. */
+const NO_SILENCE_TIMEOUT = 300_000;
 
-function runDouble(
+function runRoundRobin(
   load: number,
   faults: TimedFault[],
-  { seed = 1, silenceTimeout = NEVER }: { seed?: number; silenceTimeout?: number } = {},
+  {
+    seed = 1,
+    silenceTimeout = NO_SILENCE_TIMEOUT,
+  }: { seed?: number; silenceTimeout?: number } = {},
 ) {
   const curve: LoadCurve = ({ shape }) => (shape.kind === 'chat' ? load : PLAIN_LOAD);
   const scenario: Scenario = { name: 'test', span: SPAN, curve, faults };
@@ -42,8 +45,8 @@
 };
 
 describe('runSimulation', () => {
-  it('repeats exactly with the same seed', async () => {
-    const [first, second] = [await runDouble(0.5, []), await runDouble(0.5, [])];
+  it('gives identical results for the same seed', async () => {
+    const [first, second] = [await runRoundRobin(0.5, []), await runRoundRobin(0.5, [])];
     expect(second).toEqual(first);
     expect(first.violations).toEqual({
       wrongResume: 0,
@@ -53,25 +56,25 @@
     });
   });
 
-  it('breaks running answers when an engine crashes, and their work is wasted', async () => {
+  it('aborts running answers when an engine crashes and counts the work as wasted', async () => {
     const crash: TimedFault = {
       at: 6_000,
       fault: { kind: 'crash', replica: getFirstReplica(ServiceKind.Model) },
     };
-    const { chat, classes } = summariseRun(await runDouble(0.9, [crash]));
+    const { chat, classes } = summariseRun(await runRoundRobin(0.9, [crash]));
     expect(chat.wasted).toBeGreaterThan(0.02);
     expect(classes.some(({ refusals }) => refusals > 0)).toBe(true);
   });
 
   it('delivers nothing on silent connections until the caller hangs up', async () => {
-    const { records } = await runDouble(0.9, [silence]);
-    const impatient = records.filter(({ end }) => end === CallEnd.Impatient);
-    expect(impatient.length).toBeGreaterThan(0);
-    expect(impatient.every(({ delivered }) => delivered === 0)).toBe(true);
+    const { records } = await runRoundRobin(0.9, [silence]);
+    const timedOut = records.filter(({ end }) => end === CallEnd.Impatient);
+    expect(timedOut.length).toBeGreaterThan(0);
+    expect(timedOut.every(({ delivered }) => delivered === 0)).toBe(true);
   });
 
-  it('gives a silent connection up after the allowed silence, and opens a new one', async () => {
-    const { records } = await runDouble(0.3, [silence], { silenceTimeout: 500 });
+  it('replaces a silent connection by a new one after the silence timeout', async () => {
+    const { records } = await runRoundRobin(0.3, [silence], { silenceTimeout: 500 });
     const refused = records.filter(
       ({ call, refusals }) => call.work.kind === 'plain' && refusals > 0,
     );
@@ -80,12 +83,12 @@
     expect(refused.every(({ call }) => call.arrived < SPAN / 2)).toBe(true);
   });
 
-  it('puts seeds together as median and range', async () => {
+  it('aggregates the runs of several seeds into median and range', async () => {
     const key = { deployment: 'nube-tica', scenario: 'test', policy: 'double' };
     const results = await Promise.all(
       [1, 2, 3].map(async (seed) => ({
         key: { ...key, seed },
-        summary: summariseRun(await runDouble(0.3, [], { seed })),
+        summary: summariseRun(await runRoundRobin(0.3, [], { seed })),
       })),
     );
     const [cell] = aggregate(results);
--- a/packages/experiment/src/lib/simulation/runSimulation.ts
+++ b/packages/experiment/src/lib/simulation/runSimulation.ts
@@ -11,21 +11,21 @@
 import { DaemonModel } from './DaemonModel.js';
 import { Fleet } from './Fleet.js';
 
-/** After the last call arrived, what is open may take this long to end. */
-const DRAIN_SPAN: Milliseconds = 120_000;
+/** Maximum time that open calls get to end after callers have stopped calling. */
+const MAX_DRAIN_DURATION: Milliseconds = 120_000;
 
-/** How long the instance list takes to notice a crash or a restart. */
-const LIST_LAG: Milliseconds = 5_000;
+/** Delay until the instance list reflects a crash or a restart. */
+const INSTANCE_LIST_DELAY: Milliseconds = 5_000;
 
-/** What one run gave. */
+/** The result of one run. */
 export interface SimulationResult {
   records: CallRecord[];
   violations: Violations;
-  /** When callers stopped calling. */
+  /** Time at which callers stopped calling. */
   span: Milliseconds;
 }
 
-/** What to run. */
+/** The settings of one run. */
 export interface SimulationRun {
   deployment: Deployment;
   scenario: Scenario;
@@ -33,20 +33,20 @@
   seed: number;
 }
 
-interface World {
+interface Simulation {
   clock: ManualClock;
   fleet: Fleet;
   callers: Callers;
   daemons: DaemonModel[];
 }
 
-function announceReplicas({ fleet, daemons }: World): void {
+function announceReplicas({ fleet, daemons }: Simulation): void {
   const replicas = fleet.getReplicas().filter(({ id }) => fleet.isAlive(id));
   daemons.forEach(({ policy }) => policy.handle({ kind: 'replicas', replicas }));
 }
 
-function applyFault(world: World, fault: Fault): void {
-  const { fleet, daemons, clock } = world;
+function applyFault(simulation: Simulation, fault: Fault): void {
+  const { fleet, daemons, clock } = simulation;
   switch (fault.kind) {
     case 'slow':
       fleet.setSlowFactor(fault.replica, fault.factor);
@@ -56,21 +56,21 @@
       return;
     case 'crash':
       fleet.crash(fault.replica);
-      clock.setTimer(LIST_LAG, () => announceReplicas(world));
+      clock.setTimer(INSTANCE_LIST_DELAY, () => announceReplicas(simulation));
       return;
     case 'restart':
       fleet.restart(fault.replica);
-      clock.setTimer(LIST_LAG, () => announceReplicas(world));
+      clock.setTimer(INSTANCE_LIST_DELAY, () => announceReplicas(simulation));
       return;
     case 'silence':
-      daemons[fault.daemon]!.silencePath(fault.replica);
+      daemons[fault.daemon]!.silenceConnections(fault.replica);
       return;
     default:
       throw exhaustiveSwitchError(fault);
   }
 }
 
-function createWorld({ deployment, scenario, factory, seed }: SimulationRun): World {
+function createSimulation({ deployment, scenario, factory, seed }: SimulationRun): Simulation {
   const clock = new ManualClock();
   const callers = new Callers({
     clock,
@@ -101,10 +101,10 @@
 }
 
 /**
- * Runs one policy through one scenario on a clock of its own.
+ * Simulates one policy in one scenario, on a manual clock of its own.
  *
- * @param run - the deployment, the scenario, the scheduler to try and the seed
- * @returns a record of each call and what must never happen, counted
+ * @param run - the deployment, the scenario, the factory of the scheduler and the seed
+ * @returns a record of each call, and the number of violations of each invariant
  * @example
  * ```ts
  * const { records } = await runSimulation({ deployment, scenario, factory, seed: 1 });
@@ -114,12 +114,14 @@
 export async function runSimulation(run: SimulationRun): Promise<SimulationResult> {
   const { deployment, scenario, seed } = run;
   const { span, curve } = scenario;
-  const world = createWorld(run);
-  const { clock, callers, daemons } = world;
-  announceReplicas(world);
-  scenario.faults.forEach(({ at, fault }) => clock.setTimer(at, () => applyFault(world, fault)));
+  const simulation = createSimulation(run);
+  const { clock, callers, daemons } = simulation;
+  announceReplicas(simulation);
+  scenario.faults.forEach(({ at, fault }) =>
+    clock.setTimer(at, () => applyFault(simulation, fault)),
+  );
   callers.start(createCalls(deployment, { seed, span, curve }), daemons);
-  while (callers.open > 0 && clock.runNext(span + DRAIN_SPAN)) {
+  while (callers.open > 0 && clock.runNext(span + MAX_DRAIN_DURATION)) {
     // eslint-disable-next-line no-await-in-loop
     await drainMicrotasks();
   }
