--- a/packages/experiment/src/lib/replicas/EngineModel/EngineModel.test.ts
+++ b/packages/experiment/src/lib/replicas/EngineModel/EngineModel.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('EngineModel', () => {
-  it('computes exactly the tokens that are left after the resume point', () => {
+  it('computes exactly the tokens after the resume point', () => {
     const { clock, engine, getTokens } = createEngine(4);
     engine.submit(createJob('whole'));
     engine.submit(createJob('resumed', { resumeAt: 7 }));
@@ -36,10 +36,10 @@
     expect(engine.getLoad()).toEqual({ running: 0, waiting: 0 });
   });
 
-  // Symptom: answers called whole while most of their tokens were missing. A job was cancelled on
-  // its very last token and resumed at its end; the engine finished it without a token, and the
-  // end was put on the token of another job in the same step.
-  it('ends a job that was resumed at its end, and no other one', () => {
+  // Guards against answers reported as complete while most of their tokens were missing: a job
+  // that was cancelled on its last token and resumed at its end finished without a token, and
+  // the end was attributed to the token of another job in the same step.
+  it('finishes only the job that was resumed at its end', () => {
     const { clock, engine, outputs, getTokens } = createEngine(4);
     engine.submit(createJob('whole'));
     engine.submit(createJob('over', { resumeAt: 10 }));
@@ -49,7 +49,7 @@
     expect(ends.sort()).toEqual(['over', 'whole']);
   });
 
-  it('lets waiting jobs in by priority, then by arrival', () => {
+  it('starts waiting jobs by priority, then by arrival', () => {
     const { clock, engine, outputs } = createEngine(1);
     engine.submit(createJob('running', { priority: 4 }));
     engine.submit(createJob('late', { priority: 4 }));
@@ -60,7 +60,7 @@
     expect(finished).toEqual(['running', 'urgent', 'late', 'later']);
   });
 
-  it('gives the first token sooner when the prefix is cached', () => {
+  it('emits the first token sooner when the prefix is cached', () => {
     const { clock, engine, outputs } = createEngine(1);
     engine.submit(createJob('cold'));
     clock.advance(10_000);
@@ -70,7 +70,7 @@
     expect(getFirst('cold') - (getFirst('warm') - 10_000)).toBeCloseTo(80 * 0.05);
   });
 
-  it('loses running and waiting jobs in a crash and computes nothing more for them', () => {
+  it('loses running and waiting jobs in a crash and computes no more tokens for them', () => {
     const { clock, engine, outputs } = createEngine(1);
     engine.submit(createJob('running'));
     engine.submit(createJob('waiting'));
--- a/packages/experiment/src/lib/replicas/EngineModel/EngineModel.ts
+++ b/packages/experiment/src/lib/replicas/EngineModel/EngineModel.ts
@@ -4,18 +4,18 @@
 import type { Clock } from '@apricotrill/utils';
 import type { Job, JobOutput, Load, OutputListener, ReplicaModel, Work } from '../ReplicaModel.js';
 
-/** Waiting jobs beyond which the engine refuses, by multiples of its slots. */
-const WAITING_PER_SLOT = 8;
+/** Maximum number of waiting jobs for each slot; beyond it the engine refuses jobs. */
+const MAX_WAITING_PER_SLOT = 8;
 
-/** The blocks of the shared prefix; what follows it is never shared. */
+/** Gets the hashes of the blocks of the shared prefix; the rest of a prompt is never shared. */
 function getPrefixBlocks(work: Extract<Work, { kind: 'chat' }>, blockTokens: number): number[] {
   const count = Math.floor(work.prefixTokens / blockTokens);
   return Array.from({ length: count }, (_, index) => getHash(`${work.prefixHash}`, index));
 }
 
 /**
- * The stand-ins' batching engine as a backend server of the experiment. The tokens of one step
- * are handed over together.
+ * Adapts the batching engine of the stand-ins to the experiment. The tokens of one step are
+ * delivered as one batch.
  *
  * @example
  * ```ts
@@ -41,7 +41,7 @@
 
   submit(job: Job): boolean {
     const { slots, blockTokens } = this.options;
-    if (this.batch.getLoad().waiting >= slots * WAITING_PER_SLOT) {
+    if (this.batch.getLoad().waiting >= slots * MAX_WAITING_PER_SLOT) {
       return false;
     }
     const { work } = job;
@@ -71,7 +71,7 @@
     this.batch.setSlowFactor(factor);
   }
 
-  /** A new process: nothing runs, nothing is cached, full speed. */
+  /** Replaces the engine by a new process without jobs or cache, at full speed. */
   crash(): string[] {
     const lost = [...this.keys];
     this.keys.clear();
@@ -95,7 +95,7 @@
     }
   }
 
-  /** A job resumed at its end has no token left: it finishes with an output of its own. */
+  /** A job resumed at its end has no tokens left, so it finishes with an output without units. */
   private finish(key: string): void {
     const last = this.pending.at(-1);
     if (last?.key === key) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Gathers a step's tokens: they are all emitted at one moment. */
+  /** Collects the tokens of one step, which are all emitted at the same time of the clock. */
   private addOutput(output: JobOutput): void {
     if (this.pending.length === 0) {
       this.clock.setTimer(0, () => this.flush());
--- a/packages/experiment/src/lib/replicas/ReplicaModel.ts
+++ b/packages/experiment/src/lib/replicas/ReplicaModel.ts
@@ -1,29 +1,29 @@
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** What one attempt asks of a replica. */
+/** The work that one attempt requests from a replica. */
 export type Work =
   | {
       kind: 'chat';
       promptTokens: number;
-      /** Prompts that share a head share this hash. */
+      /** Hash of the prompt prefix; prompts with the same prefix have the same hash. */
       prefixHash: number;
       prefixTokens: number;
       answerTokens: number;
-      /** Tokens the caller already has: the answer goes on after them. */
+      /** Number of tokens delivered to the caller already; the answer resumes after them. */
       resumeAt: number;
     }
   | { kind: 'plain'; serviceTime: Milliseconds };
 
-/** One attempt as a replica sees it. */
+/** One attempt, as submitted to a replica. */
 export interface Job {
-  /** The request's id and the attempt's number. */
+  /** Id of the request and number of the attempt, joined by a slash. */
   key: string;
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: number;
   work: Work;
 }
 
-/** What a replica computed for one job since it last said so. */
+/** What a replica has computed for one job since its previous output. */
 export interface JobOutput {
   key: string;
   /** Tokens, or 1 for the whole answer of a plain call. */
@@ -31,32 +31,32 @@
   finished: boolean;
 }
 
-/** How busy a replica is, by its own count. */
+/** Number of jobs at a replica, as the replica counts them. */
 export interface Load {
   running: number;
   waiting: number;
 }
 
 /**
- * A backend server without sockets, moved by the clock handed in.
+ * A model of a backend server without sockets, driven by the given clock.
  *
  * @public
  */
 export interface ReplicaModel {
   /** @returns false when the replica refuses the job without running it */
   submit(job: Job): boolean;
-  /** Stops a job; what it computes until the running step ends is lost. */
+  /** Cancels a job; what is computed for it until the running step ends is discarded. */
   cancel(key: string): void;
   getLoad(): Load;
-  /** Makes everything take `factor` times as long; 1 is full speed. */
+  /** Multiplies the duration of all work by `factor`; 1 is full speed. */
   setSlowFactor(factor: number): void;
   /**
-   * Drops every job and everything cached, as a crashed process does.
+   * Discards all jobs and caches, like a crash of the process.
    *
-   * @returns the keys of the jobs that were lost
+   * @returns the keys of the lost jobs
    */
   crash(): string[];
 }
 
-/** Hears what a replica computed. */
+/** Called with the outputs that a replica has computed. */
 export type OutputListener = (outputs: JobOutput[]) => void;
--- a/packages/experiment/src/lib/replicas/ServiceModel/ServiceModel.ts
+++ b/packages/experiment/src/lib/replicas/ServiceModel/ServiceModel.ts
@@ -2,8 +2,8 @@
 import type { Clock, Timer } from '@apricotrill/utils';
 import type { Job, Load, OutputListener, ReplicaModel } from '../ReplicaModel.js';
 
-/** How many waiting jobs a plain service takes for each of its slots before it refuses. */
-const WAITING_PER_SLOT = 16;
+/** Maximum number of waiting jobs for each slot; beyond it a plain service refuses jobs. */
+const MAX_WAITING_PER_SLOT = 16;
 
 interface RunningJob {
   job: Job;
@@ -11,8 +11,8 @@
 }
 
 /**
- * A plain application service: a fixed number of calls at once, the others wait in order of
- * arrival, since such services know no priorities.
+ * A model of a plain application service. It runs a fixed number of calls concurrently and queues
+ * the others in order of arrival, because such services do not support priorities.
  *
  * @example
  * ```ts
@@ -34,7 +34,7 @@
   ) {}
 
   submit(job: Job): boolean {
-    if (this.waiting.length >= this.slots * WAITING_PER_SLOT) {
+    if (this.waiting.length >= this.slots * MAX_WAITING_PER_SLOT) {
       return false;
     }
     this.waiting.push(job);
@@ -42,7 +42,7 @@
     return true;
   }
 
-  /** A call that runs goes on to its end, as application code does when its caller hangs up. */
+  /** A running call continues to its end, as application code does when its caller hangs up. */
   cancel(key: string): void {
     const index = this.waiting.findIndex((job) => job.key === key);
     if (index >= 0) {
