--- a/packages/experiment/src/lib/policies/Policy.ts
+++ b/packages/experiment/src/lib/policies/Policy.ts
@@ -2,7 +2,7 @@
 import type { Clock, Random } from '@apricotrill/utils';
 
 /**
- * A scheduler as the experiment sees it: the policy itself and each baseline.
+ * The interface of the schedulers that the experiment compares: the policy and its baselines.
  *
  * @public
  */
@@ -11,7 +11,7 @@
   dispose(): void;
 }
 
-/** What a scheduler is given; effects may be emitted at once or later. */
+/** The dependencies of a scheduler. Effects may be emitted synchronously or later. */
 export interface PolicyContext {
   clock: Clock;
   random: Random;
--- a/packages/experiment/src/lib/policies/policies.ts
+++ b/packages/experiment/src/lib/policies/policies.ts
@@ -6,7 +6,7 @@
 } from '@apricotrill/policy';
 import type { PolicyFactory } from './Policy.js';
 
-/** The policy under trial; the others are its baselines. */
+/** The policy being evaluated; the others are its baselines. */
 export const POLICY = 'apricotrill';
 
 /**
