--- a/packages/experiment/src/lib/scenarios/Scenario.ts
+++ b/packages/experiment/src/lib/scenarios/Scenario.ts
@@ -2,29 +2,29 @@
 import type { Deployment } from '../deployments/Deployment.js';
 import type { LoadCurve } from '../workload/createCalls.js';
 
-/** What goes wrong at a moment. */
+/** A fault that is injected into a run. */
 export type Fault =
   | { kind: 'slow'; replica: string; factor: number }
   | { kind: 'report-lag'; lag: Milliseconds }
   | { kind: 'crash'; replica: string }
   | { kind: 'restart'; replica: string }
-  /** Every connection of one daemon to a replica stops delivering; new ones work. */
+  /** All existing connections of a daemon to a replica stop delivering; new connections work. */
   | { kind: 'silence'; daemon: number; replica: string };
 
-/** A fault and when it happens. */
+/** A fault and the time at which it is injected. */
 export interface TimedFault {
   at: Milliseconds;
   fault: Fault;
 }
 
 /**
- * The load over time and what goes wrong.
+ * The load over time and the injected faults.
  *
  * @public
  */
 export interface Scenario {
   name: string;
-  /** How long callers call. */
+  /** Time during which callers start new calls. */
   span: Milliseconds;
   curve: LoadCurve;
   faults: TimedFault[];
--- a/packages/experiment/src/lib/scenarios/scenarios.ts
+++ b/packages/experiment/src/lib/scenarios/scenarios.ts
@@ -4,28 +4,28 @@
 import type { LoadCurve } from '../workload/createCalls.js';
 import type { Scenario, ScenarioFactory, TimedFault } from './Scenario.js';
 
-/** How long callers call in each scenario. */
+/** Time during which callers start new calls, in each scenario. */
 const SPAN: Milliseconds = 60_000;
 
 const FAULT_START: Milliseconds = 20_000;
 
 const FAULT_END: Milliseconds = 40_000;
 
-/** Part of the capacity that calm traffic uses. */
+/** Calm load, as a fraction of the capacity. */
 const CALM_LOAD = { chat: 0.6, plain: 0.1 };
 
-/** Part of a plain service's capacity that is used while the engines' demand bursts. */
+/** Load of the plain services during a burst at the engines, as a fraction of their capacity. */
 const BUSY_PLAIN_LOAD = 0.2;
 
-/** How long the burst of urgent calls lasts: there are thousands of them a second. */
+/** Duration of the burst of urgent calls; short because there are thousands of them a second. */
 const URGENT_BURST_SPAN: Milliseconds = 5_000;
 
-/** Demand over capacity in a burst. */
+/** Demand during a burst, as a multiple of the capacity. */
 const BURST_LOAD = 2;
 
 const STRAGGLER_FACTOR = 5;
 
-const LAGGING_REPORTS: Milliseconds = 8_000;
+const REPORT_LAG: Milliseconds = 8_000;
 
 const calmCurve: LoadCurve = ({ shape }) => CALM_LOAD[shape.kind];
 
@@ -33,7 +33,7 @@
   return at >= FAULT_START && at < FAULT_END;
 }
 
-/** The load of the bursting class that brings its service's whole demand to twice its capacity. */
+/** The load of the bursting class at which the total demand on its service is `BURST_LOAD`. */
 function getBurstLoad({ share, shape }: TrafficProfile): number {
   return (BURST_LOAD - CALM_LOAD[shape.kind] * (1 - share)) / share;
 }
@@ -43,9 +43,9 @@
 }
 
 /**
- * Long answers burst to twice what the engines carry, and the plain services get busier. These
- * have urgent classes only, and no policy meets a target for demand beyond capacity within one
- * class: that case is the scenario of its own below.
+ * Demand for long answers rises to twice the capacity of the engines, and the load of the plain
+ * services rises too, within their capacity: they have urgent classes only, and no policy can meet
+ * a target when one class alone exceeds the capacity. `createUrgentBurstCurve` covers that case.
  */
 function createBurstCurve(deployment: Deployment): LoadCurve {
   return (profile, at) => {
@@ -59,12 +59,12 @@
   };
 }
 
-/** One urgent class bursts to twice what the plain service carries. */
+/** Demand of one urgent class raises the load of its plain service to twice the capacity. */
 function createUrgentBurstCurve(deployment: Deployment): LoadCurve {
   return (profile, at) => {
-    const bursting = profile.shape.kind === 'plain' && isBurstClass(deployment, profile);
-    const isNow = at >= FAULT_START && at < FAULT_START + URGENT_BURST_SPAN;
-    return bursting && isNow ? getBurstLoad(profile) : calmCurve(profile, at);
+    const isBursting = profile.shape.kind === 'plain' && isBurstClass(deployment, profile);
+    const isInUrgentBurst = at >= FAULT_START && at < FAULT_START + URGENT_BURST_SPAN;
+    return isBursting && isInUrgentBurst ? getBurstLoad(profile) : calmCurve(profile, at);
   };
 }
 
@@ -74,7 +74,7 @@
   return replicas.filter(({ service }) => names.includes(service)).map(({ id }) => id);
 }
 
-/** One engine and one plain replica get slow and report nothing unusual. */
+/** One engine and one plain replica become slow, without any sign of it in their reports. */
 function createStragglers(deployment: Deployment): TimedFault[] {
   const kinds = [ServiceKind.Model, ServiceKind.Plain];
   const replicas = kinds.map((kind) => getReplicas(deployment, kind)[1]!);
@@ -92,8 +92,8 @@
   ];
 }
 
-/** Two daemons lose their connections to one engine, and one of them to a plain service. */
-function createSilence(deployment: Deployment): TimedFault[] {
+/** Connections of two daemons to an engine go silent, and those of one to a plain service. */
+function createSilentConnections(deployment: Deployment): TimedFault[] {
   const engine = getReplicas(deployment, ServiceKind.Model)[0]!;
   const service = getReplicas(deployment, ServiceKind.Plain)[0]!;
   return [
@@ -103,7 +103,7 @@
   ];
 }
 
-const lag: TimedFault = { at: 0, fault: { kind: 'report-lag', lag: LAGGING_REPORTS } };
+const lag: TimedFault = { at: 0, fault: { kind: 'report-lag', lag: REPORT_LAG } };
 
 function createCalm(name: string, faults: TimedFault[]): Scenario {
   return { name, span: SPAN, curve: calmCurve, faults };
@@ -131,7 +131,7 @@
   straggler: (deployment) => createCalm('straggler', createStragglers(deployment)),
   'lagging-reports': () => createCalm('lagging-reports', [lag]),
   'engine-crash': (deployment) => createCalm('engine-crash', createCrash(deployment)),
-  'silent-path': (deployment) => createCalm('silent-path', createSilence(deployment)),
+  'silent-path': (deployment) => createCalm('silent-path', createSilentConnections(deployment)),
   'bad-day': (deployment) => ({
     name: 'bad-day',
     span: SPAN,
@@ -140,13 +140,13 @@
       lag,
       ...createStragglers(deployment),
       ...createCrash(deployment),
-      ...createSilence(deployment),
+      ...createSilentConnections(deployment),
     ],
   }),
 };
 
 /**
- * Scenarios that are reported and not judged: in `urgent-burst` one urgent class alone asks for
- * twice what its service carries, so that half of it must miss whatever the router does.
+ * Scenarios that are reported but not judged: in `urgent-burst`, demand of one urgent class brings
+ * its service to twice the capacity, so half of it misses its target whatever the router does.
  */
 export const EXTRA_SCENARIOS = ['urgent-burst'];
