--- a/packages/experiment/src/lib/simulation/Callers.ts
+++ b/packages/experiment/src/lib/simulation/Callers.ts
@@ -100,7 +100,7 @@
     record.lastTokenAt = now;
     record.delivered += units;
     record.deliveredInSpan += now <= this.context.span ? units : 0;
-    if (record.call.leavesAfter !== undefined && record.delivered >= record.call.leavesAfter) {
+    if (record.call.hangsUpAfter !== undefined && record.delivered >= record.call.hangsUpAfter) {
       this.hangUp(id, CallEnd.Left);
     }
   }
--- a/packages/experiment/src/lib/workload/Call.ts
+++ b/packages/experiment/src/lib/workload/Call.ts
@@ -2,7 +2,7 @@
 import type { Work } from '../replicas/ReplicaModel.js';
 
 /**
- * One call that a caller wants answered; it may be submitted several times.
+ * One call of a caller; it may be submitted several times.
  *
  * @public
  */
@@ -14,8 +14,8 @@
   workspace: string;
   arrived: Milliseconds;
   work: Work;
-  /** The caller hangs up after this many tokens; never when absent. */
-  leavesAfter?: number;
-  /** Picks the daemon the balancer gives each submission to. */
+  /** Number of tokens after which the caller hangs up; without it the caller does not. */
+  hangsUpAfter?: number;
+  /** Determines the daemon to which the load balancer sends each submission. */
   route: number;
 }
--- a/packages/experiment/src/lib/workload/createCalls.test.ts
+++ b/packages/experiment/src/lib/workload/createCalls.test.ts
@@ -10,13 +10,13 @@
   const { liitto } = createDeployments();
   const run = { seed: 3, span: SPAN, curve: () => LOAD };
 
-  it('gives the same calls for the same seed and others for another', () => {
+  it('creates the same calls for the same seed and different calls for another', () => {
     const calls = createCalls(liitto!, run);
     expect(createCalls(liitto!, run)).toEqual(calls);
     expect(createCalls(liitto!, { ...run, seed: 4 })).not.toEqual(calls);
   });
 
-  it('asks for the load that the curve names', () => {
+  it('creates the load that the curve specifies', () => {
     const calls = createCalls(liitto!, run);
     const slots = 4 * 32;
     const profile = liitto!.traffic[0]!;
@@ -25,7 +25,7 @@
     expect(load).toBeCloseTo(LOAD, 1);
   });
 
-  it('has a few workspaces send most calls', () => {
+  it('assigns most calls to a few workspaces', () => {
     const calls = createCalls(liitto!, run);
     const largest = liitto!.configuration.register.workspaces.slice(0, 3).map(({ name }) => name);
     const theirs = calls.filter(({ workspace }) => largest.includes(workspace));
--- a/packages/experiment/src/lib/workload/createCalls.ts
+++ b/packages/experiment/src/lib/workload/createCalls.ts
@@ -6,19 +6,19 @@
 import { getCallRate } from './getCapacity.js';
 import { sampleHeavyTail } from './sampleHeavyTail.js';
 
-/** A few workspaces send most calls. */
+/** Exponent of the distribution of calls over workspaces: a few workspaces send most calls. */
 const ZIPF_EXPONENT = 1.1;
 
-/** Callers who hang up in the middle of an answer, whatever the router does. */
-const LEAVING_PART = 0.003;
+/** Probability that a caller hangs up in the middle of an answer, whatever the router does. */
+const HANG_UP_PROBABILITY = 0.003;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Load as a part of capacity, at each moment and for each class. */
+/** Gets the load of a class at a point in time, as a fraction of the capacity. */
 export type LoadCurve = (profile: TrafficProfile, at: Milliseconds) => number;
 
-/** Weights by Zipf's law, as running sums that end at 1. */
-function getZipfSums(count: number): number[] {
+/** Cumulative weights by Zipf's law, which end at 1. */
+function getCumulativeZipfWeights(count: number): number[] {
   const weights = Array.from({ length: count }, (_, index) => (index + 1) ** -ZIPF_EXPONENT);
   const total = weights.reduce((sum, weight) => sum + weight, 0);
   let sum = 0;
@@ -28,10 +28,10 @@
   });
 }
 
-function sampleIndex(random: Random, sums: number[]): number {
+function sampleIndex(random: Random, cumulativeWeights: number[]): number {
   const point = random.next();
-  const index = sums.findIndex((sum) => point < sum);
-  return index < 0 ? sums.length - 1 : index;
+  const index = cumulativeWeights.findIndex((sum) => point < sum);
+  return index < 0 ? cumulativeWeights.length - 1 : index;
 }
 
 function createWork(random: Random, shape: CallShape, workspace: string): Work {
@@ -49,8 +49,8 @@
   };
 }
 
-function getLeavingPoint(random: Random, work: Work): number | undefined {
-  const leaves = random.next() < LEAVING_PART;
+function sampleHangUpPoint(random: Random, work: Work): number | undefined {
+  const leaves = random.next() < HANG_UP_PROBABILITY;
   const point = random.next();
   if (!leaves || work.kind === 'plain') {
     return undefined;
@@ -67,7 +67,7 @@
   const { workspaces, services } = deployment.configuration.register;
   const model = services.find(({ name }) => name === profile.service)?.models[0];
   const rate = getCallRate(deployment, profile) / MILLISECONDS_PER_SECOND;
-  const sums = getZipfSums(workspaces.length);
+  const cumulativeWeights = getCumulativeZipfWeights(workspaces.length);
   const calls: Call[] = [];
   let at = 0;
   for (;;) {
@@ -76,7 +76,7 @@
     if (at >= span) {
       return calls;
     }
-    const workspace = workspaces[sampleIndex(random, sums)]!.name;
+    const workspace = workspaces[sampleIndex(random, cumulativeWeights)]!.name;
     const work = createWork(random, profile.shape, workspace);
     calls.push({
       id: `${profile.className}-${calls.length}`,
@@ -86,18 +86,18 @@
       workspace,
       arrived: at,
       work,
-      leavesAfter: getLeavingPoint(random, work),
+      hangsUpAfter: sampleHangUpPoint(random, work),
       route: random.integer(deployment.daemons),
     });
   }
 }
 
 /**
- * All calls of a run, the same for each policy: an open loop, so that callers don't slow down
- * because the router does.
+ * Creates all calls of a run, which are the same for each policy. The load is open-loop: callers
+ * don't slow down when the router does.
  *
- * @param deployment - who calls what
- * @param run - the seed, how long callers call, and the load over time
+ * @param deployment - the deployment with its traffic
+ * @param run - the seed, the time during which callers start calls, and the load over time
  * @returns the calls in order of arrival
  * @example
  * ```ts
--- a/packages/experiment/src/lib/workload/getCapacity.ts
+++ b/packages/experiment/src/lib/workload/getCapacity.ts
@@ -3,13 +3,13 @@
 import type { Deployment, TrafficProfile } from '../deployments/Deployment.js';
 import { getHeavyTailMean } from './sampleHeavyTail.js';
 
-/** How much of the shared prefixes we take to be cached when we work capacity out. */
-const ASSUMED_PREFIX_HITS = 0.8;
+/** Fraction of the shared prefix tokens that is assumed to be cached. */
+const ASSUMED_PREFIX_HIT_RATE = 0.8;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * What one call of a class costs, as milliseconds of one slot of a full replica.
+ * The mean cost of one call of a class, in milliseconds of one slot of a fully loaded replica.
  *
  * @internal
  */
@@ -19,14 +19,14 @@
   }
   const { slots, stepBase, stepPerRequest, prefillPerToken } = deployment.engine;
   const step = stepBase + stepPerRequest * slots;
-  const computedPrefix = shape.prefixTokens * (1 - ASSUMED_PREFIX_HITS);
+  const computedPrefix = shape.prefixTokens * (1 - ASSUMED_PREFIX_HIT_RATE);
   const prefill = (getHeavyTailMean(shape.prompt) + computedPrefix) * prefillPerToken;
-  // While a prompt is computed every other slot of the engine stands still.
+  // Prefill stalls all other slots of the engine, so it takes the time of every slot.
   return getHeavyTailMean(shape.answer) * step + prefill * slots;
 }
 
 /**
- * Calls a second of one class that would use up its share of a service's capacity.
+ * The rate of calls of one class, per second, that uses its whole share of a service's capacity.
  *
  * @internal
  */
@@ -34,10 +34,10 @@
   const { replicas, services } = deployment.configuration.register;
   const service = services.find(({ name }) => name === profile.service);
   assert(service !== undefined, `service ${profile.service} is in the register`);
-  const own = replicas.filter((replica) => replica.service === profile.service);
+  const replicasOfService = replicas.filter((replica) => replica.service === profile.service);
   const slots =
     service.kind === ServiceKind.Model
-      ? own.length * deployment.engine.slots
-      : own.reduce((sum, replica) => sum + replica.slots, 0);
+      ? replicasOfService.length * deployment.engine.slots
+      : replicasOfService.reduce((sum, replica) => sum + replica.slots, 0);
   return (profile.share * slots * MILLISECONDS_PER_SECOND) / getSlotTime(deployment, profile);
 }
--- a/packages/experiment/src/lib/workload/sampleHeavyTail.ts
+++ b/packages/experiment/src/lib/workload/sampleHeavyTail.ts
@@ -4,14 +4,14 @@
 
 const MEAN_SAMPLES = 20_000;
 
-/** A standard normal number, by the Box-Muller transform. */
+/** Samples the standard normal distribution by the Box-Muller transform. */
 function sampleNormal(random: Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
 }
 
 /**
- * Draws one length.
+ * Samples one length.
  *
  * @example
  * ```ts
@@ -24,7 +24,7 @@
 }
 
 /**
- * The mean of the cut-off distribution, found by drawing with a fixed seed.
+ * Estimates the mean of the capped distribution from samples with a fixed seed.
  *
  * @internal
  */
