--- a/packages/experiment/src/lib/deployments/Deployment.ts
+++ b/packages/experiment/src/lib/deployments/Deployment.ts
@@ -2,7 +2,7 @@
 import type { EngineBatchOptions } from '@apricotrill/standins';
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** Lengths that differ widely: log-normal, cut off at a limit. */
+/** A log-normal distribution of lengths, capped at a limit. */
 export interface HeavyTail {
   median: number;
   /** Standard deviation of the logarithm; above 1 the tail is long. */
@@ -10,7 +10,7 @@
   limit: number;
 }
 
-/** What the calls of a class look like. */
+/** The distribution of the sizes of the calls of a class. */
 export type CallShape =
   | {
       kind: 'chat';
@@ -18,7 +18,7 @@
       prompt: HeavyTail;
       /** Tokens of a shared prefix, such as a product catalogue. */
       prefixTokens: number;
-      /** How many different prefixes each workspace uses. */
+      /** Number of different prefixes that each workspace uses. */
       prefixesPerWorkspace: number;
       answer: HeavyTail;
     }
@@ -32,14 +32,14 @@
 export interface TrafficProfile {
   className: string;
   service: string;
-  /** Its part of the service's work, between 0 and 1; a service's parts add up to 1. */
+  /** Fraction of the service's work, between 0 and 1; the shares of a service add up to 1. */
   share: number;
   shape: CallShape;
 }
 
 /**
- * One of the users' deployments: its configuration as they would write it, and the traffic that
- * we assume for it.
+ * One of the users' deployments: its configuration, as they would write it, and its assumed
+ * traffic.
  *
  * @public
  */
@@ -47,12 +47,12 @@
   name: string;
   configuration: Configuration;
   daemons: number;
-  /** One way between a daemon and a backend server. */
+  /** One-way delay between a daemon and a backend server. */
   networkDelay: Milliseconds;
-  /** One way between a caller and a daemon. */
+  /** One-way delay between a caller and a daemon. */
   callerDelay: Milliseconds;
   engine: EngineBatchOptions;
   traffic: TrafficProfile[];
-  /** The class whose calls multiply in a burst, by service. */
+  /** The class whose load rises in a burst, by service. */
   burstClass: Record<string, string>;
 }
--- a/packages/experiment/src/lib/deployments/createDeployment.ts
+++ b/packages/experiment/src/lib/deployments/createDeployment.ts
@@ -2,14 +2,14 @@
 import type { Deployment } from './Deployment.js';
 import { readExample } from './readExample.js';
 
-/** Coarse blocks keep runs fast; 60,000 tokens in all, as in the stand-in engine's default. */
+/** Large blocks keep runs fast. The total of 60,000 tokens is the stand-in engine's default. */
 const PREFIX_CACHE = { blockTokens: 100, cacheBlocks: 600 };
 
-/** Everything of a deployment that its example configuration does not say. */
+/** The properties of a deployment that its example configuration does not contain. */
 export type DeploymentTraffic = Omit<Deployment, 'configuration' | 'engine'>;
 
 /**
- * Puts a deployment together from its example configuration and our assumptions on its traffic.
+ * Creates a deployment from its example configuration and the assumptions about its traffic.
  *
  * @internal
  */
--- a/packages/experiment/src/lib/deployments/deployments.ts
+++ b/packages/experiment/src/lib/deployments/deployments.ts
@@ -2,8 +2,8 @@
 import type { DeploymentTraffic } from './createDeployment.js';
 import type { CallShape, Deployment } from './Deployment.js';
 
-// Lengths are assumptions: the users say which answers are long and which prompts share a
-// catalogue or a contract history, and give no figures.
+// Lengths are assumptions: the users state which answers are long and which prompts share a
+// catalogue or a contract history, but give no figures.
 
 const shortCall: CallShape = {
   kind: 'plain',
@@ -63,7 +63,7 @@
 };
 
 /**
- * Both deployments at their sizes of today, by name.
+ * Creates both deployments at their present sizes, by name.
  *
  * @example
  * ```ts
--- a/packages/experiment/src/lib/deployments/readExample.ts
+++ b/packages/experiment/src/lib/deployments/readExample.ts
@@ -2,17 +2,17 @@
 import { formatDiagnostic, parseConfiguration } from '@apricotrill/model';
 import type { Configuration } from '@apricotrill/model';
 
-const EXAMPLES = new URL('../../../../../examples/', import.meta.url);
+const EXAMPLES_URL = new URL('../../../../../examples/', import.meta.url);
 
 function readText(name: string, file: string): string {
-  return readFileSync(new URL(`${name}/${file}`, EXAMPLES), 'utf8');
+  return readFileSync(new URL(`${name}/${file}`, EXAMPLES_URL), 'utf8');
 }
 
 /**
- * Reads one of the example configurations, the ones that the documentation shows.
+ * Reads one of the example configurations that the documentation shows.
  *
  * @param name - the folder under `examples`
- * @throws Error with every fault, when the example is not valid
+ * @throws Error with all diagnostics when the example is invalid
  * @internal
  */
 export function readExample(name: string): Configuration {
