--- a/packages/experiment/src/lib/measure/ProcessUsage.ts
+++ b/packages/experiment/src/lib/measure/ProcessUsage.ts
@@ -1,19 +1,19 @@
 import { readFileSync } from 'node:fs';
 import type { Milliseconds } from '@apricotrill/utils';
 
-/** Ticks a second in /proc; fixed at 100 in Linux's interface to programs. */
+/** Clock ticks per second in /proc; Linux fixes them at 100 for user space. */
 const TICKS_PER_SECOND = 100;
 
 const MILLISECONDS_PER_TICK = 1000 / TICKS_PER_SECOND;
 
 const BYTES_PER_KIBIBYTE = 1024;
 
-/** Positions after the command's closing bracket in /proc/<pid>/stat. */
+/** Indices of fields after the closing bracket of the command in /proc/<pid>/stat. */
 const USER_TICKS = 11;
 
 const SYSTEM_TICKS = 12;
 
-/** What a process has used so far. */
+/** The resources that a process has used since its start, and its resident memory. */
 export interface ProcessUsage {
   /** User and system time. */
   processorTime: Milliseconds;
@@ -21,8 +21,8 @@
 }
 
 /**
- * Processor time out of the text of /proc/<pid>/stat. The command's name may hold spaces and
- * brackets, so fields are counted from its last closing bracket.
+ * Parses the processor time from /proc/<pid>/stat. The name of the command may contain spaces and
+ * brackets, so fields are counted from the last closing bracket.
  *
  * @internal
  */
@@ -32,9 +32,9 @@
 }
 
 /**
- * Reads what a process has used, from the kernel.
+ * Reads the resource usage of a process from /proc.
  *
- * @throws Error when the process is gone
+ * @throws Error when the process does not exist
  * @example
  * ```ts
  * const before = readProcessUsage(daemon.pid);
--- a/packages/experiment/src/lib/measure/advanceClock.ts
+++ b/packages/experiment/src/lib/measure/advanceClock.ts
@@ -1,6 +1,6 @@
 import type { ManualClock, Milliseconds } from '@apricotrill/utils';
 
-/** Lets every promise that is ready run. */
+/** Waits until all pending microtasks have run. */
 export function drainMicrotasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
@@ -8,8 +8,8 @@
 }
 
 /**
- * Moves a clock timer by timer and lets promises run in between, for parts that mix timers with
- * promises.
+ * Advances a clock timer by timer and runs pending microtasks in between, for code that combines
+ * timers with promises.
  *
  * @param span - in milliseconds of the clock
  * @internal
--- a/packages/experiment/src/lib/measure/fitLine.test.ts
+++ b/packages/experiment/src/lib/measure/fitLine.test.ts
@@ -1,7 +1,7 @@
 import { fitLine, getLineValue } from './fitLine.js';
 
 describe('fitLine', () => {
-  it('finds slope, intercept and no residual on a line', () => {
+  it('finds slope, intercept and zero residual for points on a line', () => {
     const line = fitLine([10, 100, 1000].map((size) => ({ size, value: 5 + 0.25 * size })));
     expect(line.slope).toBeCloseTo(0.25);
     expect(line.intercept).toBeCloseTo(5);
@@ -9,7 +9,7 @@
     expect(getLineValue(line, 6900)).toBeCloseTo(1730);
   });
 
-  it('shows what the points miss the line by', () => {
+  it('computes the residual of points off the line', () => {
     const line = fitLine([
       { size: 0, value: 1 },
       { size: 0, value: -1 },
--- a/packages/experiment/src/lib/measure/fitLine.ts
+++ b/packages/experiment/src/lib/measure/fitLine.ts
@@ -9,22 +9,22 @@
 
 /** A straight line through measured points. */
 export interface Line {
-  /** What one more unit of size costs. */
+  /** Increase of the value per unit of size. */
   slope: number;
-  /** What is paid at size zero. */
+  /** Value at size zero. */
   intercept: number;
-  /** Root mean square of what the line misses the points by, in the figure's unit. */
+  /** Root mean square of the distances of the points from the line, in the unit of the value. */
   residual: number;
   points: Point[];
 }
 
-const FEWEST_SIZES = 3;
+const MIN_SIZES = 3;
 
 /**
  * Fits a line by least squares.
  *
- * @param points - at three or more different sizes
- * @throws Error when there are fewer sizes: two points fit any line, and show no spread
+ * @param points - points at three or more different sizes
+ * @throws Error when there are fewer sizes: a line fits two points exactly and shows no residual
  * @example
  * ```ts
  * const line = fitLine(points);
@@ -34,7 +34,7 @@
  */
 export function fitLine(points: Point[]): Line {
   const sizes = new Set(points.map(({ size }) => size));
-  assert(sizes.size >= FEWEST_SIZES, `a fit needs ${FEWEST_SIZES} sizes, not ${sizes.size}`);
+  assert(sizes.size >= MIN_SIZES, `a fit needs ${MIN_SIZES} sizes, not ${sizes.size}`);
   const { m: slope, b: intercept } = linearRegression(
     points.map(({ size, value }) => [size, value]),
   );
@@ -44,7 +44,7 @@
 }
 
 /**
- * What the line says for a size.
+ * The value of the line at a size.
  *
  * @internal
  */
--- a/packages/experiment/src/lib/measure/measureCost.ts
+++ b/packages/experiment/src/lib/measure/measureCost.ts
@@ -6,7 +6,6 @@
 import { fitLine } from './fitLine.js';
 import type { Line } from './fitLine.js';
 
-/** Microseconds in a millisecond. */
 export const MICROSECONDS = 1000;
 
 const REPEATS = 5;
@@ -15,7 +14,7 @@
 const collectGarbage = runInNewContext('gc') as () => void;
 
 /**
- * Processor time of this process, all its threads, while something runs.
+ * Measures the processor time that this process uses, on all threads, while a function runs.
  *
  * @internal
  */
@@ -26,7 +25,7 @@
   return (user + system) / MICROSECONDS;
 }
 
-/** What earlier promises and callbacks hold is let go a turn later. */
+/** Collects garbage twice: what earlier promises and callbacks hold is freed a turn later. */
 export async function settleHeap(): Promise<void> {
   await drainMicrotasks();
   collectGarbage();
@@ -35,7 +34,7 @@
 }
 
 /**
- * Bytes of heap that what `create` returns keeps alive.
+ * Measures the heap that the value returned by `create` retains, in bytes.
  *
  * @internal
  */
@@ -46,15 +45,15 @@
   await settleHeap();
   const after = process.memoryUsage();
   const grown = after.heapUsed + after.external - before.heapUsed - before.external;
-  // Names the value after the reading, so that it was alive until then.
+  // Refers to the value after the measurement, so that it is not collected before.
   return kept === undefined ? 0 : grown;
 }
 
 /**
- * Measures at each size several times and fits a line through the medians.
+ * Measures several times at each size and fits a line through the medians.
  *
- * @param sizes - three or more
- * @param measure - gives the figure at a size; runs once unmeasured to warm up
+ * @param sizes - three or more sizes
+ * @param measure - measures at a size; called once more, as a warm-up whose result is discarded
  * @example
  * ```ts
  * const line = await measureLine([10, 100, 1000], (size) => getDecisionTime(size));
@@ -70,7 +69,7 @@
   for (const size of sizes) {
     const values: number[] = [];
     for (let repeat = 0; repeat < REPEATS; repeat += 1) {
-      // One after the other, so that measurements do not disturb each other.
+      // Sequential, so that measurements do not affect each other.
       // eslint-disable-next-line no-await-in-loop
       values.push(await measure(size));
     }
