--- a/packages/e2e/src/lib/stalledConnections.test.ts
+++ b/packages/e2e/src/lib/stalledConnections.test.ts
@@ -59,7 +59,7 @@
     const check = () => checkArtwork(port, '17', { headers: HASTY });
     await portal.injectFault({ kind: 'stall' });
     const first = [check(), check(), check()];
-    await portal.proxy.waitForCount(3);
+    await portal.proxy.waitForConnections(3);
     await portal.injectFault({ kind: 'unstall' });
     await Promise.all(first);
     portal.proxy.silenceConnections();
--- a/packages/e2e/src/test/LocalDaemon.ts
+++ b/packages/e2e/src/test/LocalDaemon.ts
@@ -21,14 +21,14 @@
     if (!result.ok) {
       throw new Error(JSON.stringify(result.error));
     }
-    listener.onDaemons('local', ['local']);
-    listener.onConfiguration(result.value, 1);
+    listener.onDaemonsChange('local', ['local']);
+    listener.onConfigurationChange(result.value, 1);
     return Promise.resolve();
   };
   const shared = {
     start,
     claims,
-    tellReplicaLeaving: () => undefined,
+    announceReplicaLeaving: () => undefined,
     getMembers: () => [],
     getGeneration: () => 1,
     announceLeaving: () => Promise.resolve(),
--- a/packages/experiment/src/lib/bench/measureFirstByte.ts
+++ b/packages/experiment/src/lib/bench/measureFirstByte.ts
@@ -2,7 +2,7 @@
 import type { Histogram } from 'hdr-histogram-js';
 import { Agent } from 'undici';
 import type { Milliseconds } from '@apricotrill/utils';
-import { MICROSECONDS } from '../measure/measureCost.js';
+import { MICROSECONDS_PER_MILLISECOND } from '../measure/measureCost.js';
 import { streamChat } from './streamChat.js';
 import type { ChatTarget } from './streamChat.js';
 
@@ -21,8 +21,8 @@
 
 function getFigures(histogram: Histogram): { median: Milliseconds; p99: Milliseconds } {
   return {
-    median: histogram.getValueAtPercentile(50) / MICROSECONDS,
-    p99: histogram.getValueAtPercentile(99) / MICROSECONDS,
+    median: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MILLISECOND,
+    p99: histogram.getValueAtPercentile(99) / MICROSECONDS_PER_MILLISECOND,
   };
 }
 
@@ -57,7 +57,7 @@
       content,
       maxTokens: PROBE_TOKENS,
     });
-    histograms[index]!.recordValue(Math.round(firstByte * MICROSECONDS));
+    histograms[index]!.recordValue(Math.round(firstByte * MICROSECONDS_PER_MILLISECOND));
     probes += 1;
     // eslint-disable-next-line no-await-in-loop
     await wait(PROBE_GAP * Math.random());
--- a/packages/experiment/src/lib/capacity/loadReports.ts
+++ b/packages/experiment/src/lib/capacity/loadReports.ts
@@ -1,4 +1,4 @@
-import { routerOptions } from '@apricotrill/router';
+import { defaultRouterOptions } from '@apricotrill/router';
 import { DAEMON_REQUESTS, twoYearSize } from './twoYearSize.js';
 
 const MILLISECONDS_PER_SECOND = 1000;
@@ -18,8 +18,8 @@
  * @internal
  */
 export function getReportRate(): ReportRate {
-  const { loadQuestions, loadInterval } = routerOptions;
+  const { maxLoadPolls, loadPollInterval } = defaultRouterOptions;
   const asked =
-    (Math.min(loadQuestions, twoYearSize.replicas) * MILLISECONDS_PER_SECOND) / loadInterval;
+    (Math.min(maxLoadPolls, twoYearSize.replicas) * MILLISECONDS_PER_SECOND) / loadPollInterval;
   return { asked, all: asked + DAEMON_REQUESTS };
 }
--- a/packages/experiment/src/lib/capacity/probes/AdmissionProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/AdmissionProbe.ts
@@ -1,4 +1,8 @@
-import { MICROSECONDS, measureHeap, measureLine } from '../../measure/measureCost.js';
+import {
+  MICROSECONDS_PER_MILLISECOND,
+  measureHeap,
+  measureLine,
+} from '../../measure/measureCost.js';
 import { getWorkedOut, NO_STORE_COST } from '../CapacityProbe.js';
 import type { CapacityProbe, RoleCapacity, Slope } from '../CapacityProbe.js';
 import { createConfiguration } from '../createConfiguration.js';
@@ -51,7 +55,9 @@
       daemon: {
         messagesPerSecond: 0,
         bytesPerSecond: 0,
-        core: (getWorkedOut(request) * DAEMON_REQUESTS) / (MICROSECONDS * MICROSECONDS),
+        core:
+          (getWorkedOut(request) * DAEMON_REQUESTS) /
+          (MICROSECONDS_PER_MILLISECOND * MICROSECONDS_PER_MILLISECOND),
         memoryBytes: getWorkedOut(heap),
       },
       store: NO_STORE_COST,
--- a/packages/experiment/src/lib/capacity/probes/ChoiceProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/ChoiceProbe.ts
@@ -1,4 +1,4 @@
-import { MICROSECONDS, measureLine } from '../../measure/measureCost.js';
+import { MICROSECONDS_PER_MILLISECOND, measureLine } from '../../measure/measureCost.js';
 import { getWorkedOut, NO_STORE_COST } from '../CapacityProbe.js';
 import type { CapacityProbe, RoleCapacity, Slope } from '../CapacityProbe.js';
 import { createConfiguration } from '../createConfiguration.js';
@@ -41,7 +41,9 @@
       daemon: {
         messagesPerSecond: 0,
         bytesPerSecond: 0,
-        core: (getWorkedOut(slope) * DAEMON_REQUESTS) / (MICROSECONDS * MICROSECONDS),
+        core:
+          (getWorkedOut(slope) * DAEMON_REQUESTS) /
+          (MICROSECONDS_PER_MILLISECOND * MICROSECONDS_PER_MILLISECOND),
         memoryBytes: 0,
       },
       store: NO_STORE_COST,
--- a/packages/experiment/src/lib/capacity/probes/LoadViewProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/LoadViewProbe.ts
@@ -3,7 +3,7 @@
 import { createRandom, ManualClock } from '@apricotrill/utils';
 import { fitLine } from '../../measure/fitLine.js';
 import {
-  MICROSECONDS,
+  MICROSECONDS_PER_MILLISECOND,
   measureHeap,
   measureLine,
   measureProcessorTime,
@@ -59,7 +59,7 @@
       report(index);
     }
   });
-  return (span * MICROSECONDS) / REPORTS;
+  return (span * MICROSECONDS_PER_MILLISECOND) / REPORTS;
 }
 
 /** Milliseconds for a list of replicas in which one changed. */
@@ -144,11 +144,13 @@
     const slopes = await measureSlopes();
     const questions = await measureQuestionSlopes();
     const rate = getReportRate();
-    const askedCore = (questions.time.line.slope * rate.asked) / MICROSECONDS;
-    const reportCore = (getWorkedOut(slopes.report) * rate.all) / MICROSECONDS ** 2;
+    const askedCore = (questions.time.line.slope * rate.asked) / MICROSECONDS_PER_MILLISECOND;
+    const reportCore = (getWorkedOut(slopes.report) * rate.all) / MICROSECONDS_PER_MILLISECOND ** 2;
     const daemonCore =
-      (getWorkedOut(slopes.daemonChange) * MEMBER_CHANGES_PER_SECOND) / MICROSECONDS;
-    const listCore = (getWorkedOut(slopes.list) * CHANGES_PER_SECOND) / MICROSECONDS;
+      (getWorkedOut(slopes.daemonChange) * MEMBER_CHANGES_PER_SECOND) /
+      MICROSECONDS_PER_MILLISECOND;
+    const listCore =
+      (getWorkedOut(slopes.list) * CHANGES_PER_SECOND) / MICROSECONDS_PER_MILLISECOND;
     return {
       role: 'load view',
       mechanism: 'policy: ReplicaChooser; router: LoadPoller, x-load on answers',
--- a/packages/experiment/src/lib/capacity/probes/measureRequestTime.ts
+++ b/packages/experiment/src/lib/capacity/probes/measureRequestTime.ts
@@ -1,4 +1,4 @@
-import { MICROSECONDS, measureProcessorTime } from '../../measure/measureCost.js';
+import { MICROSECONDS_PER_MILLISECOND, measureProcessorTime } from '../../measure/measureCost.js';
 import type { SchedulerLoad } from './SchedulerLoad.js';
 
 /** How many requests are measured. */
@@ -30,5 +30,5 @@
     }
   });
   load.scheduler.dispose();
-  return (span * MICROSECONDS) / (batch * rounds);
+  return (span * MICROSECONDS_PER_MILLISECOND) / (batch * rounds);
 }
--- a/packages/experiment/src/lib/measure/measureCost.ts
+++ b/packages/experiment/src/lib/measure/measureCost.ts
@@ -6,7 +6,7 @@
 import { fitLine } from './fitLine.js';
 import type { Line } from './fitLine.js';
 
-export const MICROSECONDS = 1000;
+export const MICROSECONDS_PER_MILLISECOND = 1000;
 
 const REPEATS = 5;
 
@@ -22,7 +22,7 @@
   const before = process.cpuUsage();
   await run();
   const { user, system } = process.cpuUsage(before);
-  return (user + system) / MICROSECONDS;
+  return (user + system) / MICROSECONDS_PER_MILLISECOND;
 }
 
 /** Collects garbage twice: what earlier promises and callbacks hold is freed a turn later. */
--- a/packages/experiment/src/lib/report/summariseRun.ts
+++ b/packages/experiment/src/lib/report/summariseRun.ts
@@ -57,7 +57,7 @@
   const started = records.filter(({ firstTokenAt }) => firstTokenAt !== undefined);
   const waits = started.map((record) => getWait(record)!).sort((left, right) => left - right);
   const lost = records.filter(
-    (record) => record.end === CallEnd.GivenUp || record.end === CallEnd.Impatient,
+    (record) => record.end === CallEnd.GivenUp || record.end === CallEnd.TimedOut,
   );
   // A caller that hangs up in the middle by its own wish is neither attained nor missed.
   const judged = records.filter((record) => record.end !== CallEnd.Left);
--- a/packages/experiment/src/lib/simulation/CallRecord.ts
+++ b/packages/experiment/src/lib/simulation/CallRecord.ts
@@ -11,7 +11,7 @@
   /** The caller hung up in the middle of the answer, for a reason unrelated to the router. */
   Left = 'left',
   /** The caller hung up because no first token arrived within its timeout. */
-  Impatient = 'impatient',
+  TimedOut = 'impatient',
 }
 
 /**
--- a/packages/experiment/src/lib/simulation/Callers.ts
+++ b/packages/experiment/src/lib/simulation/Callers.ts
@@ -188,7 +188,7 @@
     const timeout = call.arrived + this.getCallerTimeout(record) - clock.now();
     clock.setTimer(timeout, () => {
       if (record.firstTokenAt === undefined) {
-        this.hangUp(id, CallEnd.Impatient);
+        this.hangUp(id, CallEnd.TimedOut);
       }
     });
     daemon.submit(
--- a/packages/experiment/src/lib/simulation/runSimulation.test.ts
+++ b/packages/experiment/src/lib/simulation/runSimulation.test.ts
@@ -68,7 +68,7 @@
 
   it('delivers nothing on silent connections until the caller hangs up', async () => {
     const { records } = await runRoundRobin(0.9, [silence]);
-    const timedOut = records.filter(({ end }) => end === CallEnd.Impatient);
+    const timedOut = records.filter(({ end }) => end === CallEnd.TimedOut);
     expect(timedOut.length).toBeGreaterThan(0);
     expect(timedOut.every(({ delivered }) => delivered === 0)).toBe(true);
   });
--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -4,4 +4,4 @@
 export type { RouterDaemonDependencies } from './lib/daemon/RouterDaemon.js';
 export type { DaemonPorts, SharedState, SharedStateListener } from './lib/daemon/SharedState.js';
 export { createDecisionLog } from './lib/observe/DecisionLog.js';
-export { routerOptions } from './lib/options.js';
+export { defaultRouterOptions } from './lib/options.js';
--- a/packages/router/src/lib/daemon/RouterDaemon.ts
+++ b/packages/router/src/lib/daemon/RouterDaemon.ts
@@ -6,7 +6,7 @@
 import { AdminServer } from '../observe/AdminServer.js';
 import type { DecisionLog } from '../observe/DecisionLog.js';
 import { RouterMetrics } from '../observe/RouterMetrics.js';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import { CallerServer } from '../pipeline/CallerServer.js';
 import { RoutingTable } from '../pipeline/RoutingTable.js';
 import { RequestRunner } from '../request/RequestRunner.js';
@@ -87,9 +87,9 @@
     const adminPort = await this.adminServer.listen(settings.host, settings.adminPort);
     const port = await this.callerServer.listen();
     const listener = {
-      onConfiguration: (configuration: Configuration, generation: number) =>
+      onConfigurationChange: (configuration: Configuration, generation: number) =>
         this.applyConfiguration(configuration, generation),
-      onDaemons: (self: string, daemons: string[]) =>
+      onDaemonsChange: (self: string, daemons: string[]) =>
         this.scheduler.handle({ kind: 'daemons', self, daemons }),
       onReplicaLeaving: (replica: string, validity: Milliseconds) =>
         this.leavingReplicas.recordAnnouncement(replica, validity),
@@ -111,7 +111,7 @@
     log('daemon', { event: 'draining', inFlight: this.scheduling.getRequestCount() });
     shared.announceLeaving();
     await new Promise<void>((resolve) => {
-      clock.setTimer(routerOptions.readinessDrainDelay, resolve);
+      clock.setTimer(defaultRouterOptions.readinessDrainDelay, resolve);
     });
     // Requests still being read or claimed are not queued yet, but their connections are open.
     await this.callerServer.close();
@@ -152,7 +152,7 @@
 
   private recordReplicaLeaving(replica: string): void {
     this.leavingReplicas.recordSelfReport(replica);
-    this.dependencies.shared.tellReplicaLeaving(replica);
+    this.dependencies.shared.announceReplicaLeaving(replica);
   }
 
   private createPoller(): LoadPoller {
--- a/packages/router/src/lib/daemon/SharedFiles.ts
+++ b/packages/router/src/lib/daemon/SharedFiles.ts
@@ -43,12 +43,12 @@
       const detail = `line ${first?.line}: ${first?.reason}; ${first?.expected}`;
       throw new StepError(detail, { step: 'configuration', peer: first?.file ?? registerFile });
     }
-    listener.onDaemons(this.daemon, [this.daemon]);
-    listener.onConfiguration(result.value, this.getGeneration());
+    listener.onDaemonsChange(this.daemon, [this.daemon]);
+    listener.onConfigurationChange(result.value, this.getGeneration());
   }
 
   // eslint-disable-next-line class-methods-use-this
-  tellReplicaLeaving(): void {}
+  announceReplicaLeaving(): void {}
 
   getMembers(): unknown {
     return { self: this.daemon, generation: this.getGeneration(), members: [] };
--- a/packages/router/src/lib/daemon/SharedState.ts
+++ b/packages/router/src/lib/daemon/SharedState.ts
@@ -33,7 +33,7 @@
   /** Claims of non-repeatable requests. */
   claims: ClaimPort;
   /** Announces to peers that a replica has reported to this daemon that it is leaving. */
-  tellReplicaLeaving(replica: string): void;
+  announceReplicaLeaving(replica: string): void;
   /** Returns the members, with the generation each has in force. */
   getMembers(): unknown;
   /** Returns the generation in force at this daemon; 0 before the first. */
@@ -51,8 +51,8 @@
  * @internal
  */
 export interface SharedStateListener {
-  onConfiguration(configuration: Configuration, generation: number): void;
-  onDaemons(self: string, daemons: string[]): void;
+  onConfigurationChange(configuration: Configuration, generation: number): void;
+  onDaemonsChange(self: string, daemons: string[]): void;
   /** A peer announced that a replica is leaving; the announcement is valid for `validity`. */
   onReplicaLeaving(replica: string, validity: Milliseconds): void;
 }
--- a/packages/router/src/lib/observe/RouterMetrics.ts
+++ b/packages/router/src/lib/observe/RouterMetrics.ts
@@ -1,5 +1,5 @@
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 
 /** Histogram buckets in seconds, chosen around the latency targets, from gate checks to long drafts. */
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 1.5, 2.5, 5, 10, 30, 60];
@@ -114,7 +114,7 @@
     if (this.workspaces.has(workspace)) {
       return workspace;
     }
-    if (this.workspaces.size < routerOptions.maxWorkspaceLabels) {
+    if (this.workspaces.size < defaultRouterOptions.maxWorkspaceLabels) {
       this.workspaces.add(workspace);
       return workspace;
     }
--- a/packages/router/src/lib/options.ts
+++ b/packages/router/src/lib/options.ts
@@ -2,7 +2,7 @@
  * Options of the router that are the same in all deployments; what differs between deployments is in
  * the settings. Times are in milliseconds.
  */
-export const routerOptions = {
+export const defaultRouterOptions = {
   /** Timeout for opening a connection to a replica. */
   connectTimeout: 500,
   /** How long an idle connection to a replica is kept open. */
@@ -24,9 +24,9 @@
   internalRetryAfter: 1000,
   maxPlainResponseBytes: 8 * 1024 * 1024,
   /** How often a replica's load is polled if no response carried it. */
-  loadInterval: 1000,
+  loadPollInterval: 1000,
   /** The maximum number of replicas polled per interval. */
-  loadQuestions: 50,
+  maxLoadPolls: 50,
   loadPollTimeout: 800,
   /** The number of prompt characters used for prefix affinity. */
   prefixCharacters: 1024,
--- a/packages/router/src/lib/pipeline/CallerServer.ts
+++ b/packages/router/src/lib/pipeline/CallerServer.ts
@@ -12,7 +12,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import type { HandlerContext } from './HandlerContext.js';
 import { discardBody } from './discardBody.js';
 import { getRefusalBody } from './getRefusalBody.js';
@@ -55,7 +55,7 @@
   title: 'Internal error',
   detail: 'this daemon failed on the request',
   outcome: ExecutionOutcome.Unknown,
-  retryAfter: routerOptions.internalRetryAfter,
+  retryAfter: defaultRouterOptions.internalRetryAfter,
 };
 
 /**
@@ -82,8 +82,8 @@
     this.connections = new CallerConnections({
       clock: context.clock,
       headersTimeout: address.headersTimeout,
-      firstRequestTimeout: routerOptions.firstRequestTimeout,
-      callerStallTimeout: routerOptions.callerStallTimeout,
+      firstRequestTimeout: defaultRouterOptions.firstRequestTimeout,
+      callerStallTimeout: defaultRouterOptions.callerStallTimeout,
     });
     this.server = this.createServer();
     const { server } = this;
@@ -155,7 +155,7 @@
     const options = {
       headersTimeout,
       requestTimeout: 0,
-      connectionsCheckingInterval: routerOptions.connectionsCheckInterval,
+      connectionsCheckingInterval: defaultRouterOptions.connectionsCheckInterval,
     };
     // Without a timeout, an unfinished TLS handshake would block shutdown as an idle connection does.
     const server =
--- a/packages/router/src/lib/pipeline/claim.ts
+++ b/packages/router/src/lib/pipeline/claim.ts
@@ -3,7 +3,7 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
 import { createHash } from 'node:crypto';
 import type { DecisionLog } from '../observe/DecisionLog.js';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import type { PlainResponse } from '../upstream/runPlainAttempt.js';
 import type { ClaimEnd, ClaimPort, ClaimRequest, ClaimVerdict } from './ClaimPort.js';
 import { ProblemError, ProblemReason } from './Problem.js';
@@ -93,7 +93,7 @@
         title: TITLE,
         detail: 'a request with this key is running; ask again for its answer',
         outcome: ExecutionOutcome.Unknown,
-        retryAfter: routerOptions.inProgressRetryAfter,
+        retryAfter: defaultRouterOptions.inProgressRetryAfter,
       };
     case 'answer-not-kept':
       return {
@@ -145,7 +145,7 @@
 ): Promise<ClaimVerdict> {
   const { requestId, key } = request;
   return new Promise((resolve) => {
-    const retryAfter = routerOptions.claimRetryAfter;
+    const retryAfter = defaultRouterOptions.claimRetryAfter;
     const unavailable = { kind: 'unavailable', retryAfter, isProvedNotRun: false } as const;
     let hasTimedOut = false;
     const timer = clock.setTimer(timeout, () => {
--- a/packages/router/src/lib/pipeline/discardBody.ts
+++ b/packages/router/src/lib/pipeline/discardBody.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@apricotrill/utils';
 import type { IncomingMessage } from 'node:http';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 
 /**
  * Reads and discards the rest of a rejected request, within limits. A caller that is still sending
@@ -20,9 +20,9 @@
   if (request.complete || request.destroyed) {
     return;
   }
-  let remainingBytes: number = routerOptions.maxRefusedBodyBytes;
+  let remainingBytes: number = defaultRouterOptions.maxRefusedBodyBytes;
   const destroySocket = () => request.socket.destroy();
-  const timer = clock.setTimer(routerOptions.refusedBodyTimeout, destroySocket);
+  const timer = clock.setTimer(defaultRouterOptions.refusedBodyTimeout, destroySocket);
   request.on('data', (chunk: Buffer) => {
     remainingBytes -= chunk.length;
     if (remainingBytes < 0) {
--- a/packages/router/src/lib/request/ProgressReporter/ProgressReporter.test.ts
+++ b/packages/router/src/lib/request/ProgressReporter/ProgressReporter.test.ts
@@ -1,5 +1,5 @@
 import { ManualClock } from '@apricotrill/utils';
-import { routerOptions } from '../../options.js';
+import { defaultRouterOptions } from '../../options.js';
 import { ProgressReporter } from './ProgressReporter.js';
 
 describe('ProgressReporter', () => {
@@ -14,7 +14,7 @@
     const { clock, reported, reporter } = setUp();
     reporter.add(1);
     reporter.add(1);
-    clock.advance(routerOptions.progressInterval - 1);
+    clock.advance(defaultRouterOptions.progressInterval - 1);
     reporter.add(2);
     expect(reported).toEqual([1]);
     clock.advance(1);
@@ -37,7 +37,7 @@
   it('reports an attempt that only waits for its caller as alive', () => {
     const { clock, reported, reporter } = setUp();
     reporter.add(1);
-    clock.advance(routerOptions.progressInterval);
+    clock.advance(defaultRouterOptions.progressInterval);
     reporter.add(0);
     expect(reported).toEqual([1, 0]);
   });
--- a/packages/router/src/lib/request/ProgressReporter/ProgressReporter.ts
+++ b/packages/router/src/lib/request/ProgressReporter/ProgressReporter.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@apricotrill/utils';
-import { routerOptions } from '../../options.js';
+import { defaultRouterOptions } from '../../options.js';
 
 /**
  * Reports the progress of one attempt to the scheduler: immediately for the first token, then at most
@@ -27,7 +27,7 @@
   add(tokens: number): void {
     this.unreportedTokens += tokens;
     const now = this.clock.now();
-    if (now - this.reportedAt >= routerOptions.progressInterval) {
+    if (now - this.reportedAt >= defaultRouterOptions.progressInterval) {
       this.reportedAt = now;
       this.flush();
     }
--- a/packages/router/src/lib/request/RequestRunner.ts
+++ b/packages/router/src/lib/request/RequestRunner.ts
@@ -3,7 +3,7 @@
 import type { ScheduledRequest } from '@apricotrill/policy';
 import type { DecisionLog } from '../observe/DecisionLog.js';
 import type { RouterMetrics } from '../observe/RouterMetrics.js';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import type { IdentifiedCall } from '../pipeline/IdentifiedCall.js';
 import { settle } from '../pipeline/settle.js';
 import type { LoadListener } from '../upstream/Attempt.js';
@@ -47,7 +47,7 @@
 function getPrefixHash(chat: ChatRequest): number {
   const content = chat.messages[0]?.content;
   const text = typeof content === 'string' ? content : JSON.stringify(content ?? '');
-  return getHash(text.slice(0, routerOptions.prefixCharacters));
+  return getHash(text.slice(0, defaultRouterOptions.prefixCharacters));
 }
 
 function getScheduledRequest({ call, chat }: RunOptions): ScheduledRequest {
--- a/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
+++ b/packages/router/src/lib/request/waitForCaller/waitForCaller.test.ts
@@ -4,7 +4,7 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import { EventEmitter } from 'node:events';
 import type { ServerResponse } from 'node:http';
-import { routerOptions } from '../../options.js';
+import { defaultRouterOptions } from '../../options.js';
 import { waitForCaller } from './waitForCaller.js';
 
 const REPLICA = {
@@ -72,7 +72,7 @@
   // missing progress reports for a silent engine once the longest inter-token pause is over.
   it('keeps the scheduler from treating a slow caller as a silent engine', async () => {
     const { clock, effects, scheduler, response, wait } = start();
-    clock.advance(routerOptions.callerStallTimeout - 1);
+    clock.advance(defaultRouterOptions.callerStallTimeout - 1);
     response.emit('drain');
     await wait;
     scheduler.handle({
@@ -89,7 +89,7 @@
   // such responses would fill up the engine's slots and keep a daemon from shutting down.
   it('disconnects a caller that has read nothing within the timeout', async () => {
     const { clock, response, wait } = start();
-    clock.advance(routerOptions.callerStallTimeout);
+    clock.advance(defaultRouterOptions.callerStallTimeout);
     await wait;
     expect(response.destroyed).toBe(true);
     expect(response.listenerCount('drain')).toBe(0);
--- a/packages/router/src/lib/request/waitForCaller/waitForCaller.ts
+++ b/packages/router/src/lib/request/waitForCaller/waitForCaller.ts
@@ -1,6 +1,6 @@
 import type { Clock, Milliseconds, Timer } from '@apricotrill/utils';
 import type { ServerResponse } from 'node:http';
-import { routerOptions } from '../../options.js';
+import { defaultRouterOptions } from '../../options.js';
 
 /**
  * Options of {@link waitForCaller}.
@@ -34,7 +34,7 @@
   onWaiting,
 }: WaitForCallerOptions): Promise<void> {
   return new Promise((resolve) => {
-    let remaining: Milliseconds = routerOptions.callerStallTimeout;
+    let remaining: Milliseconds = defaultRouterOptions.callerStallTimeout;
     let timer: Timer;
     const tick = () => {
       remaining -= interval;
--- a/packages/router/src/lib/shared/ClaimAdapter.ts
+++ b/packages/router/src/lib/shared/ClaimAdapter.ts
@@ -2,7 +2,7 @@
 import { exhaustiveSwitchError } from '@apricotrill/utils';
 import type { Clock } from '@apricotrill/utils';
 import { isUtf8 } from 'node:buffer';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import type { ClaimEnd, ClaimPort, ClaimRequest, ClaimVerdict } from '../pipeline/ClaimPort.js';
 import type { PlainResponse } from '../upstream/runPlainAttempt.js';
 
@@ -71,7 +71,7 @@
 
   async claim(request: ClaimRequest): Promise<ClaimVerdict> {
     if (this.claims === undefined) {
-      const retryAfter = routerOptions.inProgressRetryAfter;
+      const retryAfter = defaultRouterOptions.inProgressRetryAfter;
       return { kind: 'unavailable', retryAfter, isProvedNotRun: false };
     }
     return this.getVerdict(this.claims, await this.claims.claim(request));
--- a/packages/router/src/lib/shared/SharedPlatform.ts
+++ b/packages/router/src/lib/shared/SharedPlatform.ts
@@ -13,7 +13,7 @@
 import type { DaemonPorts, SharedState, SharedStateListener } from '../daemon/SharedState.js';
 import { addControlMetrics } from '../observe/addControlMetrics.js';
 import type { DecisionLog } from '../observe/DecisionLog.js';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import { ClaimAdapter } from './ClaimAdapter.js';
 import { FirstConfiguration } from './FirstConfiguration/FirstConfiguration.js';
 import { getMemberView } from './MemberList.js';
@@ -88,7 +88,7 @@
   constructor(dependencies: SharedPlatformDependencies) {
     this.dependencies = dependencies;
     const { settings, clock } = dependencies;
-    const platform = { url: settings.platformUrl, timeout: routerOptions.platformTimeout };
+    const platform = { url: settings.platformUrl, timeout: defaultRouterOptions.platformTimeout };
     this.store = new HttpPlatformStore(platform);
     this.instanceList = new HttpInstanceList(platform);
     this.mesh = new Mesh({
@@ -128,7 +128,7 @@
     });
   }
 
-  tellReplicaLeaving(replica: string): void {
+  announceReplicaLeaving(replica: string): void {
     this.session?.cluster.announceReplicaLeaving(replica);
   }
 
@@ -159,7 +159,7 @@
     }
     const { placement, claimManager } = this.session;
     await placement.release();
-    const result = await claimManager.handOver(routerOptions.handOverTimeout);
+    const result = await claimManager.handOver(defaultRouterOptions.handOverTimeout);
     this.dependencies.log('claim', { event: 'handed-over', ...result });
   }
 
@@ -180,18 +180,18 @@
     cluster.onMembersChange((members) => {
       claimManager.handleMembersChange();
       const eligible = members.filter(({ isEligible }) => isEligible).map(({ id }) => id);
-      listener.onDaemons(this.dependencies.settings.id, eligible);
+      listener.onDaemonsChange(this.dependencies.settings.id, eligible);
     });
     cluster.onReplicaLeaving((replica, validity) => listener.onReplicaLeaving(replica, validity));
     const firstConfiguration = new FirstConfiguration({
       clock: this.dependencies.clock,
       options: {
-        acceptedGenerationTimeout: routerOptions.acceptedGenerationTimeout,
-        timeout: routerOptions.firstConfigurationTimeout,
+        acceptedGenerationTimeout: defaultRouterOptions.acceptedGenerationTimeout,
+        timeout: defaultRouterOptions.firstConfigurationTimeout,
       },
       release: ({ configuration, manifest }) => {
         this.configuration = configuration;
-        listener.onConfiguration(configuration, manifest.generation);
+        listener.onConfigurationChange(configuration, manifest.generation);
         this.session?.placement.handleConfigurationChange();
       },
     });
@@ -233,7 +233,7 @@
       transport: {
         call: (peer, message) =>
           this.mesh.call(peer.address, CLAIM_TOPIC, message, {
-            timeout: routerOptions.claimCallTimeout,
+            timeout: defaultRouterOptions.claimCallTimeout,
           }) as Promise<ClaimResponse>,
       },
       getMembers: () =>
--- a/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
+++ b/packages/router/src/lib/upstream/AttemptExchange/AttemptExchange.ts
@@ -2,7 +2,7 @@
 import type { Clock, Timer } from '@apricotrill/utils';
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
-import { routerOptions } from '../../options.js';
+import { defaultRouterOptions } from '../../options.js';
 import type { ResponseFlow, ResponseReader } from '../ResponseReader.js';
 import type { Attempt, AttemptResult } from '../Attempt.js';
 import { parseLoad } from '../parseLoad.js';
@@ -197,7 +197,10 @@
     }
     const abort = () => this.controller?.abort(new Error('the attempt has ended'));
     if (end === AttemptStatus.Completed || end === AttemptStatus.Refused) {
-      this.drainTimer = this.settings.clock.setTimer(routerOptions.responseDrainTimeout, abort);
+      this.drainTimer = this.settings.clock.setTimer(
+        defaultRouterOptions.responseDrainTimeout,
+        abort,
+      );
     } else {
       abort();
     }
--- a/packages/router/src/lib/upstream/LoadPoller.test.ts
+++ b/packages/router/src/lib/upstream/LoadPoller.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock, createRandom } from '@apricotrill/utils';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import { LoadPoller } from './LoadPoller.js';
 
 /*
@@ -20,7 +20,7 @@
       server.listen(0, '127.0.0.1', resolve);
     });
     const { port } = server.address() as AddressInfo;
-    const count = 2 * routerOptions.loadQuestions;
+    const count = 2 * defaultRouterOptions.maxLoadPolls;
     const clock = new ManualClock(10_000);
     const reported = new Set<string>();
     const waitForReports = (wanted: number) =>
@@ -45,10 +45,10 @@
         placement: [],
       })),
     );
-    clock.advance(routerOptions.loadInterval * 1.2);
-    await waitForReports(routerOptions.loadQuestions);
-    expect(polledHosts).toHaveLength(routerOptions.loadQuestions);
-    clock.advance(routerOptions.loadInterval * 1.2);
+    clock.advance(defaultRouterOptions.loadPollInterval * 1.2);
+    await waitForReports(defaultRouterOptions.maxLoadPolls);
+    expect(polledHosts).toHaveLength(defaultRouterOptions.maxLoadPolls);
+    clock.advance(defaultRouterOptions.loadPollInterval * 1.2);
     await waitForReports(count);
     expect(reported.size).toBe(count);
     poller.dispose();
--- a/packages/router/src/lib/upstream/LoadPoller.ts
+++ b/packages/router/src/lib/upstream/LoadPoller.ts
@@ -2,7 +2,7 @@
 import type { LoadReport } from '@apricotrill/policy';
 import type { Clock, Milliseconds, Random, Timer } from '@apricotrill/utils';
 import { request } from 'undici';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 
 /** The response of `GET /load`. */
 interface LoadResponse {
@@ -79,16 +79,16 @@
   }
 
   private schedule(): void {
-    const { loadInterval } = routerOptions;
+    const { loadPollInterval } = defaultRouterOptions;
     const spread = 1 + JITTER * (this.random.next() - 0.5);
-    this.timer = this.clock.setTimer(loadInterval * spread, () => {
+    this.timer = this.clock.setTimer(loadPollInterval * spread, () => {
       this.schedule();
       this.pollDue();
     });
   }
 
   private pollDue(): void {
-    const due = this.clock.now() - routerOptions.loadInterval;
+    const due = this.clock.now() - defaultRouterOptions.loadPollInterval;
     this.getDueReplicas(due).forEach((replica) => {
       this.poll(replica).catch(() => undefined);
     });
@@ -104,14 +104,14 @@
     return this.replicas
       .filter((replica) => this.leavingReplicas.has(replica.id) || getReportedAt(replica) <= due)
       .sort((left, right) => getReportedAt(left) - getReportedAt(right))
-      .slice(0, routerOptions.loadQuestions);
+      .slice(0, defaultRouterOptions.maxLoadPolls);
   }
 
   private async poll(replica: Replica): Promise<void> {
     // Recorded before the response, so that a replica that is down does not block the others.
     this.recordReport(replica.id);
     const response = await request(`http://${replica.host}:${replica.port}/load`, {
-      signal: AbortSignal.timeout(routerOptions.loadPollTimeout),
+      signal: AbortSignal.timeout(defaultRouterOptions.loadPollTimeout),
     });
     const load = (await response.body.json()) as LoadResponse;
     const { running, waiting, measuredAt } = load;
--- a/packages/router/src/lib/upstream/PlainResponseReader.ts
+++ b/packages/router/src/lib/upstream/PlainResponseReader.ts
@@ -1,5 +1,5 @@
 import { AttemptStatus } from '@apricotrill/policy';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 import type { ResponseHead, ResponseReader } from './ResponseReader.js';
 import type { AttemptResult } from './Attempt.js';
 import { ErrorResponseReader } from './ErrorResponseReader.js';
@@ -65,7 +65,7 @@
     }
     this.size += bytes.length;
     this.chunks.push(bytes);
-    return this.size > routerOptions.maxPlainResponseBytes
+    return this.size > defaultRouterOptions.maxPlainResponseBytes
       ? { end: AttemptStatus.Errored, status: this.head?.status, detail: 'the answer is too large' }
       : undefined;
   }
--- a/packages/router/src/lib/upstream/ReplicaConnections.ts
+++ b/packages/router/src/lib/upstream/ReplicaConnections.ts
@@ -1,7 +1,7 @@
 import { Client, Pool } from 'undici';
 import type { Replica } from '@apricotrill/model';
 import type { Dispatcher } from 'undici';
-import { routerOptions } from '../options.js';
+import { defaultRouterOptions } from '../options.js';
 
 function getOrigin(replica: Replica): string {
   return `http://${replica.host}:${replica.port}`;
@@ -12,8 +12,8 @@
   headersTimeout: 0,
   bodyTimeout: 0,
   pipelining: 1,
-  connect: { timeout: routerOptions.connectTimeout },
-  keepAliveTimeout: routerOptions.upstreamIdleTimeout,
+  connect: { timeout: defaultRouterOptions.connectTimeout },
+  keepAliveTimeout: defaultRouterOptions.upstreamIdleTimeout,
 };
 
 /**
--- a/packages/standins/src/lib/network/TcpProxy.ts
+++ b/packages/standins/src/lib/network/TcpProxy.ts
@@ -100,7 +100,7 @@
   }
 
   /** Resolves once that many connections have been opened. */
-  waitForCount(count: number): Promise<void> {
+  waitForConnections(count: number): Promise<void> {
     return this.connectionOpened.waitUntil(() => this.connectionCount >= count);
   }
 
