--- a/packages/relay/src/lib/decide/Fleet/Fleet.ts
+++ b/packages/relay/src/lib/decide/Fleet/Fleet.ts
@@ -6,7 +6,7 @@
    * Maximum number of daemons that announce each placement to all peers and choose replicas
    * themselves. Each daemon then sends three messages per request to every peer. With 74 daemons
    * and 5 requests per second at each, every daemon would send and receive about 1,000 datagrams
-   * per second (calculated).
+   * per second.
    */
   maxSmallFleetSize: 17,
 };
--- a/packages/relay/src/lib/decide/placementOptions.ts
+++ b/packages/relay/src/lib/decide/placementOptions.ts
@@ -91,9 +91,8 @@
   homePreference: 30,
   // Prompts arrive in bursts of a few seconds, and a stream lasts one to two seconds.
   pressureHalfLife: 1_500,
-  // In simulations of four named deployments (and eight random ones), costs of a late request of 0,
-  // 150, 300 and 600 gave the named ones a mean score of 0.83, 0.86, 0.87 and 0.85. Values of
-  // `harmCost` from 150 to 300 made no difference.
+  // Weighed against waits: a late request costs as much as a wait of the shortest latency target, and
+  // a missed pause target of another request costs two thirds of that.
   lossCost: 300,
   harmCost: 200,
   harmfulShare: 0.5,
@@ -103,14 +102,11 @@
   chunkTokens: 2_048,
   // Setting up a copy takes about as long as prefilling a hundred tokens.
   leastCopy: 128,
-  // A copy also takes network bandwidth and memory from other requests. In deployments of 6
-  // engines, 4 instead of 1 raised the benchmark score from 0.618 to 0.653 (4 runs under load) and
-  // halved the bytes copied under light load.
+  // A copy also takes network bandwidth and memory from other requests.
   copyWeight: 4,
   availabilityZone: '',
   // About a millisecond per kilobyte, so that sending a prompt to another zone costs a third of
-  // copying its prefix. This reduced the bytes between zones by a tenth and made no difference for
-  // callers (8 runs each).
+  // copying its prefix.
   crossingCost: 3,
   crossingPerThousand: 1.2,
   // The rest is reserved for the tokens that running requests still have to generate.
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
@@ -29,7 +29,7 @@
   // Each reader makes two calls per wait. A dead connection may be noticed only at the end of a wait.
   maxWatchWait: 4_000,
   // When many replicas start together, each new entry would end a watch: with 67 replicas and 74
-  // daemons, that is a calculated 5,000 calls in the first seconds. A change after a quiet period is
+  // daemons, that would be some 5,000 calls in the first seconds. A change after a quiet period is
   // still received at once.
   minWatchInterval: 150,
   minRetryDelay: 100,
@@ -54,7 +54,7 @@
  */
 const MIN_ABORTED_WATCH_AGE: Milliseconds = 1_000;
 
-/** Receives what a follower learns about its objects and its connection to the store. */
+/** Receives changes of the followed objects and of the connection to the store. */
 export interface StateListener<Item> {
   /** Called after each change with all objects that are assumed to exist. */
   onObjects(items: ReadonlyMap<string, Item>, revision: number): void;
@@ -154,7 +154,7 @@
   }
 
   /**
-   * Notes the revision of a change that another daemon knows of, and aborts the watch if it should
+   * Records the revision of a change that another daemon knows of, and aborts the watch if it should
    * have reported that change. Otherwise a watch on a dead connection would report nothing until its
    * wait is over, and replicas that leave would be sent requests until then.
    */
@@ -195,8 +195,8 @@
       return false;
     }
     // The first watch after an outage does not wait for a change, so that the end of the outage is
-    // noticed at once. Otherwise, the next replica that leaves would be taken for one whose entry
-    // expired during the outage.
+    // noticed at once. Otherwise, the next replica that leaves would be treated as one whose
+    // entry expired during the outage.
     const isCaughtUp = this.disconnectedAt === undefined && !this.isBehind;
     const wait = isCaughtUp ? this.getWatchWait() : RECONNECT_WATCH_WAIT;
     this.isBehind = false;
