--- a/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
+++ b/packages/claims/src/lib/ClaimShard/ClaimShard.test.ts
@@ -183,8 +183,8 @@
   });
 
   // A daemon that had lost the shard without knowing confirmed an outcome whose claim it did not
-  // have. The outcome was not reported again, and for two minutes every repeat was told that the
-  // request was in progress.
+  // have. The outcome was not reported again, and for two minutes every repeat, 2,000 in all, got the
+  // response that the request was in progress.
   it('confirms an outcome only after the store has confirmed that it owns the shard', () => {
     const harness = new ShardHarness();
     harness.handle({ kind: 'rebalance' }, 100);
