--- a/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
+++ b/packages/policy/src/lib/ClassFairQueue/ClassFairQueue.ts
@@ -31,7 +31,7 @@
  *   `C + S * n`, because each class starts with at most one credit and earns its floor with each
  *   dispatch.
  * - A class with floor `f` (after scaling) is served within `ceil(1 / f) + C` dispatches: it
- *   earns a whole credit in `ceil(1 / f)`, and at most the other classes are ahead of it then.
+ *   earns a full credit in `ceil(1 / f)`, and at most the other classes are ahead of it then.
  *
  * @public
  */
--- a/packages/policy/src/lib/ClassFairQueue/FloorCredits.ts
+++ b/packages/policy/src/lib/ClassFairQueue/FloorCredits.ts
@@ -43,7 +43,7 @@
 
   private readonly classes = new Map<string, WaitingClass>();
 
-  /** Classes with a whole credit, in the order in which they reached it. */
+  /** Classes with a full credit, in the order in which they reached it. */
   private readonly credited = new Set<string>();
 
   constructor(options: FloorOptions) {
@@ -112,7 +112,10 @@
   }
 
   private getMostUrgentTier(): number {
-    return [...this.classes.values()].reduce((least, { tier }) => Math.min(least, tier), Infinity);
+    return [...this.classes.values()].reduce(
+      (minTier, { tier }) => Math.min(minTier, tier),
+      Infinity,
+    );
   }
 
   private changeCredit(waiting: WaitingClass, change: number): void {
--- a/packages/policy/src/lib/ClassFairQueue/Lane.ts
+++ b/packages/policy/src/lib/ClassFairQueue/Lane.ts
@@ -58,10 +58,13 @@
 
   /** Whether the next request of this lane goes before that of another lane of the same tier. */
   isBefore(other: Lane): boolean {
-    const own = this.nextResumed;
-    const others = other.nextResumed;
-    if (own !== undefined || others !== undefined) {
-      return others === undefined || (own !== undefined && own.sequence < others.sequence);
+    const ownResumed = this.nextResumed;
+    const otherResumed = other.nextResumed;
+    if (ownResumed !== undefined || otherResumed !== undefined) {
+      return (
+        otherResumed === undefined ||
+        (ownResumed !== undefined && ownResumed.sequence < otherResumed.sequence)
+      );
     }
     return compareWorkspaceQueues(this.workspaceQueues.peek()!, other.workspaceQueues.peek()!) < 0;
   }
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaChooser.ts
@@ -141,7 +141,7 @@
   }
 
   /**
-   * The replica that prefers the prefix, or the second choice, unless its load exceeds the bound.
+   * The replica preferred for the prefix, or the second choice, unless its load exceeds the bound.
    * This is hashing with bounded loads, with the mean load taken from the two drawn replicas.
    */
   private findAffine(
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaPool.ts
@@ -128,10 +128,10 @@
     this.stragglers.set(state, isEligible && state.isStraggler);
     this.healthy.set(state, isHealthy);
     this.setCountedSlots(state, isHealthy ? state.share.slots : 0);
-    const { ownRunning: own } = state.load;
-    this.available.set(state, acceptsWork && own < this.getLimit(state, now));
+    const { ownRunning } = state.load;
+    this.available.set(state, acceptsWork && ownRunning < this.getLimit(state, now));
     const limitAboveShare = this.getLimitAboveShare(state, now) + state.getOvercommit();
-    this.availableAboveShare.set(state, acceptsWork && own < limitAboveShare);
+    this.availableAboveShare.set(state, acceptsWork && ownRunning < limitAboveShare);
   }
 
   private setCountedSlots(state: ReplicaState, newSlots: number): void {
--- a/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
+++ b/packages/policy/src/lib/ReplicaChooser/ReplicaTable.ts
@@ -111,14 +111,14 @@
 
   /** Puts a replica into cooldown until the given time; it becomes available again by itself. */
   startCooldown(state: ReplicaState, until: Milliseconds): void {
-    const { clock, onAvailable: onOpened } = this.settings;
+    const { clock, onAvailable } = this.settings;
     state.extendCooldown(until);
     this.refresh(state);
     this.cooldownTimers.get(state)?.cancel();
     const timer = clock.setTimer(until - clock.now(), () => {
       this.cooldownTimers.delete(state);
       this.refresh(state);
-      onOpened();
+      onAvailable();
     });
     this.cooldownTimers.set(state, timer);
   }
--- a/packages/policy/src/lib/RequestQueue/RequestQueue.ts
+++ b/packages/policy/src/lib/RequestQueue/RequestQueue.ts
@@ -173,7 +173,7 @@
   /**
    * Starts the next request that can run.
    *
-   * @param gate - tells whether the next request of a lane could run now
+   * @param gate - decides whether the next request of a lane could run now
    * @returns false if no request can run
    */
   startNext(gate: LaneGate): boolean {
--- a/packages/policy/src/lib/Scheduler/Attempt.ts
+++ b/packages/policy/src/lib/Scheduler/Attempt.ts
@@ -34,7 +34,7 @@
 
   /**
    * Whether the replica appeared to have a free slot when the attempt was sent. If not, the time to
-   * the first token includes queueing at the replica and says nothing about the replica's speed.
+   * the first token includes queueing at the replica and is no measure of the replica's speed.
    */
   readonly hadFreeSlot: boolean;
 
--- a/packages/policy/src/lib/Scheduler/AttemptRunner.ts
+++ b/packages/policy/src/lib/Scheduler/AttemptRunner.ts
@@ -49,7 +49,7 @@
   /**
    * Sends a request to a replica.
    *
-   * @param freeSlot - tells the queue that the attempt no longer occupies a slot
+   * @param freeSlot - called when the attempt no longer occupies a slot
    */
   dispatch(record: RequestRecord, slot: Slot, freeSlot: () => void): void {
     const { state, reason, priority } = slot;
--- a/packages/policy/src/lib/Scheduler/RequestRecord.ts
+++ b/packages/policy/src/lib/Scheduler/RequestRecord.ts
@@ -136,7 +136,7 @@
     return this.request.arrivedAt + this.request.serviceClass.deadline;
   }
 
-  /** The outcome that the caller may be told if the request is given up now. */
+  /** The outcome to report to the caller if the request is given up now. */
   get outcome(): ExecutionOutcome {
     if (!this.possiblyRan) {
       return ExecutionOutcome.NotRun;
@@ -187,7 +187,7 @@
   /**
    * Begins an attempt.
    *
-   * @param onSlotReleased - tells the queue that the attempt no longer occupies a slot
+   * @param onSlotReleased - called when the attempt no longer occupies a slot
    */
   beginAttempt(attempt: Attempt, onSlotReleased: () => void): void {
     this.attemptCount = attempt.number;
--- a/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
+++ b/packages/policy/src/lib/Scheduler/Scheduler.fuzz.test.ts
@@ -127,8 +127,10 @@
 
 const advance = fc
   .integer({ min: 1, max: 4000 })
-  .map((span) =>
-    createCommand(`advance ${span}`, (oracle, harness) => advanceBoth(oracle, harness, span)),
+  .map((duration) =>
+    createCommand(`advance ${duration}`, (oracle, harness) =>
+      advanceBoth(oracle, harness, duration),
+    ),
   );
 
 const report = fc
--- a/packages/policy/src/lib/Scheduler/replicas.test.ts
+++ b/packages/policy/src/lib/Scheduler/replicas.test.ts
@@ -151,11 +151,11 @@
       { length: 80 },
       () => submitChat(harness, { prefixHash: 3 }).replica,
     );
-    const most = hotPrefixReplicas.filter((replica) => replica === first[3]).length;
-    expect(most).toBeLessThan(40);
+    const sameReplicaCount = hotPrefixReplicas.filter((replica) => replica === first[3]).length;
+    expect(sameReplicaCount).toBeLessThan(40);
   });
 
-  it('sends a request only to replicas that hold its model', () => {
+  it('sends a request only to replicas on which its model is placed', () => {
     const harness = new Harness({ replicas: 0 });
     const placements = [['laaja@1'], ['nopea:kortti@2'], ['laaja@2', 'nopea:kortti@2']];
     const replicas = placements.map((placement, index) =>
--- a/packages/policy/src/lib/SharedLimit/SharedLimit.test.ts
+++ b/packages/policy/src/lib/SharedLimit/SharedLimit.test.ts
@@ -81,7 +81,7 @@
     expect([allowance.getLimit(0), allowance.getLimit(MAX_AGE + 1)]).toEqual([4, 2]);
   });
 
-  it('lends all daemons together no more than the free slots', () => {
+  it('adds no more than the free slots to the limits of all daemons together', () => {
     const random = createRandom(3);
     const lentSlots = Array.from({ length: 4000 }, () => {
       const allowance = createAllowance();
--- a/packages/policy/src/lib/SharedLimit/SharedLimit.ts
+++ b/packages/policy/src/lib/SharedLimit/SharedLimit.ts
@@ -74,12 +74,12 @@
 
   /** Counts the daemons that precede this one in the order of the replica, up to a limit. */
   private getRank(replica: number, limit: number): number {
-    const own = getRendezvousScore(replica, this.self.hash);
+    const ownScore = getRendezvousScore(replica, this.self.hash);
     let rank = 0;
     for (let index = 0; index < this.others.length && rank < limit; index += 1) {
       const other = this.others[index]!;
       const score = getRendezvousScore(replica, other.hash);
-      if (score > own || (score === own && other.id < this.self.id)) {
+      if (score > ownScore || (score === ownScore && other.id < this.self.id)) {
         rank += 1;
       }
     }
--- a/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
+++ b/packages/policy/src/lib/SharedLimit/SlotAllowance.ts
@@ -26,8 +26,8 @@
  * Fractions are rounded at random, so that the parts add up correctly on average.
  *
  * Before rounding, the additional slots of all daemons together never exceed the free slots of a
- * report. Reports lag, however: for the length of the lag, a replica may run requests in lent slots
- * while the daemons that own these slots use them again, which their shares always allow.
+ * report. Reports lag, however: until the next one, a replica may run requests in additional slots
+ * while the daemons whose shares contain these slots use them again, which they always may.
  *
  * @internal
  */
@@ -72,7 +72,7 @@
    * shows them in use.
    */
   applyReport(
-    { load, ownLoad: own, measuredAt }: ObservedLoad,
+    { load, ownLoad, measuredAt }: ObservedLoad,
     now: Milliseconds,
     random: Random,
   ): void {
@@ -81,7 +81,7 @@
     }
     const freeSlots = this.plan.targetLoad - load;
     const change =
-      freeSlots >= 0 ? freeSlots / this.currentShare.daemonCount : (freeSlots * own) / load;
-    this.adjustedLimit = { slots: own + Math.floor(change + random.next()), at: now };
+      freeSlots >= 0 ? freeSlots / this.currentShare.daemonCount : (freeSlots * ownLoad) / load;
+    this.adjustedLimit = { slots: ownLoad + Math.floor(change + random.next()), at: now };
   }
 }
--- a/packages/policy/src/lib/baselines/createBaselines.ts
+++ b/packages/policy/src/lib/baselines/createBaselines.ts
@@ -13,8 +13,8 @@
 ): BaselineReplica {
   const start = random.integer(available.length);
   const rotated = [...available.slice(start), ...available.slice(0, start)];
-  return rotated.reduce((least, replica) =>
-    replica.outstanding < least.outstanding ? replica : least,
+  return rotated.reduce((leastLoaded, replica) =>
+    replica.outstanding < leastLoaded.outstanding ? replica : leastLoaded,
   );
 }
 
