--- a/packages/relay/src/lib/daemon/RequestIntake.ts
+++ b/packages/relay/src/lib/daemon/RequestIntake.ts
@@ -133,7 +133,7 @@
     });
   }
 
-  /** Records input that is not valid HTTP; its connection has already been answered and closed. */
+  /** Records input that is not valid HTTP; an error response has been sent and its connection closed. */
   recordMalformed(reason: string): void {
     this.recordRejection('', BAD_REQUEST, reason);
   }
--- a/packages/relay/src/lib/daemon/StoreLink.ts
+++ b/packages/relay/src/lib/daemon/StoreLink.ts
@@ -61,14 +61,14 @@
     store: ObjectSource<Item>,
     onObjects: StateListener<Item>['onObjects'],
   ): void {
-    const { readerSelector: choice, epoch, parts, sharedWait } = this;
-    const ask = createPeerReader<Item>(this.httpClient, dependency);
+    const { readerSelector, epoch, parts, sharedWait } = this;
+    const readPeer = createPeerReader<Item>(this.httpClient, dependency);
     const follower = new ObjectFollower({
       ...parts,
       dependency,
       store,
-      selector: choice,
-      readPeer: ask,
+      selector: readerSelector,
+      readPeer,
       onObjects,
       epoch,
       sharedWait,
--- a/packages/relay/src/lib/decide/Delegation/Delegation.ts
+++ b/packages/relay/src/lib/decide/Delegation/Delegation.ts
@@ -34,7 +34,7 @@
  * seem idle would have a queue, and all estimates learned from waits would be wrong. Therefore one
  * daemon, the placer, chooses the replica for all requests of a group of engines and knows every
  * attempt in flight there. If it does not respond, the deputy is queried; if that does not respond
- * either, the daemon chooses a replica by what it knows itself.
+ * either, the daemon chooses a replica from its own state.
  */
 export class Delegation {
   private readonly pending = new Map<string, PendingQuery>();
@@ -99,7 +99,7 @@
     return query;
   }
 
-  /** Tells a placer that the attempt it counts as in flight will not be sent. */
+  /** Notifies a placer that the attempt it counts as in flight will not be sent. */
   releasePlacement(placer: string, key: string): void {
     this.parts.emit({ kind: 'share', to: placer, update: { kind: 'ended', key } });
   }
--- a/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
+++ b/packages/relay/src/lib/decide/PeerAttempts/PeerAttempts.ts
@@ -48,8 +48,8 @@
  * Tracks the attempts that other daemons have in flight.
  *
  * With N daemons, each sees one request in N. If daemons counted only their own attempts, an engine
- * that just received ten prompts from others would look idle and be chosen by all daemons at once:
- * first tokens expected within 50 ms took 1,000 ms.
+ * that just received ten prompts from others would look idle and be chosen by all daemons at the
+ * same time: first tokens expected within 50 ms took 1,000 ms.
  */
 export class PeerAttempts {
   private readonly byPeer = new Map<string, Map<string, RunningAttempt>>();
--- a/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/PlacementCore.ts
@@ -221,7 +221,7 @@
   }
 
   /**
-   * Returns the attempts that this daemon has in flight, by the peer that is told about them. The
+   * Returns the attempts that this daemon has in flight, by the peer that is notified of them. The
    * key undefined stands for all peers without an entry of their own.
    */
   getSharedAttempts(): Map<string | undefined, SharedAttempt[]> {
@@ -441,7 +441,7 @@
     const running = record.removeRunning();
     if (running !== undefined) {
       running.state.running.delete(running);
-      // If all daemons are told, each judges the replica by its own attempts alone.
+      // If all daemons are notified, each evaluates the replica by its own attempts only.
       const sharedResult = running.placer === undefined ? undefined : result;
       this.announceUpdate(running, { kind: 'ended', key: running.key, result: sharedResult });
     }
--- a/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
+++ b/packages/relay/src/lib/decide/PlacementCore/busyEngines.test.ts
@@ -9,8 +9,8 @@
 // In a burst of long prompts an engine has a queue of over a second, and a daemon of 65 has only one or
 // two requests there. Without liveness checks, daemons announced an engine as broken after 1.2 s without
 // a response. Three such updates within 2 s put it into cooldown for 2, 4 and 8 s for the whole fleet,
-// and its load made other engines unresponsive in turn: in the first 18 s of a day without faults, the
-// logs had 777 'replica-suspect' and 5,072 'replica-avoided' lines, and 18 of 42 engines were in use.
+// and its load then made other engines unresponsive. In the first 18 s of a load without faults, there
+// were 777 'replica-suspect' and 5,072 'replica-avoided' log lines, and 18 of 42 engines were in use.
 describe('engines with long queues', () => {
   function createHarness() {
     const harness = new CoreHarness([createEngineService('llm')], createEngines(3));
--- a/packages/relay/src/lib/decide/Placer/Placer.ts
+++ b/packages/relay/src/lib/decide/Placer/Placer.ts
@@ -91,7 +91,7 @@
     const groups = registry.allServices
       .filter(({ service }) => service?.engine !== undefined)
       .flatMap((service) => service.groups);
-    const own = groups.filter(({ name }) => fleet.getPlacers(name).includes(fleet.self));
-    return new Set(own.flatMap(({ replicas }) => replicas.map(({ replica }) => replica.id)));
+    const ownGroups = groups.filter(({ name }) => fleet.getPlacers(name).includes(fleet.self));
+    return new Set(ownGroups.flatMap(({ replicas }) => replicas.map(({ replica }) => replica.id)));
   }
 }
--- a/packages/relay/src/lib/decide/Placing/Placing.ts
+++ b/packages/relay/src/lib/decide/Placing/Placing.ts
@@ -126,14 +126,14 @@
     }
     const group = fleet.isLarge ? service.getRequestGroup(request, request.id) : undefined;
     // A placer knows all attempts in flight at its own group, but hardly any at other groups.
-    const own =
+    const groupCandidates =
       group !== undefined && fleet.getPlacers(group.name)[0] === fleet.self
         ? service.getGroupCandidates(group, triedReplicas, now)
         : [];
-    return own.length > 0 ? own : service.getCandidates(triedReplicas, now);
+    return groupCandidates.length > 0 ? groupCandidates : service.getCandidates(triedReplicas, now);
   }
 
-  /** Returns the daemon that is told about an attempt at a replica that this daemon chose. */
+  /** Returns the daemon that is notified of an attempt at a replica that this daemon chose. */
   private getPlacerForReplica({ state }: ChosenReplica): string | undefined {
     const { registry, fleet } = this.parts;
     if (!fleet.isLarge) {
--- a/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
+++ b/packages/relay/src/lib/decide/Placing/largeFleet.test.ts
@@ -67,7 +67,7 @@
 }
 
 describe('a daemon of a large fleet', () => {
-  it('sends a request to the replica that the placer chose, and tells only the placer about it', () => {
+  it('sends a request to the replica that the placer chose, and notifies only the placer', () => {
     const { member, placer } = createMember();
     member.submit('r');
     const { to, query } = member.queries[0]!;
@@ -112,7 +112,7 @@
       placer,
       deputy,
     ]);
-    // The placer is told about the attempt in case it is back; neither is queried during its backoff.
+    // The placer is notified in case it runs again; placer and deputy are not queried in their backoff.
     expect(member.getShared('placed')).toMatchObject([{ to: placer }]);
     member.submit('next');
     expect(member.queries).toHaveLength(2);
@@ -193,7 +193,7 @@
     expect(new Set(first.map(({ replica }) => replica)).size).toBe(4);
     const second = choose('d-9', 'a');
     expect(second.tokensAhead).toBeGreaterThan(4_000);
-    // An attempt that has ended frees its engine.
+    // The engine is free again after the end of the attempt.
     const index = first.findIndex(({ replica }) => replica !== second.replica);
     placerMember.receive(`d-${index}`, { kind: 'first-byte-received', key: 'a' });
     const result = { end: AttemptEnd.Completed, duration: 100 };
--- a/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
+++ b/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
@@ -23,10 +23,10 @@
  *
  * The rate has to be measured because no protocol reports it. An engine that is twice as fast as
  * assumed seems to have twice the load. All engines but one then seem to be needed for prefill, and
- * streams crowd on the last one.
+ * all streams are sent to the remaining one.
  *
  * The ratio of sums is used because prompts are prefilled in chunks, several of them in one step.
- * The time of a single prompt says little, and the next prompt may seem to take no time. Over
+ * The time of a single prompt is unreliable: the next prompt may seem to take no time. Over
  * several prompts, these errors cancel out.
  */
 export class PrefillRate {
--- a/packages/relay/src/lib/decide/ReplicaCooldown/ReplicaCooldown.test.ts
+++ b/packages/relay/src/lib/decide/ReplicaCooldown/ReplicaCooldown.test.ts
@@ -42,7 +42,7 @@
     return harness.getAttemptedReplicas(id).at(-1)!;
   }
 
-  // A replica cooldown all requests while its health check succeeds. Each of 74 daemons sends it
+  // A replica breaks all requests while its health check succeeds. Each of 74 daemons sends it
   // one request in ten seconds. If only three consecutive broken attempts of one daemon count, a
   // tenth of all requests fails for as long as the fault lasts.
   it('avoid a replica that broke requests of peers, without a broken attempt of their own', () => {
--- a/packages/relay/src/lib/decide/ReplicaRegistry/ServiceState.ts
+++ b/packages/relay/src/lib/decide/ReplicaRegistry/ServiceState.ts
@@ -22,7 +22,7 @@
 
 /** Criteria for the candidates of a request. */
 interface CandidateFilter {
-  tried: ReadonlySet<string>;
+  triedReplicas: ReadonlySet<string>;
   now: Milliseconds;
   hasRoom: (state: ReplicaState) => boolean;
 }
@@ -118,34 +118,34 @@
    * yet unless all were. Suspect replicas and those in a cooldown are included only if there are no
    * others.
    */
-  getCandidates(tried: ReadonlySet<string>, now: Milliseconds): ReplicaState[] {
+  getCandidates(triedReplicas: ReadonlySet<string>, now: Milliseconds): ReplicaState[] {
     const hasRoom = (state: ReplicaState) =>
       state.hasRoom(this.maxOwnConnections, this.service?.engine);
     const sendable = this.getReplicasInService().filter((state) => this.limits.maySend(state));
-    return ServiceState.filterCandidates(sendable, { tried, now, hasRoom });
+    return ServiceState.filterCandidates(sendable, { triedReplicas, now, hasRoom });
   }
 
   /** The candidates within one group, of which this daemon is the placer. */
   getGroupCandidates(
     { replicas }: ReplicaGroup,
-    tried: ReadonlySet<string>,
+    triedReplicas: ReadonlySet<string>,
     now: Milliseconds,
   ): ReplicaState[] {
     const hasRoom = (state: ReplicaState) => state.hasRoomForAll(this.service?.engine);
     const sendable = replicas.filter((state) => state.isInService && this.limits.maySend(state));
-    return ServiceState.filterCandidates(sendable, { tried, now, hasRoom });
+    return ServiceState.filterCandidates(sendable, { triedReplicas, now, hasRoom });
   }
 
   private static filterCandidates(
     inService: readonly ReplicaState[],
-    { tried, now, hasRoom }: CandidateFilter,
+    { triedReplicas, now, hasRoom }: CandidateFilter,
   ): ReplicaState[] {
     const trusted = inService.filter(
       ({ suspectReason, cooldown }) => suspectReason === undefined && !cooldown.isActive(now),
     );
     const pool = trusted.length > 0 ? trusted : inService;
     const withRoom = pool.filter(hasRoom);
-    const untried = withRoom.filter(({ replica }) => !tried.has(replica.id));
+    const untried = withRoom.filter(({ replica }) => !triedReplicas.has(replica.id));
     const preferred = untried.length > 0 ? untried : withRoom;
     const accepting = preferred.filter(({ fullUntil }) => fullUntil <= now);
     return accepting.length > 0 ? accepting : preferred;
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -54,7 +54,7 @@
 
   private latency = INITIAL_LATENCY;
 
-  private lastHeardAt: Milliseconds = 0;
+  private lastReceivedAt: Milliseconds = 0;
 
   private receivedReport: ReceivedReport | undefined;
 
@@ -107,7 +107,7 @@
 
   /** Records the first byte of the response to an attempt of this daemon or a peer. */
   recordFirstByte(attempt: RunningAttempt, now: Milliseconds): void {
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
     if (attempt.prompt !== undefined || attempt.missingTokens > 0) {
       this.prefill.recordPrefill(attempt, now);
     }
@@ -118,7 +118,7 @@
 
   recordLoadReport(report: LoadReport, now: Milliseconds): void {
     this.receivedReport = { report, receivedAt: now, knownInFlight: this.running.size };
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   /** Records an attempt that this daemon or a peer sent to the replica. */
@@ -163,15 +163,15 @@
 
   /** Number of this daemon's requests in flight. */
   get ownInFlight(): number {
-    let own = 0;
+    let count = 0;
     this.running.forEach(({ isOwn }) => {
-      own += isOwn ? 1 : 0;
+      count += isOwn ? 1 : 0;
     });
-    return own;
+    return count;
   }
 
   recordByte(now: Milliseconds): void {
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   recordSuccess(latency: Milliseconds): void {
@@ -190,7 +190,7 @@
   endLivenessCheck(isAlive: boolean, now: Milliseconds): void {
     this.isLivenessCheckPending = false;
     if (isAlive) {
-      this.lastHeardAt = now;
+      this.lastReceivedAt = now;
     }
   }
 
@@ -205,7 +205,7 @@
   clearSuspicion(now: Milliseconds): void {
     this.suspectReason = undefined;
     this.consecutiveBroken = 0;
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   /** Makes other replicas preferred for a moment after the replica refused a request. */
@@ -231,9 +231,9 @@
   /** Whether it has sent nothing for too long although requests of this daemon are in flight. */
   isUnresponsive(now: Milliseconds): boolean {
     const limit = now - this.options.darkAfter;
-    const own = [...this.running].filter(({ isOwn }) => isOwn);
-    const oldest = Math.min(...own.map(({ sentAt }) => sentAt));
-    return oldest < limit && this.lastHeardAt < limit;
+    const ownAttempts = [...this.running].filter(({ isOwn }) => isOwn);
+    const oldest = Math.min(...ownAttempts.map(({ sentAt }) => sentAt));
+    return oldest < limit && this.lastReceivedAt < limit;
   }
 
   /**
--- a/packages/relay/src/lib/decide/RetryBudget/RetryBudget.ts
+++ b/packages/relay/src/lib/decide/RetryBudget/RetryBudget.ts
@@ -22,8 +22,8 @@
 
 /**
  * Limits the retries of one service in any window to a ratio of its requests and a small slack.
- * When a whole service fails, every request is up for a retry, and the daemons would multiply its
- * load just when it can handle the least. Each daemon applies the ratio to its own requests, so
+ * When a whole service fails, every request would be retried, and the daemons would multiply its
+ * load when it can handle the least. Each daemon applies the ratio to its own requests, so
  * that the daemons together keep to it without coordination.
  */
 export class RetryBudget {
--- a/packages/relay/src/lib/decide/estimates/getCrossZoneCost.ts
+++ b/packages/relay/src/lib/decide/estimates/getCrossZoneCost.ts
@@ -6,8 +6,8 @@
 
 /**
  * Cost of sending a request to another availability zone. Traffic between zones is billed by the
- * byte, so the cost grows with the prompt. It also makes replicas of the own zone win between
- * equals.
+ * byte, so the cost grows with the prompt. Between otherwise equal
+ * replicas, one in the daemon's own zone is chosen.
  */
 export function getCrossZoneCost(
   { request, options }: ChoiceInputs,
--- a/packages/relay/src/lib/decide/estimates/getEngineEstimate.ts
+++ b/packages/relay/src/lib/decide/estimates/getEngineEstimate.ts
@@ -61,10 +61,10 @@
  * Cost of the interference between prefill and running streams: the expected number of requests
  * that miss their pause target.
  *
- * Load pattern: bursts of long prompts with short answers, and bursts of short prompts with long
- * answers. An answer of 300 tokens takes two to three seconds. With an even spread over all
+ * Load pattern: bursts of long prompts with short responses, and bursts of short prompts with long
+ * responses. A response of 300 tokens takes two to three seconds. With an even spread over all
  * engines, a dozen prompts arrive at its engine during that time, and a single uninterrupted
- * prefill makes the answer miss its pause target. Therefore prompts avoid engines with streams that
+ * prefill makes the response miss its pause target. Therefore prompts avoid engines with streams that
  * have met their pause target so far, however long the wait elsewhere, and prefer engines whose
  * streams have missed it already. Streams avoid engines that are busy with prefill. Prompts and
  * streams end up on separate engines, as many of each as the load needs, and share engines where
@@ -75,12 +75,15 @@
   prefillTime: Milliseconds,
   options: PlacementOptions,
 ): Milliseconds {
-  const others = harmed * options.harmCost;
+  const costToOthers = harmed * options.harmCost;
   if (slack === undefined) {
-    return others;
+    return costToOthers;
   }
-  const own = Math.max(readingShare / options.harmfulShare, getHarmProbability(prefillTime, slack));
-  return others + Math.min(1, own) * options.lossCost;
+  const missRisk = Math.max(
+    readingShare / options.harmfulShare,
+    getHarmProbability(prefillTime, slack),
+  );
+  return costToOthers + Math.min(1, missRisk) * options.lossCost;
 }
 
 /**
@@ -126,8 +129,8 @@
   const cached = inputs.cachedPrefixes.get(state)?.cached ?? 0;
   const copy = getPrefixCopy(inputs, state, cached);
   const missingTokens = Math.max(0, prompt.inputTokens - cached - (copy?.tokens ?? 0));
-  const others = state.getWaiting(now) * missingTokens;
-  const backlog = state.getBacklog(now) + others;
+  const waitingTokens = state.getWaiting(now) * missingTokens;
+  const backlog = state.getBacklog(now) + waitingTokens;
   const tokensAhead = backlog + missingTokens;
   const expected = state.getExpectedWait(tokensAhead) + (copy?.time ?? 0);
   const pauses = getPauseEstimate(inputs, state, missingTokens);
--- a/packages/relay/src/lib/decide/getNextStep.ts
+++ b/packages/relay/src/lib/decide/getNextStep.ts
@@ -5,8 +5,8 @@
 export type NextStep =
   | { kind: 'settle' }
   /**
-   * Another attempt. With `isRetry`, a replica has received the request before, so that the
-   * attempt takes from the retry budget. `fallback` applies if no further attempt is possible.
+   * Another attempt. With `isRetry`, a replica has received the request before, and the attempt
+   * counts against the retry budget. `fallback` applies if no further attempt is possible.
    */
   | { kind: 'place'; isRetry: boolean; fallback: 'settle' | GiveUp }
   | GiveUp;
--- a/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.ts
+++ b/packages/relay/src/lib/decide/limits/RateLimit/RateLimit.ts
@@ -55,8 +55,8 @@
   }
 
   private refill(now: Milliseconds): void {
-    const span = Math.max(0, now - this.refilledAt);
-    this.tokens = Math.min(this.capacity, this.tokens + (span * this.rate) / SECOND);
+    const elapsed = Math.max(0, now - this.refilledAt);
+    this.tokens = Math.min(this.capacity, this.tokens + (elapsed * this.rate) / SECOND);
     this.refilledAt = now;
   }
 }
--- a/packages/relay/src/lib/decide/messages.ts
+++ b/packages/relay/src/lib/decide/messages.ts
@@ -128,7 +128,7 @@
   'service' | 'rank' | 'latencyTarget' | 'pauseTarget' | 'prompt'
 >;
 
-/** Asks the placer of a replica group to choose a replica for an attempt. */
+/** Queries the placer of a replica group for the replica of an attempt. */
 export interface PlacementQuery {
   /** Identifies the attempt among those of the querying daemon. */
   key: string;
--- a/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.ts
+++ b/packages/relay/src/lib/decide/quarantine/CrashLedger/CrashLedger.ts
@@ -29,7 +29,7 @@
     });
   });
   return [...byRequest]
-    .map(([fingerprint, own]) => ({ fingerprint, crashes: own }))
+    .map(([fingerprint, requestCrashes]) => ({ fingerprint, crashes: requestCrashes }))
     .filter((candidate) => candidate.crashes.length >= quarantineOptions.crashThreshold)
     .sort((left, right) => right.crashes.length - left.crashes.length);
 }
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.test.ts
@@ -63,7 +63,7 @@
 
   // Guards against requests that are sent to an engine for cache content it has lost in a restart:
   // its events start over, while what was known from before the restart was kept.
-  it('drops what it knew before a restart of the engine, and lists the cache again', async () => {
+  it('discards the known cache after a restart of the engine, and lists the cache again', async () => {
     const log = await run([NO_CHANGES, { ...NO_CHANGES, epoch: '2' }, NO_CHANGES]);
     expect(log.slice(0, 6)).toEqual([
       'read all',
@@ -87,9 +87,9 @@
   });
 
   // Guards against prompts that are sent to an engine for parts it has lost: it restarted under the
-  // same name, and its new events were taken for a continuation of the earlier ones because the list
+  // same name, and its new events were treated as a continuation of the earlier ones because the list
   // of replicas did not show the restart yet.
-  it('takes no events from a restarted engine that is not listed yet', async () => {
+  it('ignores the events of a restarted engine that is not listed yet', async () => {
     const change = { kind: 'added', part: 'p', tokens: 5, model: 'm' } as const;
     const log = await run([
       { ...NO_CHANGES, changes: [change] },
--- a/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
+++ b/packages/relay/src/lib/follow/CacheFollower/CacheFollower.ts
@@ -56,7 +56,7 @@
   retryDelay: 1_500 satisfies Milliseconds,
 };
 
-/** Receives what a follower learns about the cache of an engine. */
+/** Receives the changes that a follower reads from an engine's cache. */
 export interface CacheListener {
   onChanges(changes: CacheChange[]): void;
   /** Called with the entire content of the cache, which replaces everything known before. */
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
@@ -183,7 +183,7 @@
   });
 
   // Guards against the loss of all replicas for two seconds after an outage of the store: their
-  // entries expired while they could not renew them, and the deletions were taken for departures.
+  // entries expired while they could not renew them, and the deletions were treated as departures.
   it('retains entries that expired during an outage until their owners can have renewed them', async () => {
     const { clock, source, seen, log } = await setUp();
     await source.respond(createList(5, 'a', 'b'));
@@ -200,7 +200,7 @@
 
   // Guards against requests to a replica that left up to 2.5 s ago: the first watch after an outage
   // waited for a change, so that the outage seemed to end only with the deletion two seconds later,
-  // which was then taken for an entry that expired during the outage.
+  // which was then treated as an entry that expired during the outage.
   it('notices the end of an outage at once, not with the next change', async () => {
     const { clock, source, seen, log } = await setUp();
     await source.respond(createList(5, 'a'));
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.test.ts
@@ -172,7 +172,7 @@
 
   // Guards against datagrams that grow with the square of the fleet: each of hundreds of daemons
   // announced itself to all others, and after a power failure all of them did so at once.
-  it('sends to a part of a large fleet at a time, and knows the rest from the directory', async () => {
+  it('sends to a part of a large fleet at a time, and finds the others in the directory', async () => {
     const directory = new MemoryDirectory();
     const others = 200;
     const socket = createSocket('udp4');
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
@@ -238,8 +238,8 @@
       encodeDatagram({ from: self, updates: [update] }),
     );
     ids.forEach((id) => {
-      const own = attempts.get(id);
-      const bytes = own === undefined ? common : encodeAttemptList(header, own);
+      const peerAttempts = attempts.get(id);
+      const bytes = peerAttempts === undefined ? common : encodeAttemptList(header, peerAttempts);
       const addresses = this.table.getAddresses(id);
       [bytes, ...periodic].forEach((datagram) => this.sendBytes(addresses, datagram));
     });
--- a/packages/relay/src/lib/readers/ObjectServer/ObjectServer.ts
+++ b/packages/relay/src/lib/readers/ObjectServer/ObjectServer.ts
@@ -14,7 +14,7 @@
   log: RelayLog;
   /** Maximum wait of a request. */
   maxWait: Milliseconds;
-  /** Called for each request, which means that another daemon takes this one for a reader. */
+  /** Called for each request, which means that another daemon uses this one as a reader. */
   onRequest: () => void;
 }
 
--- a/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.test.ts
+++ b/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.test.ts
@@ -124,7 +124,7 @@
     expect(selector.selectTarget()).toEqual(first);
   });
 
-  it('acts as a reader for a while after others have taken it for one', () => {
+  it('acts as a reader for a while after others have used it as one', () => {
     const clock = new ManualClock();
     const daemons = createDaemons({ a: 20 });
     const self = daemons.find((daemon) => !createSelector(daemon, daemons).isReader)!;
--- a/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.ts
+++ b/packages/relay/src/lib/readers/ReaderSelector/ReaderSelector.ts
@@ -48,7 +48,7 @@
   /** End of the cooldown of each reader that has failed, by ID. */
   private readonly cooldownUntil = new Map<string, Milliseconds>();
 
-  /** Until when this daemon acts as a reader because another one has taken it for a reader. */
+  /** Until when this daemon acts as a reader because another one has used it as a reader. */
   private readerUntil: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /** When this daemon may call the store again while no reader can reach it. */
@@ -103,7 +103,7 @@
     return now < this.storeRetryAt ? { kind: 'no-source' } : { kind: 'store' };
   }
 
-  /** Called when another daemon has taken this one for a reader. */
+  /** Called when another daemon uses this one as a reader. */
   recordReaderRequest(): void {
     this.readerUntil = this.settings.clock.now() + readerOptions.requestedReaderPeriod;
   }
--- a/packages/relay/src/lib/readers/readerOptions.ts
+++ b/packages/relay/src/lib/readers/readerOptions.ts
@@ -24,7 +24,7 @@
   silenceCooldown: 5_000 satisfies Milliseconds,
   /** How long a reader that cannot reach the store is not called. */
   refusalCooldown: 500 satisfies Milliseconds,
-  /** How long a daemon acts as a reader after another one has taken it for a reader. */
+  /** How long a daemon acts as a reader after another one has used it as a reader. */
   requestedReaderPeriod: 10_000 satisfies Milliseconds,
   /** Calls per second to the store by all non-readers of a group while no reader can reach it. */
   maxStoreCallsPerSecond: 8,
--- a/packages/relay/src/lib/request/ResponseReader.test.ts
+++ b/packages/relay/src/lib/request/ResponseReader.test.ts
@@ -71,7 +71,7 @@
   });
 
   // Guards against a caller that receives another caller's response: a replica sent a late second
-  // response, which was taken for the response to the next request on the connection.
+  // response, which was used as the response to the next request on the connection.
   it('rejects a response to another request', () => {
     const { reader, results, isAborted } = createReader(false);
     reader.onHead({ status: 200, rawHeaders: ['Request', 'r-0', 'Signed', 'yes'] });
--- a/packages/relay/src/lib/upstream/EventSplitter/EventSplitter.test.ts
+++ b/packages/relay/src/lib/upstream/EventSplitter/EventSplitter.test.ts
@@ -18,16 +18,16 @@
         (events, rest, sizes) => {
           const stream = Buffer.from(events.join('') + rest);
           const splitter = new EventSplitter();
-          const got: string[] = [];
+          const received: string[] = [];
           let at = 0;
           for (let index = 0; at < stream.length; index += 1) {
             const size = sizes[index % sizes.length]!;
             splitter.push(stream.subarray(at, at + size)).forEach(({ bytes }) => {
-              got.push(bytes.toString());
+              received.push(bytes.toString());
             });
             at += size;
           }
-          expect(got).toEqual(events);
+          expect(received).toEqual(events);
           expect(splitter.incompleteBytes.toString()).toBe(rest);
         },
       ),
