--- a/packages/policy/src/lib/Scheduler/getNextStep.ts
+++ b/packages/policy/src/lib/Scheduler/getNextStep.ts
@@ -13,7 +13,7 @@
   | { kind: 'give-up'; outcome: ExecutionOutcome; reason: GiveUpReason };
 
 /**
- * The input of the decision, besides the request itself.
+ * The inputs of the decision in addition to the request.
  *
  * @internal
  */
--- a/packages/policy/src/lib/policyOptions.ts
+++ b/packages/policy/src/lib/policyOptions.ts
@@ -160,7 +160,7 @@
   silenceTimeoutMargin: Milliseconds;
 
   /**
-   * How long a notice that a replica is leaving is kept after the replica is gone from the list;
+   * How long a notice that a replica is leaving is kept after the replica is no longer listed;
    * default 1 min.
    */
   leavingRetention: Milliseconds;
--- a/packages/relay/src/lib/daemon/ObjectFollower.ts
+++ b/packages/relay/src/lib/daemon/ObjectFollower.ts
@@ -100,7 +100,7 @@
     return {
       onObjects: (items, revision) => {
         // Shares only stored objects, without those retained after an outage: a daemon that stayed
-        // connected knows what was deleted in the meantime.
+        // connected has already received their deletion.
         this.objects.update(this.follower.stored);
         onObjects(items, revision);
       },
--- a/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
@@ -37,14 +37,14 @@
       ),
     }),
   },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('answer' as const), daemon }) },
+  { weight: 2, arbitrary: fc.record({ do: fc.constant('first-byte' as const), daemon }) },
   { weight: 1, arbitrary: fc.record({ do: fc.constant('leave' as const), daemon }) },
   {
     weight: 1,
     arbitrary: fc.record({ do: fc.constant('drain' as const), daemon, engine: fc.nat(5) }),
   },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('mute' as const), daemon }) },
-  { weight: 1, arbitrary: fc.record({ do: fc.constant('unmute' as const), daemon }) },
+  { weight: 1, arbitrary: fc.record({ do: fc.constant('disconnect' as const), daemon }) },
+  { weight: 1, arbitrary: fc.record({ do: fc.constant('reconnect' as const), daemon }) },
   {
     weight: 1,
     arbitrary: fc.record({ do: fc.constant('hide-peer' as const), daemon, peer: daemon }),
@@ -53,7 +53,7 @@
     weight: 6,
     arbitrary: fc.record({
       do: fc.constant('advance' as const),
-      span: fc.integer({ min: 1, max: 120 }),
+      duration: fc.integer({ min: 1, max: 120 }),
     }),
   },
 );
@@ -72,7 +72,7 @@
     () => new CoreHarness([createEngineService('llm')], ENGINES),
   );
 
-  private readonly muted = new Set<number>();
+  private readonly disconnected = new Set<number>();
 
   private readonly draining = DAEMONS.map(() => new Set<string>());
 
@@ -87,8 +87,11 @@
 
   private submitted = 0;
 
-  /** @param fates - from 0 to 99, used in turn: whether each datagram is lost, delayed or duplicated */
-  constructor(private readonly fates: readonly number[]) {
+  /**
+   * @param datagramOutcomes - from 0 to 99, used in turn: whether each datagram is lost, delayed or
+   *   duplicated
+   */
+  constructor(private readonly datagramOutcomes: readonly number[]) {
     this.members.forEach((member, index) =>
       member.core.handle({ kind: 'fleet', self: DAEMONS[index]!, daemons: DAEMONS }),
     );
@@ -103,7 +106,7 @@
 
   /** Ends all requests, repeats lost updates, and checks that no daemon counts any attempt. */
   finish(): void {
-    this.muted.clear();
+    this.disconnected.clear();
     this.members.forEach((member) => {
       member.core.handle({ kind: 'replicas', replicas: ENGINES });
     });
@@ -144,18 +147,18 @@
         break;
       }
       case 'end':
-      case 'answer':
+      case 'first-byte':
       case 'leave':
-        this.actOnRunning(next);
+        this.changeFirstRunning(next);
         break;
       case 'drain':
         this.drain(next.daemon, next.engine);
         break;
-      case 'mute':
-        this.muted.add(next.daemon);
+      case 'disconnect':
+        this.disconnected.add(next.daemon);
         break;
-      case 'unmute':
-        this.muted.delete(next.daemon);
+      case 'reconnect':
+        this.disconnected.delete(next.daemon);
         break;
       case 'hide-peer':
         // Daemons that reach different peers may have different placers for the same group.
@@ -166,14 +169,14 @@
         });
         break;
       case 'advance':
-        this.advance(next.span, false);
+        this.advance(next.duration, false);
         break;
       default:
         next satisfies never;
     }
   }
 
-  private actOnRunning(next: Extract<Step, { do: 'end' | 'answer' | 'leave' }>): void {
+  private changeFirstRunning(next: Extract<Step, { do: 'end' | 'first-byte' | 'leave' }>): void {
     const member = this.members[next.daemon]!;
     const running = this.running[next.daemon]!;
     const [first] = running.values();
@@ -181,7 +184,7 @@
       return;
     }
     const { id, attempt } = first;
-    if (next.do === 'answer') {
+    if (next.do === 'first-byte') {
       member.core.handle({ kind: 'first-byte-received', id, attempt });
     } else if (next.do === 'leave') {
       running.delete(id);
@@ -202,8 +205,8 @@
     });
   }
 
-  private advance(span: number, isListSent: boolean): void {
-    for (let passed = 0; passed < span; passed += 10) {
+  private advance(duration: number, isListSent: boolean): void {
+    for (let passed = 0; passed < duration; passed += 10) {
       this.members.forEach((member) => member.clock.advance(10));
       this.collect();
     }
@@ -266,21 +269,21 @@
       if (index === from || (to !== undefined && to !== DAEMONS[index])) {
         return;
       }
-      const fate = this.fates[this.fateIndex % this.fates.length]!;
-      this.fateIndex += 1;
-      if (this.muted.has(from) || this.muted.has(index) || fate < 10) {
+      const outcome = this.datagramOutcomes[this.outcomeIndex % this.datagramOutcomes.length]!;
+      this.outcomeIndex += 1;
+      if (this.disconnected.has(from) || this.disconnected.has(index) || outcome < 10) {
         return;
       }
       const deliver = () =>
         member.core.handle({ kind: 'peer-update', peer: DAEMONS[from]!, update });
-      member.clock.setTimer(fate > 90 ? MAX_DATAGRAM_DELAY : 2, deliver);
-      if (fate % 10 === 7) {
+      member.clock.setTimer(outcome > 90 ? MAX_DATAGRAM_DELAY : 2, deliver);
+      if (outcome % 10 === 7) {
         member.clock.setTimer(MAX_DATAGRAM_DELAY, deliver);
       }
     });
   }
 
-  private fateIndex = 0;
+  private outcomeIndex = 0;
 }
 
 describe('a large fleet with lost, delayed and duplicated datagrams', () => {
@@ -289,8 +292,8 @@
       fc.property(
         fc.array(step, { maxLength: 60 }),
         fc.array(fc.nat(99), { minLength: 20, maxLength: 60 }),
-        (steps, fates) => {
-          const simulation = new FleetSimulation(fates);
+        (steps, datagramOutcomes) => {
+          const simulation = new FleetSimulation(datagramOutcomes);
           simulation.run(steps);
           simulation.finish();
         },
--- a/packages/relay/src/lib/decide/PrefillEstimator/PrefillEstimator.ts
+++ b/packages/relay/src/lib/decide/PrefillEstimator/PrefillEstimator.ts
@@ -36,7 +36,7 @@
     return this.statistics.profile;
   }
 
-  /** Expected wait for a first token if so many tokens have to be prefilled first. */
+  /** Expected wait for a first token if this many tokens have to be prefilled first. */
   getExpectedWait(tokens: number): Milliseconds {
     return this.statistics.setupTime.value + tokens / this.prefillRate;
   }
--- a/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
+++ b/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
@@ -5,7 +5,7 @@
   /** Tokens per millisecond before the first measurement: the rate of the slower common engines. */
   initial: 40,
   /**
-   * Weight of the initial rate, as the equivalent of so many prefilled tokens: about two prompts.
+   * Weight of the initial rate, as an equivalent number of prefilled tokens: about two prompts.
    */
   initialWeight: 6_000,
   /** Part of the previous measurements that is retained per thousand tokens prefilled since. */
--- a/packages/relay/src/lib/decide/ReplicaRegistry/ReplicaRegistry.ts
+++ b/packages/relay/src/lib/decide/ReplicaRegistry/ReplicaRegistry.ts
@@ -78,7 +78,7 @@
     this.services.forEach((service) => service.setDaemonCount(daemons));
   }
 
-  /** Updates the state of a replica by the way an attempt ended. */
+  /** Updates the state of a replica with the result of an attempt. */
   recordAttemptEnd({ state, sentAt }: RunningAttempt, end: AttemptEnd): void {
     const now = this.settings.clock.now();
     switch (end) {
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -100,7 +100,7 @@
     return this.prefill.servicePrefillRate;
   }
 
-  /** Expected wait for a first token if so many tokens have to be prefilled first. */
+  /** Expected wait for a first token if this many tokens have to be prefilled first. */
   getExpectedWait(tokens: number): Milliseconds {
     return this.prefill.getExpectedWait(tokens);
   }
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Expected number of streams that would miss their pause target if the engine had to prefill so
+   * Expected number of streams that would miss their pause target if the engine had to prefill this
    * many additional tokens.
    */
   getHarmedStreams(tokens: number, now: Milliseconds): number {
@@ -221,7 +221,7 @@
     this.failureRate += NEWEST_WEIGHT * (1 - this.failureRate);
   }
 
-  /** @returns whether so many consecutive attempts broke that the replica becomes suspect */
+  /** @returns whether enough consecutive attempts broke for the replica to become suspect */
   recordBrokenAttempt(): boolean {
     this.consecutiveBroken += 1;
     this.failureRate += NEWEST_WEIGHT * (1 - this.failureRate);
--- a/packages/relay/src/lib/decide/pauses.ts
+++ b/packages/relay/src/lib/decide/pauses.ts
@@ -3,8 +3,8 @@
 import type { PlacementOptions } from './placementOptions.js';
 
 /**
- * Duration of a step beside the prefill of a chunk: it decodes a token for each running
- * request and attends to long contexts.
+ * Duration of a step without the prefill of a chunk: it decodes a token for each running
+ * request and computes attention over long contexts.
  */
 const STEP_OVERHEAD: Milliseconds = 10;
 
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.test.ts
@@ -113,7 +113,7 @@
     clock.advance(500);
     follower.recordPeerRevision(6);
     await ScriptedSource.settle();
-    // The response to the watch may still be on its way.
+    // The response to the watch may still arrive.
     expect(source.calls).toEqual(['list', 'watch 5']);
     clock.advance(500);
     follower.recordPeerRevision(5);
--- a/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
+++ b/packages/relay/src/lib/follow/StateFollower/StateFollower.ts
@@ -50,7 +50,7 @@
 
 /**
  * Minimum age of a watch that is aborted because another daemon knows a newer revision. The response
- * to a younger watch may still be on its way.
+ * to a younger watch may still arrive.
  */
 const MIN_ABORTED_WATCH_AGE: Milliseconds = 1_000;
 
--- a/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
+++ b/packages/relay/src/lib/peers/PeerLink/PeerLink.ts
@@ -85,7 +85,7 @@
 
 /**
  * Exchanges updates with the other daemons in UDP datagrams. The next refresh makes up for a lost
- * datagram, and nothing ever waits for a daemon that is gone.
+ * datagram, and no operation waits for a daemon that has stopped.
  */
 export class PeerLink {
   private readonly table: PeerTable;
@@ -111,7 +111,7 @@
   private lastAddressed: string[] = [];
 
   /** Broken attempts that may still be announced before the next refresh. */
-  private breaksLeft = peerLinkOptions.maxImmediateBreaks;
+  private remainingBreakAnnouncements = peerLinkOptions.maxImmediateBreaks;
 
   constructor(private readonly settings: PeerLinkSettings) {
     this.table = new PeerTable(settings.self.id);
@@ -180,10 +180,10 @@
     if (this.livePeerCount < fleetOptions.maxSmallFleetSize) {
       return true;
     }
-    if (this.breaksLeft === 0) {
+    if (this.remainingBreakAnnouncements === 0) {
       return false;
     }
-    this.breaksLeft -= 1;
+    this.remainingBreakAnnouncements -= 1;
     return true;
   }
 
@@ -203,7 +203,7 @@
       return;
     }
     const { clock, onPeerLost, log } = this.settings;
-    this.breaksLeft = peerLinkOptions.maxImmediateBreaks;
+    this.remainingBreakAnnouncements = peerLinkOptions.maxImmediateBreaks;
     this.sendRefresh();
     const maxSilence = this.rotationPeriod * MAX_MISSED_REFRESHES;
     this.table.expireSilent(clock.now(), maxSilence).forEach((peer) => {
