--- a/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
+++ b/packages/relay/src/lib/decide/Placing/fleet.fuzz.test.ts
@@ -37,7 +37,7 @@
       ),
     }),
   },
-  { weight: 2, arbitrary: fc.record({ do: fc.constant('first-byte' as const), daemon }) },
+  { weight: 2, arbitrary: fc.record({ do: fc.constant('answer' as const), daemon }) },
   { weight: 1, arbitrary: fc.record({ do: fc.constant('leave' as const), daemon }) },
   {
     weight: 1,
@@ -147,7 +147,7 @@
         break;
       }
       case 'end':
-      case 'first-byte':
+      case 'answer':
       case 'leave':
         this.changeFirstRunning(next);
         break;
@@ -176,7 +176,7 @@
     }
   }
 
-  private changeFirstRunning(next: Extract<Step, { do: 'end' | 'first-byte' | 'leave' }>): void {
+  private changeFirstRunning(next: Extract<Step, { do: 'end' | 'answer' | 'leave' }>): void {
     const member = this.members[next.daemon]!;
     const running = this.running[next.daemon]!;
     const [first] = running.values();
@@ -184,7 +184,7 @@
       return;
     }
     const { id, attempt } = first;
-    if (next.do === 'first-byte') {
+    if (next.do === 'answer') {
       member.core.handle({ kind: 'first-byte-received', id, attempt });
     } else if (next.do === 'leave') {
       running.delete(id);
