--- a/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
+++ b/packages/relay/src/lib/decide/PrefillRate/PrefillRate.ts
@@ -5,7 +5,7 @@
   /** Tokens per millisecond before the first measurement: the rate of the slower common engines. */
   initial: 40,
   /**
-   * Weight of the initial rate, as the equivalent of so many prefilled tokens: about two prompts.
+   * Weight of the initial rate, as an equivalent number of prefilled tokens: about two prompts.
    */
   initialWeight: 6_000,
   /** Part of the previous measurements that is retained per thousand tokens prefilled since. */
@@ -23,10 +23,10 @@
  *
  * The rate has to be measured because no protocol reports it. An engine that is twice as fast as
  * assumed seems to have twice the load. All engines but one then seem to be needed for prefill, and
- * streams crowd on the last one.
+ * all streams are sent to the remaining one.
  *
  * The ratio of sums is used because prompts are prefilled in chunks, several of them in one step.
- * The time of a single prompt says little, and the next prompt may seem to take no time. Over
+ * The time of a single prompt is unreliable: the next prompt may seem to take no time. Over
  * several prompts, these errors cancel out.
  */
 export class PrefillRate {
--- a/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
+++ b/packages/relay/src/lib/decide/ReplicaState/ReplicaState.ts
@@ -54,7 +54,7 @@
 
   private latency = INITIAL_LATENCY;
 
-  private lastHeardAt: Milliseconds = 0;
+  private lastReceivedAt: Milliseconds = 0;
 
   private receivedReport: ReceivedReport | undefined;
 
@@ -100,14 +100,14 @@
     return this.prefill.servicePrefillRate;
   }
 
-  /** Expected wait for a first token if so many tokens have to be prefilled first. */
+  /** Expected wait for a first token if this many tokens have to be prefilled first. */
   getExpectedWait(tokens: number): Milliseconds {
     return this.prefill.getExpectedWait(tokens);
   }
 
   /** Records the first byte of the response to an attempt of this daemon or a peer. */
   recordFirstByte(attempt: RunningAttempt, now: Milliseconds): void {
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
     if (attempt.prompt !== undefined || attempt.missingTokens > 0) {
       this.prefill.recordPrefill(attempt, now);
     }
@@ -118,7 +118,7 @@
 
   recordLoadReport(report: LoadReport, now: Milliseconds): void {
     this.receivedReport = { report, receivedAt: now, knownInFlight: this.running.size };
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   /** Records an attempt that this daemon or a peer sent to the replica. */
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Expected number of streams that would miss their pause target if the engine had to prefill so
+   * Expected number of streams that would miss their pause target if the engine had to prefill this
    * many additional tokens.
    */
   getHarmedStreams(tokens: number, now: Milliseconds): number {
@@ -163,15 +163,15 @@
 
   /** Number of this daemon's requests in flight. */
   get ownInFlight(): number {
-    let own = 0;
+    let count = 0;
     this.running.forEach(({ isOwn }) => {
-      own += isOwn ? 1 : 0;
+      count += isOwn ? 1 : 0;
     });
-    return own;
+    return count;
   }
 
   recordByte(now: Milliseconds): void {
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   recordSuccess(latency: Milliseconds): void {
@@ -190,7 +190,7 @@
   endLivenessCheck(isAlive: boolean, now: Milliseconds): void {
     this.isLivenessCheckPending = false;
     if (isAlive) {
-      this.lastHeardAt = now;
+      this.lastReceivedAt = now;
     }
   }
 
@@ -205,7 +205,7 @@
   clearSuspicion(now: Milliseconds): void {
     this.suspectReason = undefined;
     this.consecutiveBroken = 0;
-    this.lastHeardAt = now;
+    this.lastReceivedAt = now;
   }
 
   /** Makes other replicas preferred for a moment after the replica refused a request. */
@@ -221,7 +221,7 @@
     this.failureRate += NEWEST_WEIGHT * (1 - this.failureRate);
   }
 
-  /** @returns whether so many consecutive attempts broke that the replica becomes suspect */
+  /** @returns whether enough consecutive attempts broke for the replica to become suspect */
   recordBrokenAttempt(): boolean {
     this.consecutiveBroken += 1;
     this.failureRate += NEWEST_WEIGHT * (1 - this.failureRate);
@@ -231,9 +231,9 @@
   /** Whether it has sent nothing for too long although requests of this daemon are in flight. */
   isUnresponsive(now: Milliseconds): boolean {
     const limit = now - this.options.darkAfter;
-    const own = [...this.running].filter(({ isOwn }) => isOwn);
-    const oldest = Math.min(...own.map(({ sentAt }) => sentAt));
-    return oldest < limit && this.lastHeardAt < limit;
+    const ownAttempts = [...this.running].filter(({ isOwn }) => isOwn);
+    const oldest = Math.min(...ownAttempts.map(({ sentAt }) => sentAt));
+    return oldest < limit && this.lastReceivedAt < limit;
   }
 
   /**
