--- a/packages/experiment/src/lib/capacity/probes/ConfigurationProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/ConfigurationProbe.ts
@@ -131,7 +131,7 @@
     return {
       role: 'configuration watch and relay',
       mechanism:
-        'configuration: ConfigurationStore, InForceConfiguration; cluster: StoreWatcher, Spreader, PartFetch',
+        'configuration: ConfigurationStore, ActiveConfiguration; cluster: StoreWatcher, Gossiper, PartFetch',
       state: 'the configuration in force and the texts of its parts',
       isControl: true,
       daemon: {
--- a/packages/experiment/src/lib/capacity/probes/MembershipProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/MembershipProbe.ts
@@ -118,7 +118,7 @@
     const sending = (rate * getWorkedOut(call)) / 4 / MILLISECONDS_PER_SECOND;
     return {
       role: 'membership',
-      mechanism: 'cluster: ClusterManager, ClusterCore (Prober, Spreader, AntiEntropy); mesh',
+      mechanism: 'cluster: ClusterManager, ClusterCore (Prober, Gossiper, AntiEntropy); mesh',
       state: 'a record of each daemon',
       isControl: true,
       daemon: {
