--- a/packages/experiment/src/lib/capacity/probes/AdmissionProbe.ts
+++ b/packages/experiment/src/lib/capacity/probes/AdmissionProbe.ts
@@ -49,7 +49,7 @@
     };
     return {
       role: 'admission',
-      mechanism: 'policy: Scheduler, WaitingRoom, ClassFairQueue (p-queue)',
+      mechanism: 'policy: Scheduler, RequestQueue, ClassFairQueue (p-queue)',
       state: 'waiting requests by tier, class and workspace',
       isControl: false,
       daemon: {
